--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -25,7 +25,7 @@
 
 std::string program(const std::string &name)
 {
-    return std::string(FORDWOOD_PROGRAMS) + "/" + name;
+    return programPath(FORDWOOD_PROGRAMS, name);
 }
 
 std::string standin(const std::string &name)
--- a/tests/process/node_deployment.hpp
+++ b/tests/process/node_deployment.hpp
@@ -66,7 +66,8 @@
             << "\"\n[bounds]\nstop_within = \"5s\"\n";
         out.close();
         nodes.emplace_back(
-            std::vector<std::string>{FORDWOOD_PROGRAMS "/fordwood-noded", "--settings", path},
+            std::vector<std::string>{programPath(FORDWOOD_PROGRAMS, "fordwood-noded"), "--settings",
+                                     path},
             folder + "/node-" + std::to_string(node) + ".log");
     }
 
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -7,7 +7,9 @@
 #include <unistd.h>
 
 #include <csignal>
+#include <cstdlib>
 #include <fstream>
+#include <map>
 #include <sstream>
 #include <utility>
 
@@ -93,4 +95,18 @@
     return usage;
 }
 
+std::string programPath(const std::string &folder, const std::string &name)
+{
+    std::vector<std::string> folders;
+    if (const char *builds = std::getenv("FORDWOOD_BUILDS")) {
+        std::istringstream list(builds);
+        for (std::string it; std::getline(list, it, ':');)
+            folders.push_back(it);
+    }
+    if (folders.empty())
+        return folder + "/" + name;
+    static std::map<std::string, std::size_t> started;
+    return folders[started[name]++ % folders.size()] + "/" + name;
+}
+
 } // namespace fordwood::process
--- a/tests/process/process.hpp
+++ b/tests/process/process.hpp
@@ -48,6 +48,10 @@
     pid_t m_pid = -1;
 };
 
+// The path of one of our programs: in `folder`, or in the folders of FORDWOOD_BUILDS (separated by
+// colons) in turn, each call for a program taking the next. So a fleet mixes two builds.
+std::string programPath(const std::string &folder, const std::string &name);
+
 } // namespace fordwood::process
 
 #endif // FORDWOOD_TESTS_PROCESS_PROCESS_HPP_INCLUDED
