--- a/bench/cold_bench.cpp
+++ b/bench/cold_bench.cpp
@@ -43,7 +43,7 @@
     virtual void setNodes(const std::vector<std::string> &names) = 0;
     virtual void turnCold() = 0;
     virtual bool maySend() = 0;
-    virtual void sent() = 0;
+    virtual void recordSend() = 0;
 };
 
 class EvenParts : public ColdPolicy
@@ -58,7 +58,7 @@
         const auto pause = std::chrono::duration<double>(static_cast<double>(m_nodes) / kRate);
         return !m_last || m_clock.now() - *m_last >= pause;
     }
-    void sent() override { m_last = m_clock.now(); }
+    void recordSend() override { m_last = m_clock.now(); }
 
 private:
     const Clock &m_clock;
@@ -80,9 +80,9 @@
         std::erase(others, m_name);
         m_gate.setNodes(others);
     }
-    void turnCold() override { m_gate.noteCold(kUpstream, kColdFor); }
+    void turnCold() override { m_gate.setCold(kUpstream, kColdFor); }
     bool maySend() override { return m_gate.maySend(kUpstream, kRate); }
-    void sent() override { m_gate.sent(kUpstream); }
+    void recordSend() override { m_gate.recordSend(kUpstream); }
 
 private:
     static ColdGate::Limits limits()
@@ -141,7 +141,7 @@
         holder.tokens -= 1.0;
         return true;
     }
-    void sent() override { }
+    void recordSend() override { }
 
 private:
     static constexpr Duration kAnswerTakes = 40ms;
@@ -194,7 +194,7 @@
             const bool hasCallers = pattern != Pattern::OneDomain || n % 4 == 0;
             if (!hasCallers || !policies[n]->maySend())
                 continue;
-            policies[n]->sent();
+            policies[n]->recordSend();
             arrivals.push_back(clock.now() + 10ms * (random() % 10));
         }
     }
--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -9,13 +9,13 @@
 #include "apps/entryd/team_index.hpp"
 #include "config/configuration_assembler.hpp"
 #include "config/read_configuration.hpp"
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 #include "fordwood/dispatcher.hpp"
 #include "fordwood/fleet_view.hpp"
 #include "fordwood/key_registry.hpp"
 #include "fordwood/load_planner.hpp"
 #include "fordwood/manual_clock.hpp"
-#include "fordwood/permit_book.hpp"
+#include "fordwood/permit_scheduler.hpp"
 #include "fordwood/store_keeper.hpp"
 
 namespace {
@@ -168,7 +168,7 @@
             if (ask == nullptr)
                 continue;
             PermitReply reply;
-            reply.askId = ask->askId;
+            reply.requestId = ask->requestId;
             reply.granted = true;
             reply.permitId = id;
             reply.sendWithin = 2s;
@@ -184,18 +184,18 @@
 void askAndRelease(benchmark::State &state)
 {
     ManualClock clock;
-    PermitBook book(clock, {2s, 1'000'000});
+    PermitScheduler book(clock, {2s, 1'000'000});
     book.setUpstreams({{"up", 1, false}});
     const int teams = static_cast<int>(state.range(0));
     std::uint64_t id = 0;
     const auto ask = [&] {
-        PermitAsk it;
+        PermitRequest it;
         it.holder = 1;
-        it.askId = ++id;
+        it.requestId = ++id;
         it.upstream = "up";
         it.team = "team-" + std::to_string(id % static_cast<std::uint64_t>(teams));
         it.wait = std::chrono::hours(10);
-        book.ask(it);
+        book.request(it);
     };
     for (int it = 0; it < teams * 4; ++it)
         ask();
@@ -247,7 +247,7 @@
 void askAllowance(benchmark::State &state)
 {
     ManualClock clock;
-    AllowanceBook book(clock, {});
+    AllowanceAllocator book(clock, {});
     book.setPools({{"t", 2000}});
     clock.advance(3s);
     const auto holders = static_cast<std::uint64_t>(state.range(0));
@@ -256,7 +256,7 @@
         // Every holder asks again after half the life of what it has.
         if (++n % holders == 0)
             clock.advance(1500ms);
-        benchmark::DoNotOptimize(book.ask({n % holders, n, "t", 1, 2}));
+        benchmark::DoNotOptimize(book.allocate({n % holders, n, "t", 1, 2}));
     }
 }
 BENCHMARK(askAllowance)->Arg(8)->Arg(63)->Arg(1900);
--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -26,12 +26,12 @@
     FixedParts(const Clock &clock, const std::string &name, bool isEven)
         : m_clock(clock), m_gate(clock, stableHash(name)), m_name(name), m_isEven(isEven)
     {
-        m_gate.beliefs().know(LimitFleet::kUpstream);
+        m_gate.upstreamLimits().addUpstream(LimitFleet::kUpstream);
     }
 
     bool maySend() override
     {
-        const auto limit = m_gate.beliefs().perSecond(LimitFleet::kUpstream);
+        const auto limit = m_gate.upstreamLimits().perSecond(LimitFleet::kUpstream);
         if (!limit)
             return true;
         const LimitShare share = shareOfLimit(*limit, true);
@@ -44,7 +44,7 @@
         const auto pause = std::chrono::duration<double>(static_cast<double>(senders) / *limit);
         return !m_last || m_clock.now() - *m_last >= pause;
     }
-    void sent() override { m_last = m_clock.now(); }
+    void recordSend() override { m_last = m_clock.now(); }
     void setNodes(const std::vector<std::string> &names) override
     {
         m_others = names;
@@ -110,13 +110,13 @@
             it.side = n < nodes / 2 ? 1 : 0;
     }
     if (pattern != Pattern::TwoFrozen)
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
 }
 
 Figures measure(const Way &way, std::size_t nodes, double perSecond, Pattern pattern)
 {
     LimitFleet fleet(nodes, perSecond, way.make);
-    fleet.tellLiveNodes();
+    fleet.updateLiveNodes();
     const TimePoint named = fleet.clock.now();
     fleet.play(6s);
     strike(fleet, pattern);
@@ -136,17 +136,17 @@
             return std::make_unique<FixedParts>(clock, name, isEven);
         };
     };
-    const Way kWays[]{{"even", fixed(true)},
-                      {"few of all", fixed(false)},
-                      {"few with requests", LimitFleet::gatePolicy}};
+    const Way kPolicies[]{{"even", fixed(true)},
+                          {"few of all", fixed(false)},
+                          {"few with requests", LimitFleet::gatePolicy}};
     std::cout << std::fixed << std::setprecision(2) << "| pattern | nodes | limit a second | "
-              << kWays[0].name << " | " << kWays[1].name << " | " << kWays[2].name
+              << kPolicies[0].name << " | " << kPolicies[1].name << " | " << kPolicies[2].name
               << " |\n|---|---|---|---|---|---|\n";
     for (const Pattern pattern : kPatterns) {
         for (const std::size_t nodes : {8U, 79U, 300U}) {
             for (const double perSecond : {0.3, 3.2, 30.0}) {
                 std::cout << "| " << nameOf(pattern) << " | " << nodes << " | " << perSecond;
-                for (const Way &it : kWays) {
+                for (const Way &it : kPolicies) {
                     const Figures figures = measure(it, nodes, perSecond, pattern);
                     std::cout << " | " << figures.busiest << " / " << figures.used << std::flush;
                 }
--- a/include/fordwood/allowance_book.hpp
+++ b/include/fordwood/allowance_allocator.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_ALLOWANCE_BOOK_HPP_INCLUDED
-#define FORDWOOD_ALLOWANCE_BOOK_HPP_INCLUDED
+#ifndef FORDWOOD_ALLOWANCE_ALLOCATOR_HPP_INCLUDED
+#define FORDWOOD_ALLOWANCE_ALLOCATOR_HPP_INCLUDED
 
 #include <cstddef>
 #include <cstdint>
@@ -13,10 +13,10 @@
 namespace fordwood {
 
 // A node's wish for a part of a team's ceiling.
-struct AllowanceAsk
+struct AllowanceRequest
 {
     std::uint64_t holder = 0; // names the node's connection
-    std::uint64_t askId = 0; // comes back with the answer
+    std::uint64_t requestId = 0; // comes back with the answer
     std::string team;
     std::size_t used = 0; // of the team's requests that run on the node beyond its base part
     std::size_t wanted = 0; // that it would like to run beyond its base part
@@ -35,7 +35,7 @@
 // repeated or late; a pool that has shrunk is kept to as the old allowances run out. When nodes
 // want more than there is, each gets an equal part, and what one does not want goes to the others.
 // No I/O and no threads.
-class AllowanceBook
+class AllowanceAllocator
 {
 public:
     struct Limits
@@ -43,17 +43,17 @@
         Duration life = std::chrono::seconds(3);
         // A team that many nodes use is gone through as a whole only so often.
         Duration sweepEvery = std::chrono::milliseconds(100);
-        std::size_t fewHolders = 16; // with so many or fewer it is done at each ask
+        std::size_t alwaysSweepUpTo = 16; // with so many or fewer it is done at each ask
     };
 
-    AllowanceBook(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
+    AllowanceAllocator(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
     // Replaces the pools, by team. A team that is new to this book gets nothing for the life of an
     // allowance: its last owner may have given all of it away just now.
     void setPools(const std::map<std::string, std::size_t> &pools);
 
     // Answers at once. An unknown team gets nothing.
-    Allowance ask(const AllowanceAsk &ask);
+    Allowance allocate(const AllowanceRequest &ask);
 
     // The sum of a team's allowances that have not run out.
     std::size_t granted(const std::string &team) const;
@@ -77,16 +77,16 @@
         std::size_t size = 0;
         TimePoint closedUntil{};
         std::map<std::uint64_t, Holder> holders;
-        std::size_t counted = 0; // over all holders; never less than what has not run out
-        std::size_t part = 0; // equal part, as of the last sweep
+        std::size_t committed = 0; // over all holders; never less than what has not run out
+        std::size_t equalShareSize = 0; // equal part, as of the last sweep
         TimePoint nextSweep{};
     };
 
     void sweep(Pool &pool) const;
-    void forgetOld(Holder &holder) const;
-    static std::size_t heldBy(const Holder &holder);
-    static std::size_t countOf(const Holder &holder);
-    static std::size_t equalPart(const Pool &pool);
+    void dropExpired(Holder &holder) const;
+    static std::size_t largestGrant(const Holder &holder);
+    static std::size_t committedTo(const Holder &holder);
+    static std::size_t equalShare(const Pool &pool);
 
     const Clock &m_clock;
     Limits m_limits;
@@ -95,4 +95,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_ALLOWANCE_BOOK_HPP_INCLUDED
+#endif // FORDWOOD_ALLOWANCE_ALLOCATOR_HPP_INCLUDED
--- a/include/fordwood/backoff_text.hpp
+++ b/include/fordwood/backoff_text.hpp
@@ -10,14 +10,14 @@
 namespace fordwood {
 
 // How long an upstream that rejects a request wants nothing more from this node.
-struct BackoffReading
+struct ParsedBackoff
 {
     std::optional<Duration> length; // nothing: it does not say, or nothing that can be read
     bool isUnreadable = false;
 };
 
 // Takes in one field of an answer: seconds, with fractions. Of several the longest one holds.
-void addBackoff(std::string_view text, BackoffReading &reading);
+void addBackoffField(std::string_view text, ParsedBackoff &parsed);
 
 } // namespace fordwood
 
--- a/include/fordwood/call.hpp
+++ b/include/fordwood/call.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <variant>
 
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 #include "fordwood/clock.hpp"
 #include "fordwood/key_registry.hpp"
 #include "fordwood/prefill_line.hpp"
@@ -45,7 +45,7 @@
 struct AskPermit
 {
     CallId call;
-    std::uint64_t askId;
+    std::uint64_t requestId;
     std::string owner;
     std::string ownerAddress;
     std::string upstream;
@@ -59,7 +59,7 @@
 // Takes an ask back.
 struct WithdrawAsk
 {
-    std::uint64_t askId;
+    std::uint64_t requestId;
     std::string owner;
     std::string upstream;
 };
@@ -134,7 +134,7 @@
 {
     std::string owner;
     std::string ownerAddress;
-    AllowanceAsk ask;
+    AllowanceRequest ask;
 };
 
 // Tells the holder of a key how the call ended.
@@ -143,14 +143,14 @@
     std::string holder;
     IdempotencyKey key;
     RunState state;
-    KeptAnswer answer;
+    StoredAnswer answer;
 };
 
 // Ends the call with an answer that was kept.
 struct AnswerKept
 {
     CallId call;
-    KeptAnswer answer;
+    StoredAnswer answer;
 };
 
 using Action
--- a/include/fordwood/ceiling_gate.hpp
+++ b/include/fordwood/ceiling_gate.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 #include "fordwood/clock.hpp"
 
 namespace fordwood {
@@ -21,7 +21,7 @@
 public:
     struct Limits
     {
-        Duration askAgain = std::chrono::milliseconds(200); // after less than was wanted
+        Duration retryDelay = std::chrono::milliseconds(200); // after less than was wanted
     };
 
     CeilingGate(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
@@ -35,20 +35,20 @@
 
     // Whether asking the owner could let one more request of the team begin: not while the answer
     // to an earlier ask is new.
-    bool mayAsk(const std::string &team) const;
+    bool mayRequest(const std::string &team) const;
 
     // What to ask the owner for, when `waiting` requests would like to begin. The answer goes to
-    // answered(). One ask of a team is open at a time.
-    AllowanceAsk ask(const std::string &team, std::size_t waiting);
-    bool isAsking(const std::string &team) const;
+    // onAnswer(). One ask of a team is open at a time.
+    AllowanceRequest startRequest(const std::string &team, std::size_t waiting);
+    bool isRequestPending(const std::string &team) const;
 
     // The owner has answered the open ask; an answer to an earlier one is passed over, since it
     // runs out earlier. Or it will not answer.
-    void answered(const std::string &team, std::uint64_t askId, const Allowance &allowance);
-    void unanswered(const std::string &team);
+    void onAnswer(const std::string &team, std::uint64_t requestId, const Allowance &allowance);
+    void onNoAnswer(const std::string &team);
 
     // Teams whose allowance is in use and past half its life: they should be asked for again.
-    std::vector<std::string> due() const;
+    std::vector<std::string> dueForRenewal() const;
 
     std::size_t running(const std::string &team) const;
 
@@ -59,13 +59,13 @@
         std::size_t base = 0;
         std::size_t running = 0;
         std::size_t amount = 0; // of the allowance
-        TimePoint until{}; // end of the allowance
+        TimePoint expiresAt{}; // end of the allowance
         TimePoint renewAt{};
-        TimePoint asked{};
-        TimePoint askAgainAt{};
+        TimePoint requestedAt{};
+        TimePoint retryAt{};
         std::size_t wanted = 0; // with the open ask
-        std::uint64_t askId = 0; // of the open ask
-        bool asking = false;
+        std::uint64_t requestId = 0; // of the open ask
+        bool isPending = false;
     };
 
     std::size_t ceiling(const Team &team) const;
@@ -73,7 +73,7 @@
     const Clock &m_clock;
     Limits m_limits;
     std::map<std::string, Team> m_teams;
-    std::uint64_t m_nextAsk = 1;
+    std::uint64_t m_nextRequestId = 1;
 };
 
 } // namespace fordwood
--- a/include/fordwood/cold_gate.hpp
+++ b/include/fordwood/cold_gate.hpp
@@ -46,7 +46,7 @@
     void setNodes(const std::vector<std::string> &others);
 
     // The upstream stays cold for so long; zero: it is warm.
-    void noteCold(const std::string &instanceId, Duration remaining);
+    void setCold(const std::string &instanceId, Duration remaining);
 
     // The upstream may have started again without having said so yet: it is taken as cold for so
     // long at least.
@@ -61,7 +61,7 @@
     bool maySend(const std::string &instanceId, double requestsPerSecond);
 
     // A request goes to the upstream.
-    void sent(const std::string &instanceId);
+    void recordSend(const std::string &instanceId);
 
     // Upstreams that are cold now, for the metrics.
     std::size_t coldUpstreams() const;
@@ -75,25 +75,25 @@
         TimePoint suspectUntil{};
         std::deque<TimePoint> sends; // within the window
         // The change of the nodes for which the next two hold; zero: not judged yet.
-        std::uint64_t judgedAt = 0;
+        std::uint64_t rankedForVersion = 0;
         std::size_t rank = 0; // among the nodes that may send to it
-        std::size_t rankBefore = 0; // by the nodes before the last change
+        std::size_t previousRank = 0; // by the nodes before the last change
     };
 
     bool isCold(const Upstream &upstream) const;
-    std::size_t mostForAll(double requestsPerSecond) const;
+    std::size_t totalQuota(double requestsPerSecond) const;
     // How many of the others come before this node in the order of the upstream's senders.
     std::size_t rankAmong(const std::optional<NodeHashes> &others, std::uint64_t upstream) const;
     // What this node may send in a window.
-    std::size_t ownPart(Upstream &upstream, const std::string &instanceId, std::size_t most);
+    std::size_t ownQuota(Upstream &upstream, const std::string &instanceId, std::size_t total);
 
     const Clock &m_clock;
     const Limits m_limits;
     const std::uint64_t m_self;
     std::optional<NodeHashes> m_nodes; // the others; nothing: not told yet
-    std::optional<NodeHashes> m_nodesBefore; // a window ago at least
-    TimePoint m_nodesSince;
-    std::uint64_t m_changes = 1; // of the nodes
+    std::optional<NodeHashes> m_previousNodes; // a window ago at least
+    TimePoint m_nodesChangedAt;
+    std::uint64_t m_nodesVersion = 1; // of the nodes
     std::map<std::string, Upstream> m_upstreams; // by instance id; those that were ever cold
 };
 
--- a/include/fordwood/dispatcher.hpp
+++ b/include/fordwood/dispatcher.hpp
@@ -23,7 +23,7 @@
 #include "fordwood/return_times.hpp"
 #include "fordwood/team_admission.hpp"
 #include "fordwood/upstream_backoffs.hpp"
-#include "fordwood/upstream_ends.hpp"
+#include "fordwood/upstream_restarts.hpp"
 
 namespace fordwood {
 
@@ -58,7 +58,7 @@
 // An owner's answer to an ask.
 struct PermitReply
 {
-    std::uint64_t askId = 0;
+    std::uint64_t requestId = 0;
     bool granted = false;
     std::uint64_t permitId = 0;
     Duration waited{0}; // at the owner
@@ -92,7 +92,7 @@
     void claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer);
 
     // The owner of a team has answered an ask for a part of its ceiling.
-    void allowanceAnswered(const std::string &team, std::uint64_t askId,
+    void allowanceAnswered(const std::string &team, std::uint64_t requestId,
                            const Allowance &allowance);
 
     // The connection to an owner is gone, and with it its open asks and its permits.
@@ -102,7 +102,7 @@
     void attemptFailed(CallId call, unsigned attempt, const AttemptFailure &failure);
 
     // An attempt has brought the whole answer. `cost` is what it used, or zero if unknown.
-    void attemptFinished(CallId call, unsigned attempt, double cost, KeptAnswer answer = {});
+    void attemptFinished(CallId call, unsigned attempt, double cost, StoredAnswer answer = {});
 
     // What an answer said of its upstream's limit has been taken in.
     struct LimitHeard
@@ -113,7 +113,7 @@
     };
 
     // The head of an answer says this of the upstream's limit.
-    LimitHeard limitRead(CallId call, unsigned attempt, const LimitReading &limit);
+    LimitHeard limitRead(CallId call, unsigned attempt, const ParsedLimit &limit);
 
     // The head of an answer says this of its upstream. Gives the upstream's name and how long it
     // gets no requests; nothing: it changes nothing.
@@ -125,7 +125,7 @@
     std::optional<Backoff> noticeRead(CallId call, unsigned attempt, const UpstreamNotice &notice);
 
     // Upstreams that name a limit now, for the metrics.
-    std::size_t limitedUpstreams() const { return m_gate.beliefs().limited(); }
+    std::size_t limitedUpstreams() const { return m_gate.upstreamLimits().limitedUpstreams(); }
 
     // The caller is gone. A keyed request that was sent goes on: its answer is kept.
     void callerLeft(CallId call);
@@ -150,7 +150,7 @@
         Stage stage = Stage::Asking;
         unsigned attempt = 0;
         CallCandidates candidates;
-        std::uint64_t askId = 0; // while an ask is open
+        std::uint64_t requestId = 0; // while an ask is open
         std::string askedOwner;
         TimePoint asked{};
         TimePoint askedUntil{};
@@ -162,8 +162,8 @@
     };
 
     // TeamAdmission::Listener
-    void entered(CallId call) override;
-    void refused(CallId call) override;
+    void onAdmitted(CallId call) override;
+    void onRefused(CallId call) override;
 
     void admit(Call &call);
     void forget(CallId id);
@@ -202,7 +202,7 @@
     TeamAdmission m_admission;
     PermitsInUse m_permits;
     QuarantineGate m_quarantine;
-    UpstreamEnds m_ends;
+    UpstreamRestarts m_ends;
     LimitGate m_gate;
     UpstreamBackoffs m_backoffs;
     std::map<std::string, ReturnTimes> m_returnTimes; // by upstream that takes only so many
--- a/include/fordwood/fair_queue.hpp
+++ b/include/fordwood/fair_queue.hpp
@@ -78,7 +78,7 @@
         Order order;
     };
 
-    void forget(const Slot &slot);
+    void removeSlot(const Slot &slot);
 
     std::map<std::string, Team> m_teams;
     std::set<std::pair<double, std::string>> m_active; // teams with waiting entries, by tag
--- a/include/fordwood/key_claims.hpp
+++ b/include/fordwood/key_claims.hpp
@@ -27,7 +27,7 @@
 
     // The call that an answer is for, whose claim is then no longer open. Empty when the claim was
     // dropped since; the holder knows.
-    std::optional<CallId> answered(std::uint64_t claimId);
+    std::optional<CallId> onAnswer(std::uint64_t claimId);
 
     // The holder has let the call run.
     void grant(CallId call);
@@ -45,7 +45,7 @@
 
     // The call has ended, and the holder of its key is told how. A claim that is still open is
     // given up: should the holder have granted it, the key is free again.
-    void finish(CallId call, RunState state, KeptAnswer answer);
+    void finish(CallId call, RunState state, StoredAnswer answer);
 
     // The call has ended in a way that the holder knows of.
     void forget(CallId call);
@@ -55,7 +55,7 @@
     {
         IdempotencyKey key;
         std::string holder;
-        std::uint64_t openId = 0; // zero: answered
+        std::uint64_t pendingId = 0; // zero: answered
         TimePoint until{}; // of the open claim
         int redirections = 0;
         bool granted = false;
@@ -65,7 +65,7 @@
     const Duration m_holderTimeout;
     std::vector<Action> &m_actions;
     std::map<CallId, Claim> m_claims;
-    std::unordered_map<std::uint64_t, CallId> m_open; // by claim id
+    std::unordered_map<std::uint64_t, CallId> m_pending; // by claim id
     std::uint64_t m_nextId = 1;
 };
 
--- a/include/fordwood/key_registry.hpp
+++ b/include/fordwood/key_registry.hpp
@@ -30,7 +30,7 @@
 std::optional<WallTime> issueTimeOf(const std::string &uuid);
 
 // An answer that is kept for callers who send the same key again.
-struct KeptAnswer
+struct StoredAnswer
 {
     int status = 0;
     std::string contentType;
@@ -50,7 +50,7 @@
     Reason reason = Reason::Internal;
     RunState state = RunState::MayHaveRun;
     std::string holder; // of a redirection
-    KeptAnswer answer;
+    StoredAnswer answer;
 };
 
 // A key and what is known of it, handed to another process.
@@ -58,7 +58,7 @@
 {
     IdempotencyKey key;
     RunState state = RunState::MayHaveRun; // MayHaveRun or Ran
-    std::optional<KeptAnswer> answer;
+    std::optional<StoredAnswer> answer;
 };
 
 // All that a process knows of its keys, for its successors.
@@ -76,8 +76,8 @@
 public:
     struct Limits
     {
-        std::size_t mostKeys = 100'000; // some 42 MB
-        std::size_t mostAnswerBytes = 16u << 20;
+        std::size_t maxKeys = 100'000; // some 42 MB
+        std::size_t maxAnswerBytes = 16u << 20;
         Duration window = std::chrono::minutes(10);
     };
 
@@ -88,13 +88,14 @@
     void setChain(std::uint32_t partition, const TenureChain &chain);
 
     // Whether a process is still there to be asked; set by the node's view of the members.
-    void setAlive(std::map<std::string, std::uint64_t> bootByNode);
+    void setLiveMembers(std::map<std::string, std::uint64_t> bootByNode);
 
     // A request with a key wants to run.
     ClaimAnswer claim(ClaimantId claimant, const IdempotencyKey &key);
 
     // A claimed request has ended. NotRun frees the key, so that it may be sent again.
-    void finish(ClaimantId claimant, const IdempotencyKey &key, RunState state, KeptAnswer answer);
+    void finish(ClaimantId claimant, const IdempotencyKey &key, RunState state,
+                StoredAnswer answer);
 
     // A claimant is gone: what it was running may have run.
     void dropClaimant(ClaimantId claimant);
@@ -104,7 +105,7 @@
     HandedKeys close();
 
     // Takes what another process knew. Must come before the tenures that go with it.
-    void takeOver(const HandedKeys &handed);
+    void importKeys(const HandedKeys &handed);
 
     // Forgets keys older than the window.
     void tick();
@@ -119,12 +120,12 @@
         State state = State::Running;
         ClaimantId claimant = 0;
         WallTime issued{};
-        std::optional<KeptAnswer> answer;
+        std::optional<StoredAnswer> answer;
     };
     using Id = std::pair<std::string, std::string>; // team and key
 
     ClaimAnswer refuse(Reason reason) const;
-    ClaimAnswer repeated(const Entry &entry) const;
+    ClaimAnswer answerRepeat(const Entry &entry) const;
     void remember(const Id &id, Entry entry);
     void forgetOldest();
     void forget(const Id &id);
--- a/include/fordwood/limit_gate.hpp
+++ b/include/fordwood/limit_gate.hpp
@@ -30,50 +30,50 @@
     LimitGate(const Clock &clock, std::uint64_t self);
 
     // What is believed of the limits; the upstreams that are in service are to be made known to it.
-    UpstreamLimits &beliefs() { return m_beliefs; }
-    const UpstreamLimits &beliefs() const { return m_beliefs; }
+    UpstreamLimits &upstreamLimits() { return m_upstreamLimits; }
+    const UpstreamLimits &upstreamLimits() const { return m_upstreamLimits; }
 
     // The upstream's life is over.
     void forget(const std::string &instanceId);
 
     // How many nodes live, this one included.
-    void setLiveNodes(std::size_t n);
+    void setLiveNodeCount(std::size_t n);
 
     // In a fleet whose nodes tell each other nothing of limits: the others, by name. Each of them
     // is taken to have requests, and to have heard of a limit by its own answers.
-    void setSilentNodes(const std::vector<std::string> &others);
+    void setNonGossipingPeers(const std::vector<std::string> &others);
 
     // What a peer has told, and what peers should hear: of this node alone, where relays tell it
     // on, or also of the others that it has heard of.
-    std::vector<LimitChange> heard(const std::vector<LimitWord> &words);
-    std::vector<LimitWord> ownWords() const;
-    std::vector<LimitWord> allWords() const;
+    std::vector<LimitChange> applyUpdates(const std::vector<LimitUpdate> &words);
+    std::vector<LimitUpdate> ownUpdates() const;
+    std::vector<LimitUpdate> allUpdates() const;
 
     // Whether a request that waits here may go to the upstream now; always to one without a limit.
     bool maySend(const std::string &instanceId);
 
     // A request goes to the upstream.
-    void sent(const std::string &instanceId);
+    void recordSend(const std::string &instanceId);
 
     // Requests a second that this node may send; nothing: any number.
-    std::optional<double> ownPart(const std::string &instanceId) const;
+    std::optional<double> ownRate(const std::string &instanceId) const;
 
     // Requests a second that all nodes together may send; nothing: any number.
-    std::optional<double> partOfAll(const std::string &instanceId) const;
+    std::optional<double> totalRate(const std::string &instanceId) const;
 
 private:
-    bool isWhole() const;
+    bool isFleetComplete() const;
     std::optional<LimitShare> share(std::uint64_t upstream) const;
 
     const Clock &m_clock;
-    UpstreamLimits m_beliefs;
+    UpstreamLimits m_upstreamLimits;
     LimitSenders m_senders;
     // When the next request may go is counted from here: the last one, or when this node's turn
     // among the senders began.
     std::map<std::uint64_t, TimePoint> m_lastSends; // by the hash of the instance id
     std::size_t m_liveNodes = 1;
-    std::size_t m_wholeNodes = 1; // before nodes fell silent
-    std::optional<TimePoint> m_silentSince; // when the last of them did
+    std::size_t m_nodesBeforeLoss = 1; // before nodes fell silent
+    std::optional<TimePoint> m_nodeLossTime; // when the last of them did
 };
 
 } // namespace fordwood
--- a/include/fordwood/limit_senders.hpp
+++ b/include/fordwood/limit_senders.hpp
@@ -14,12 +14,12 @@
 namespace fordwood {
 
 // A node that has requests for an upstream, as nodes tell each other.
-struct SenderWord
+struct SenderAnnouncement
 {
     std::uint64_t node = 0; // this life of the node
-    std::uint64_t said = 0; // grows with each time that the node says so
+    std::uint64_t sequence = 0; // grows with each time that the node says so
 
-    bool operator==(const SenderWord &) const = default;
+    bool operator==(const SenderAnnouncement &) const = default;
 };
 
 // Which nodes have requests for each upstream that takes only so many, and which of them may send:
@@ -48,59 +48,60 @@
 
     // In a fleet whose nodes do not tell each other who has requests: these have some at all times,
     // beside this node. Lives, by number.
-    void setAlwaysWanting(std::vector<std::uint64_t> others)
-    {
-        m_alwaysWanting = std::move(others);
-    }
+    void setFixedSenders(std::vector<std::uint64_t> others) { m_fixedSenders = std::move(others); }
 
     // This node has a request that the upstream could take. Upstreams are named by the hash of
     // their instance id.
-    void want(std::uint64_t upstream);
+    void recordDemand(std::uint64_t upstream);
 
     // The nodes that a peer names for an upstream.
-    void heard(std::uint64_t upstream, const std::vector<SenderWord> &words);
+    void applyAnnouncements(std::uint64_t upstream, const std::vector<SenderAnnouncement> &words);
 
     // This node's place among at most so many senders; nothing: it is none of them, or has not said
     // for long enough that it has requests, so that others may still count without it.
-    std::optional<Place> place(std::uint64_t upstream, std::size_t mostSenders) const;
+    std::optional<Place> place(std::uint64_t upstream, std::size_t maxSenders) const;
 
     // Whether this node has requests for the upstream, as its peers should hear.
-    std::vector<SenderWord> ownWord(std::uint64_t upstream) const;
+    std::vector<SenderAnnouncement> ownAnnouncement(std::uint64_t upstream) const;
 
     // The first so many in the order of the upstream, this node among them: for those who hear of
     // all nodes by this one.
-    std::vector<SenderWord> firstWords(std::uint64_t upstream, std::size_t most) const;
+    std::vector<SenderAnnouncement> firstAnnouncements(std::uint64_t upstream,
+                                                       std::size_t most) const;
 
     void forget(std::uint64_t upstream) { m_upstreams.erase(upstream); }
 
 private:
     // The newest word of another node.
-    struct Heard
+    struct PeerAnnouncement
     {
-        std::uint64_t said = 0;
-        TimePoint when{};
+        std::uint64_t sequence = 0;
+        TimePoint receivedAt{};
     };
 
-    struct Wanting
+    struct Demand
     {
         std::optional<TimePoint> since; // this node has had requests without a longer pause
         TimePoint last{};
-        std::optional<TimePoint> named; // when a peer last named this node
-        std::map<std::uint64_t, Heard> others; // by node
+        std::optional<TimePoint> lastNamed; // when a peer last named this node
+        std::map<std::uint64_t, PeerAnnouncement> others; // by node
     };
 
-    static std::optional<Place> bounded(Place place, std::size_t mostSenders);
-    bool isWanting(const Wanting &wanting) const;
-    bool isNamed(const Wanting &wanting) const;
-    bool isYoungerThan(TimePoint when, Duration age) const { return m_clock.now() - when < age; }
-    std::uint64_t timeNumber(TimePoint time) const;
-    void hear(Wanting &wanting, const SenderWord &word);
+    static std::optional<Place> bounded(Place place, std::size_t maxSenders);
+    bool hasDemand(const Demand &demand) const;
+    bool isNamedByPeer(const Demand &demand) const;
+    bool isWithin(TimePoint receivedAt, Duration age) const
+    {
+        return m_clock.now() - receivedAt < age;
+    }
+    std::uint64_t millisecondsOf(TimePoint time) const;
+    void applyAnnouncement(Demand &demand, const SenderAnnouncement &word);
 
     const Clock &m_clock;
     const std::uint64_t m_self;
     bool m_isAlone = true;
-    std::optional<std::vector<std::uint64_t>> m_alwaysWanting;
-    std::map<std::uint64_t, Wanting> m_upstreams;
+    std::optional<std::vector<std::uint64_t>> m_fixedSenders;
+    std::map<std::uint64_t, Demand> m_upstreams;
 };
 
 } // namespace fordwood
--- a/include/fordwood/limit_share.hpp
+++ b/include/fordwood/limit_share.hpp
@@ -19,10 +19,10 @@
 // The division of a limit of `perSecond` requests a second. An upstream bears one and a half times
 // its limit and five requests more in any four seconds. Each sender may have one request on its
 // way when the others stop counting it, so that there are more senders the more the upstream takes.
-// `isWhole`: no node has fallen silent of late. Otherwise those that are silent may be
+// `isFleetComplete`: no node has fallen silent of late. Otherwise those that are silent may be
 // cut off, and divide the limit among themselves as well: each side then keeps to half of what the
 // upstream bears.
-LimitShare shareOfLimit(double perSecond, bool isWhole);
+LimitShare shareOfLimit(double perSecond, bool isFleetComplete);
 
 } // namespace fordwood
 
--- a/include/fordwood/limit_text.hpp
+++ b/include/fordwood/limit_text.hpp
@@ -9,24 +9,24 @@
 namespace fordwood {
 
 // What one answer says of the limit of its upstream.
-struct LimitReading
+struct ParsedLimit
 {
     std::optional<double> perSecond; // requests a second, from zero up; nothing: none that is read
     bool isUnreadable = false; // it names something that is no such number
 };
 
 // A decimal number; nothing for what is no number from zero up, or one too large to be held.
-std::optional<double> readNonNegative(std::string_view text);
+std::optional<double> parseNonNegative(std::string_view text);
 
 // Takes in one field of an answer. One that is there twice names both limits: the smaller one
 // holds.
-inline void addLimit(std::string_view text, LimitReading &reading)
+inline void addLimitField(std::string_view text, ParsedLimit &parsed)
 {
-    const auto rate = readNonNegative(text);
+    const auto rate = parseNonNegative(text);
     if (!rate)
-        reading.isUnreadable = true;
+        parsed.isUnreadable = true;
     else
-        reading.perSecond = std::min(*rate, reading.perSecond.value_or(*rate));
+        parsed.perSecond = std::min(*rate, parsed.perSecond.value_or(*rate));
 }
 
 } // namespace fordwood
--- a/include/fordwood/news_spreader.hpp
+++ b/include/fordwood/news_spreader.hpp
@@ -19,10 +19,10 @@
     explicit NewsSpreader(const Clock &clock) : m_clock(clock) { }
 
     // Peers should hear this.
-    void add(const RequestNews &news);
+    void add(const QuarantineUpdate &news);
 
     // What goes into the message that is sent now.
-    std::vector<RequestNews> next();
+    std::vector<QuarantineUpdate> next();
 
     // Whether something has not been told yet at all.
     bool hasNew() const;
@@ -30,7 +30,7 @@
 private:
     struct Item
     {
-        RequestNews news;
+        QuarantineUpdate news;
         std::size_t told = 0; // times
         TimePoint due{};
     };
--- a/include/fordwood/permit_book.hpp
+++ b/include/fordwood/permit_scheduler.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_PERMIT_BOOK_HPP_INCLUDED
-#define FORDWOOD_PERMIT_BOOK_HPP_INCLUDED
+#ifndef FORDWOOD_PERMIT_SCHEDULER_HPP_INCLUDED
+#define FORDWOOD_PERMIT_SCHEDULER_HPP_INCLUDED
 
 #include <cstdint>
 #include <map>
@@ -19,10 +19,10 @@
 using HolderId = std::uint64_t;
 
 // A wish to send one request to one upstream.
-struct PermitAsk
+struct PermitRequest
 {
     HolderId holder = 0;
-    std::uint64_t askId = 0; // unique within the holder
+    std::uint64_t requestId = 0; // unique within the holder
     std::string upstream;
     std::string team;
     double cost = 1.0; // expected uncached prefill tokens plus generated tokens
@@ -35,7 +35,7 @@
 struct PermitAnswer
 {
     HolderId holder = 0;
-    std::uint64_t askId = 0;
+    std::uint64_t requestId = 0;
     bool granted = false;
     std::uint64_t permitId = 0;
     Duration waited{0}; // between the ask's arrival and the grant
@@ -64,7 +64,7 @@
     std::size_t queuePerTeam = 256; // waiting asks per team and upstream
     // Prompts are given to an engine while it has less than this to compute; the others wait here,
     // where teams get their shares.
-    Duration mostBacklog = std::chrono::milliseconds(250);
+    Duration maxBacklog = std::chrono::milliseconds(250);
 };
 
 // Decides who may send to the upstreams that this node owns: as many running requests per upstream
@@ -73,10 +73,10 @@
 // deadline is denied at once: a place given to a request that dies in the middle is lost for all.
 // Two books that both think they own an upstream admit too much for a moment and break nothing
 // else.
-class PermitBook
+class PermitScheduler
 {
 public:
-    explicit PermitBook(const Clock &clock, PermitLimits limits = {});
+    explicit PermitScheduler(const Clock &clock, PermitLimits limits = {});
 
     // Replaces the set of owned upstreams. Waiting asks of upstreams that are gone or leaving are
     // denied; running permits are kept until released.
@@ -87,10 +87,10 @@
 
     // Stops grants for an upstream for the moment, as while it loads weights: asks that may wait
     // do.
-    void setHeld(const std::string &upstream, bool held);
+    void setPaused(const std::string &upstream, bool isPaused);
 
     // Handles one ask; the answer may come now or with a later call to takeAnswers().
-    void ask(const PermitAsk &ask);
+    void request(const PermitRequest &ask);
 
     // Ends a running permit. `cost` is what the request really used, or zero if unknown; an empty
     // `upstream` stands for any.
@@ -98,14 +98,14 @@
 
     // Ends a permit whose upstream was full all the same, of runs that came without a permit: the
     // next grants of the upstream wait a moment.
-    void pushedBack(HolderId holder, std::uint64_t permitId, const std::string &upstream);
+    void onPushback(HolderId holder, std::uint64_t permitId, const std::string &upstream);
 
     // Ends a waiting ask whose caller has gone; a permit granted meanwhile must be released.
-    void withdraw(HolderId holder, std::uint64_t askId, const std::string &upstream);
+    void withdraw(HolderId holder, std::uint64_t requestId, const std::string &upstream);
 
     // Records a permit that the holder got from an earlier owner and still uses.
-    void hold(HolderId holder, std::uint64_t permitId, const std::string &upstream,
-              const std::string &team);
+    void adoptPermit(HolderId holder, std::uint64_t permitId, const std::string &upstream,
+                     const std::string &team);
 
     // Forgets a holder whose connection is gone: its permits are free, its asks are dropped.
     void dropHolder(HolderId holder);
@@ -120,7 +120,7 @@
     std::size_t waiting(const std::string &upstream) const;
     // True while any ask waits, so that tick() has work.
     bool hasWaiting() const;
-    std::size_t owned() const { return m_lines.size(); }
+    std::size_t owned() const { return m_states.size(); }
 
 private:
     struct Permit
@@ -132,39 +132,39 @@
     };
     struct Waiting
     {
-        PermitAsk ask;
+        PermitRequest ask;
         TimePoint since;
         Duration prefill; // to compute its prompt, as believed when it came
     };
     // All that concerns one upstream.
-    struct Line
+    struct UpstreamState
     {
         OwnedUpstream upstream;
         FairQueue queue;
-        TimePoint fullUntil{};
-        bool held = false;
+        TimePoint pausedUntil{};
+        bool isPaused = false;
         PrefillLine prefill;
         Duration waitingPrefill{0}; // of all waiting asks
         Duration meanHold{0}; // of a permit, from grant to release
         std::unordered_map<FairQueue::EntryId, Waiting> waiting;
-        std::map<std::pair<HolderId, std::uint64_t>, FairQueue::EntryId> byAsk;
+        std::map<std::pair<HolderId, std::uint64_t>, FairQueue::EntryId> byRequest;
         std::map<std::pair<HolderId, std::uint64_t>, Permit> running;
     };
 
-    void grant(Line &line, const PermitAsk &ask, Duration waited);
-    void deny(const PermitAsk &ask, Reason reason);
-    void denyAllWaiting(Line &line, Reason reason);
-    void fill(Line &line);
-    void dropWaiting(Line &line, FairQueue::EntryId id);
-    void releaseIn(Line &line, HolderId holder, std::uint64_t permitId, double cost);
-    bool takesNow(const Line &line, const PermitAsk &ask) const;
-    Duration expectedWait(const Line &line, const PermitAsk &ask) const;
-    std::chrono::milliseconds retryAdvice(const Line *line) const;
+    void grant(UpstreamState &state, const PermitRequest &ask, Duration waited);
+    void deny(const PermitRequest &ask, Reason reason);
+    void denyAllWaiting(UpstreamState &state, Reason reason);
+    void grantWaiting(UpstreamState &state);
+    void dropWaiting(UpstreamState &state, FairQueue::EntryId id);
+    void releaseFrom(UpstreamState &state, HolderId holder, std::uint64_t permitId, double cost);
+    bool canGrantNow(const UpstreamState &state, const PermitRequest &ask) const;
+    Duration expectedWait(const UpstreamState &state, const PermitRequest &ask) const;
+    std::chrono::milliseconds retryAdvice(const UpstreamState *state) const;
     double share(const std::string &team) const;
 
     const Clock &m_clock;
     PermitLimits m_limits;
-    std::map<std::string, Line> m_lines;
+    std::map<std::string, UpstreamState> m_states;
     std::map<std::string, double> m_shares;
     std::vector<PermitAnswer> m_answers;
     std::uint64_t m_nextPermit = 1;
@@ -173,4 +173,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_PERMIT_BOOK_HPP_INCLUDED
+#endif // FORDWOOD_PERMIT_SCHEDULER_HPP_INCLUDED
--- a/include/fordwood/permits_in_use.hpp
+++ b/include/fordwood/permits_in_use.hpp
@@ -26,15 +26,15 @@
     void setView(std::shared_ptr<const FleetView> view);
 
     // The call runs under a permit that an owner granted.
-    void takeGranted(const CallRequest &call, const std::string &owner, std::uint64_t permitId,
-                     const std::string &upstream);
+    void addGranted(const CallRequest &call, const std::string &owner, std::uint64_t permitId,
+                    const std::string &upstream);
 
     // The call is sent without asking, since places are not short.
-    void takeDirect(const CallRequest &call, const std::string &upstream);
+    void addDirect(const CallRequest &call, const std::string &upstream);
 
     // The call takes one of the few places that a node may use while no owner answers. False when
     // they are all in use.
-    bool takeLocal(const CallRequest &call, const UpstreamConfig &upstream);
+    bool tryTakeLocal(const CallRequest &call, const UpstreamConfig &upstream);
 
     bool isDirect(CallId call) const;
 
@@ -47,27 +47,27 @@
 
     // An owner is about to be asked. One that had been lost may be another process, which knows of
     // nothing: it is told of the permits in use.
-    void aboutToAsk(const Member &owner);
+    void announceHeldPermits(const Member &owner);
 
 private:
-    struct Held
+    struct PermitInUse
     {
         std::string team;
         std::string upstream;
         std::string owner; // empty: nobody needs to hear of it
         std::uint64_t permitId = 0; // zero: none was granted
-        bool direct = false;
+        bool isDirect = false;
     };
 
-    const Member *ownerOf(const Held &held) const;
-    void holdAt(CallId call, Held &held, const Member &owner);
-    void freeLocal(const std::string &upstream);
-    std::size_t localPlaces(const UpstreamConfig &upstream) const;
+    const Member *ownerOf(const PermitInUse &permit) const;
+    void transferTo(CallId call, PermitInUse &permit, const Member &owner);
+    void releaseLocalSlot(const std::string &upstream);
+    std::size_t localSlots(const UpstreamConfig &upstream) const;
 
     std::vector<Action> &m_actions;
     std::shared_ptr<const FleetView> m_view;
-    std::map<CallId, Held> m_held;
-    std::map<std::string, std::size_t> m_localInUse; // by upstream
+    std::map<CallId, PermitInUse> m_permits;
+    std::map<std::string, std::size_t> m_localSlotsInUse; // by upstream
     std::set<std::string> m_lostOwners; // that have not been asked since
 };
 
--- a/include/fordwood/quarantine.hpp
+++ b/include/fordwood/quarantine.hpp
@@ -14,14 +14,14 @@
 namespace fordwood {
 
 // What nodes tell each other of one request.
-struct RequestNews
+struct QuarantineUpdate
 {
     RequestFingerprint request;
     // The life of an upstream, by hash, that broke off while the request was there. Nothing: an
     // upstream has answered the request whole.
-    std::optional<std::uint64_t> brokenLife;
+    std::optional<std::uint64_t> failedInstance;
 
-    bool operator==(const RequestNews &) const = default;
+    bool operator==(const QuarantineUpdate &) const = default;
 };
 
 // Which requests end the upstreams that run them, by the word of all nodes. News may come in any
@@ -38,7 +38,7 @@
         // Upstreams that have ended under a request before it is held. Many requests are beside one
         // that ends an upstream, and some are tried again beside the next; beside a third hardly
         // any is.
-        std::size_t ends = 3;
+        std::size_t failuresToHold = 3;
         // How long a request is held after the last end. Then it may be tried: one more end holds
         // it again.
         Duration holdFor = std::chrono::minutes(10);
@@ -46,18 +46,18 @@
         Duration forgetAfter = std::chrono::hours(1);
         // How long an answer speaks for a request: then other weights may be in force, or another
         // version of a service.
-        Duration vouchFor = std::chrono::minutes(1);
+        Duration answerValidFor = std::chrono::minutes(1);
         // Lives that are told apart under one request; further ones prolong its hold.
-        std::size_t mostLives = 32;
+        std::size_t maxInstances = 32;
         // Requests that are remembered; beyond it those of the oldest news that are not held go.
-        std::size_t most = 2'048;
+        std::size_t maxRequests = 2'048;
     };
 
     explicit Quarantine(const Clock &clock) : Quarantine(clock, Limits{}) { }
     Quarantine(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
     // False: it was known before, or an answer has shown that the request is not to blame.
-    bool take(const RequestNews &news);
+    bool apply(const QuarantineUpdate &update);
 
     // Whether upstreams have ended under the request, and none has answered it.
     bool isSuspect(const RequestFingerprint &request) const;
@@ -69,7 +69,7 @@
     Duration heldFor(const RequestFingerprint &request) const;
 
     // The lives that ended under the request.
-    std::vector<std::uint64_t> endsUnder(const RequestFingerprint &request) const;
+    std::vector<std::uint64_t> failedInstancesOf(const RequestFingerprint &request) const;
 
     // Whether anything is remembered, and what is held now.
     bool isEmpty() const { return m_entries.empty(); }
@@ -81,14 +81,14 @@
 private:
     struct Entry
     {
-        std::vector<std::uint64_t> brokenLives;
+        std::vector<std::uint64_t> failedInstances;
         bool isAnswered = false;
         TimePoint heldUntil{};
-        TimePoint lastNews{};
+        TimePoint lastUpdate{};
     };
 
-    bool noteAnswer(const RequestFingerprint &request);
-    bool noteEnd(const RequestFingerprint &request, std::uint64_t life);
+    bool recordAnswer(const RequestFingerprint &request);
+    bool recordFailure(const RequestFingerprint &request, std::uint64_t instance);
     bool isHeld(const Entry &entry) const;
     void makeRoom();
 
--- a/include/fordwood/quarantine_gate.hpp
+++ b/include/fordwood/quarantine_gate.hpp
@@ -24,24 +24,24 @@
     { }
 
     // The upstream broke its connection while the request was there.
-    void brokeOff(const RequestFingerprint &request, const std::string &instanceId);
+    void onDisconnect(const RequestFingerprint &request, const std::string &instanceId);
 
     // A send ended without a word of the upstream: the caller left, or the time was up. It counts
     // as broken off if the upstream turns out to have ended at about that time, since one that
     // loses power breaks no connection.
-    void leftUnanswered(const RequestFingerprint &request, const std::string &instanceId);
+    void onUnanswered(const RequestFingerprint &request, const std::string &instanceId);
 
     // The upstream is gone, and had not said that it would leave.
-    void upstreamEnded(const std::string &instanceId);
+    void onUpstreamEnded(const std::string &instanceId);
 
     // An upstream has answered the request whole and with success.
-    void answered(const RequestFingerprint &request);
+    void onAnswer(const RequestFingerprint &request);
 
     // What other nodes, or the platform's store, have told.
-    void heard(const std::vector<RequestNews> &news);
+    void applyUpdates(const std::vector<QuarantineUpdate> &updates);
 
     // Whether anything is known against any request; if not, none need be looked up.
-    bool isIdle() const { return m_quarantine.isEmpty(); }
+    bool isEmpty() const { return m_quarantine.isEmpty(); }
 
     bool isHeld(const RequestFingerprint &request) const { return m_quarantine.isHeld(request); }
     Duration heldFor(const RequestFingerprint &request) const
@@ -51,7 +51,7 @@
     std::size_t heldRequests() const { return m_quarantine.heldRequests(); }
 
     // What other nodes should hear, once.
-    std::vector<RequestNews> takeNews();
+    std::vector<QuarantineUpdate> takeUpdates();
 
     // Regular work: forgets what is old.
     void tick();
@@ -64,14 +64,14 @@
         TimePoint when{};
     };
 
-    void tell(const RequestNews &news);
+    void publish(const QuarantineUpdate &updates);
 
     const Clock &m_clock;
     Quarantine m_quarantine;
     RecentAnswers m_answers;
     std::deque<Unanswered> m_unanswered; // by time
     std::map<std::string, TimePoint> m_ended; // upstreams, of late
-    std::vector<RequestNews> m_news;
+    std::vector<QuarantineUpdate> m_updates;
 };
 
 } // namespace fordwood
--- a/include/fordwood/send_gate.hpp
+++ b/include/fordwood/send_gate.hpp
@@ -37,21 +37,21 @@
     }
 
     // A request goes to the upstream.
-    void sent(const std::string &instanceId)
+    void recordSend(const std::string &instanceId)
     {
-        m_cold.sent(instanceId);
-        m_limits.sent(instanceId);
+        m_cold.recordSend(instanceId);
+        m_limits.recordSend(instanceId);
     }
 
     // Whether the upstream takes only so many requests, for either reason.
-    bool isBounded(const std::string &instanceId) const
+    bool isRateLimited(const std::string &instanceId) const
     {
         return m_cold.isCold(instanceId) || isLimited(instanceId);
     }
 
     bool isLimited(const std::string &instanceId) const
     {
-        return m_limits.beliefs().perSecond(instanceId).has_value();
+        return m_limits.upstreamLimits().perSecond(instanceId).has_value();
     }
 
     // The upstream's life is over.
@@ -62,9 +62,9 @@
         m_backoffs.forget(instanceId);
     }
 
-    ColdGate &cold() { return m_cold; }
-    LimitGate &limits() { return m_limits; }
-    const LimitGate &limits() const { return m_limits; }
+    ColdGate &coldGate() { return m_cold; }
+    LimitGate &limitGate() { return m_limits; }
+    const LimitGate &limitGate() const { return m_limits; }
     UpstreamBackoffs &backoffs() { return m_backoffs; }
 
 private:
--- a/include/fordwood/team_admission.hpp
+++ b/include/fordwood/team_admission.hpp
@@ -25,8 +25,8 @@
     {
     public:
         virtual ~Listener() = default;
-        virtual void entered(CallId call) = 0; // it counts until leave()
-        virtual void refused(CallId call) = 0; // its team runs as much as it may
+        virtual void onAdmitted(CallId call) = 0; // it counts until leave()
+        virtual void onRefused(CallId call) = 0; // its team runs as much as it may
     };
 
     // `ownerTimeout`: how long an owner may take to answer. Actions are added to `actions`.
@@ -45,7 +45,7 @@
     void withdraw(CallId call, const std::string &team);
 
     // The owner of a team has answered an ask.
-    void answered(const std::string &team, std::uint64_t askId, const Allowance &allowance);
+    void onAnswer(const std::string &team, std::uint64_t requestId, const Allowance &allowance);
 
     // An owner is gone, and with it the asks that are open there.
     void ownerLost(const std::string &owner);
@@ -54,16 +54,16 @@
     void tick();
 
 private:
-    struct OpenAsk
+    struct PendingRequest
     {
         std::string owner;
         TimePoint until;
     };
 
     void ask(const std::string &team);
-    void settle(const std::string &team);
+    void processWaiting(const std::string &team);
     template <typename Matches>
-    void giveUp(Matches matches);
+    void abandonRequests(Matches matches);
 
     const Clock &m_clock;
     const Duration m_ownerTimeout;
@@ -71,7 +71,7 @@
     std::vector<Action> &m_actions;
     std::shared_ptr<const FleetView> m_view;
     CeilingGate m_gate;
-    std::map<std::string, OpenAsk> m_asks; // by team
+    std::map<std::string, PendingRequest> m_pendingRequests; // by team
     std::map<std::string, std::vector<CallId>> m_waiting; // by team, in order
 };
 
--- a/include/fordwood/upstream_backoffs.hpp
+++ b/include/fordwood/upstream_backoffs.hpp
@@ -22,7 +22,7 @@
 
     // The upstream asks this node for a backoff from now on; ten minutes at most are kept to. Of
     // several the one that ends last holds. Whether the end is another one now.
-    bool request(const std::string &instanceId, Duration length);
+    bool addBackoff(const std::string &instanceId, Duration length);
 
     bool isBackingOff(const std::string &instanceId) const;
 
--- a/include/fordwood/upstream_limits.hpp
+++ b/include/fordwood/upstream_limits.hpp
@@ -16,15 +16,16 @@
 namespace fordwood {
 
 // What nodes tell each other of one upstream's limit.
-struct LimitWord
+struct LimitUpdate
 {
     std::uint64_t upstream = 0; // its life, by the stable hash of its instance id
     std::uint64_t version = 0; // of what is believed of it; the highest one holds
     double perSecond = 0.0; // requests a second; zero: the upstream names no limit any more
     Duration age{}; // since the answer that brought it about was read
-    std::vector<SenderWord> senders; // nodes that have requests for it; none once it is lifted
+    std::vector<SenderAnnouncement>
+        senders; // nodes that have requests for it; none once it is lifted
 
-    bool operator==(const LimitWord &) const = default;
+    bool operator==(const LimitUpdate &) const = default;
 };
 
 // What a node believes of one upstream's limit has changed.
@@ -50,7 +51,7 @@
     explicit UpstreamLimits(const Clock &clock) : m_clock(clock) { }
 
     // The upstream is in service: only of such ones is anything kept.
-    void know(const std::string &instanceId);
+    void addUpstream(const std::string &instanceId);
 
     // The upstream's life is over, and its limit with it.
     void forget(const std::string &instanceId);
@@ -59,11 +60,11 @@
     // second, or none. Answers overtake each other: what is believed changes only by an answer to a
     // request that was sent after it came to be believed, and is eased only by one to a request
     // that was sent after the last answer that bore it out.
-    std::optional<LimitChange> answered(const std::string &instanceId,
+    std::optional<LimitChange> onAnswer(const std::string &instanceId,
                                         std::optional<double> perSecond, TimePoint sent);
 
     // What a peer has told. Words about upstreams that this node does not know are passed over.
-    std::vector<LimitChange> heard(const std::vector<LimitWord> &words);
+    std::vector<LimitChange> applyUpdates(const std::vector<LimitUpdate> &words);
 
     // Requests a second that the upstream takes from all nodes together; nothing: any number.
     std::optional<double> perSecond(const std::string &instanceId) const;
@@ -71,33 +72,33 @@
     std::optional<double> perSecond(std::uint64_t upstream) const;
 
     // What peers should hear: limits that stand, and of late lifted ones. Without senders.
-    std::vector<LimitWord> words() const;
+    std::vector<LimitUpdate> updates() const;
 
     // Upstreams that name a limit now, for the metrics.
-    std::size_t limited() const { return m_limited; }
+    std::size_t limitedUpstreams() const { return m_limited; }
 
 private:
-    struct Belief
+    struct LimitState
     {
         std::string instanceId;
         std::uint64_t version = 0; // zero: nothing is believed yet
         std::optional<double> perSecond;
-        TimePoint learnt{}; // when this node came to believe it
-        TimePoint borneOut{}; // the last answer that said the same, or `learnt`
+        TimePoint changedAt{}; // when this node came to believe it
+        TimePoint confirmedAt{}; // the last answer that said the same, or `learnt`
         TimePoint answered{}; // when the answer that brought it about was read, by any node
-        TimePoint tellUntil{}; // that it has been lifted
+        TimePoint announceUntil{}; // that it has been lifted
     };
 
-    static bool mayChange(const Belief &belief, std::optional<double> perSecond, TimePoint sent);
-    Belief *belief(std::uint64_t upstream);
-    LimitChange change(Belief &belief, std::uint64_t version, std::optional<double> perSecond,
+    static bool mayChange(const LimitState &state, std::optional<double> perSecond, TimePoint sent);
+    LimitState *state(std::uint64_t upstream);
+    LimitChange change(LimitState &state, std::uint64_t version, std::optional<double> perSecond,
                        TimePoint answered);
 
     const Clock &m_clock;
     // By the hash of the instance id. Few of the upstreams in service ever name a limit: what is
     // asked for each of them at each choice costs nothing while none does.
     std::unordered_map<std::uint64_t, std::string> m_inService;
-    std::map<std::uint64_t, Belief> m_beliefs;
+    std::map<std::uint64_t, LimitState> m_states;
     std::size_t m_limited = 0;
 };
 
--- a/include/fordwood/upstream_ends.hpp
+++ b/include/fordwood/upstream_restarts.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_UPSTREAM_ENDS_HPP_INCLUDED
-#define FORDWOOD_UPSTREAM_ENDS_HPP_INCLUDED
+#ifndef FORDWOOD_UPSTREAM_RESTARTS_HPP_INCLUDED
+#define FORDWOOD_UPSTREAM_RESTARTS_HPP_INCLUDED
 
 #include <cstdint>
 #include <map>
@@ -12,18 +12,18 @@
 
 // Tells the lives of upstreams apart that come back under their name without saying so: all that
 // breaks off at one within a moment broke off with the same life.
-class UpstreamEnds
+class UpstreamRestarts
 {
 public:
-    explicit UpstreamEnds(const Clock &clock) : m_clock(clock) { }
+    explicit UpstreamRestarts(const Clock &clock) : m_clock(clock) { }
 
     // The upstream has broken off. Returns a name for the life that has ended.
-    std::string brokeOff(const std::string &upstream);
+    std::string onDisconnect(const std::string &upstream);
 
 private:
     struct Entry
     {
-        std::uint64_t lives = 0;
+        std::uint64_t instances = 0;
         TimePoint lastBreak{};
     };
 
@@ -33,4 +33,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_UPSTREAM_ENDS_HPP_INCLUDED
+#endif // FORDWOOD_UPSTREAM_RESTARTS_HPP_INCLUDED
--- a/src/adapters/grpc/key_codec.cpp
+++ b/src/adapters/grpc/key_codec.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-wire::KeptReply toWire(const KeptAnswer &answer)
+wire::KeptReply toWire(const StoredAnswer &answer)
 {
     wire::KeptReply message;
     message.set_status(answer.status);
@@ -21,7 +21,7 @@
     return message;
 }
 
-KeptAnswer fromWire(const wire::KeptReply &message)
+StoredAnswer fromWire(const wire::KeptReply &message)
 {
     return {message.status(), message.content_type(), message.body()};
 }
--- a/src/adapters/grpc/key_codec.hpp
+++ b/src/adapters/grpc/key_codec.hpp
@@ -12,8 +12,8 @@
 namespace fordwood::adapters {
 
 // Between the types of the key registry and the messages.
-wire::KeptReply toWire(const KeptAnswer &answer);
-KeptAnswer fromWire(const wire::KeptReply &message);
+wire::KeptReply toWire(const StoredAnswer &answer);
+StoredAnswer fromWire(const wire::KeptReply &message);
 ClaimAnswer fromWire(const wire::ClaimReply &message);
 IdempotencyKey keyOf(const wire::Claim &message);
 IdempotencyKey keyOf(const wire::ClaimEnd &message);
--- a/src/adapters/grpc/permit_client.cpp
+++ b/src/adapters/grpc/permit_client.cpp
@@ -19,7 +19,7 @@
 PermitReply replyOf(const wire::Grant &grant)
 {
     PermitReply reply;
-    reply.askId = grant.ask_id();
+    reply.requestId = grant.ask_id();
     reply.granted = true;
     reply.permitId = grant.permit_id();
     reply.waited = std::chrono::milliseconds(grant.waited_ms());
@@ -30,7 +30,7 @@
 PermitReply replyOf(const wire::Denial &denial)
 {
     PermitReply reply;
-    reply.askId = denial.ask_id();
+    reply.requestId = denial.ask_id();
     reply.reason = info(static_cast<Reason>(denial.reason())).reason;
     reply.retryAfter = std::chrono::milliseconds(denial.retry_after_ms());
     reply.firstTokenIn = std::chrono::milliseconds(denial.first_token_in_ms());
@@ -165,7 +165,7 @@
 {
     wire::PermitCommands commands;
     wire::Ask *message = commands.add_asks();
-    message->set_ask_id(ask.askId);
+    message->set_ask_id(ask.requestId);
     message->set_upstream(ask.upstream);
     message->set_team(ask.team);
     message->set_cost(ask.cost);
@@ -182,7 +182,7 @@
 {
     wire::PermitCommands commands;
     wire::Withdraw *message = commands.add_withdrawals();
-    message->set_ask_id(withdrawal.askId);
+    message->set_ask_id(withdrawal.requestId);
     message->set_upstream(withdrawal.upstream);
     send(withdrawal.owner, commands);
 }
@@ -235,7 +235,7 @@
 {
     wire::PermitCommands commands;
     wire::AllowanceAsk *message = commands.add_allowance_asks();
-    message->set_ask_id(ask.ask.askId);
+    message->set_ask_id(ask.ask.requestId);
     message->set_team(ask.ask.team);
     message->set_used(static_cast<std::uint32_t>(ask.ask.used));
     message->set_wanted(static_cast<std::uint32_t>(ask.ask.wanted));
--- a/src/adapters/grpc/permit_client.hpp
+++ b/src/adapters/grpc/permit_client.hpp
@@ -25,7 +25,7 @@
     virtual void claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer) = 0;
 
     // The owner of a team has answered an ask for a part of its ceiling.
-    virtual void allowanceAnswered(const std::string &team, std::uint64_t askId,
+    virtual void allowanceAnswered(const std::string &team, std::uint64_t requestId,
                                    const Allowance &allowance)
         = 0;
 
--- a/src/adapters/grpc/permit_service.cpp
+++ b/src/adapters/grpc/permit_service.cpp
@@ -20,14 +20,14 @@
 {
     if (answer.granted) {
         wire::Grant *grant = events.add_grants();
-        grant->set_ask_id(answer.askId);
+        grant->set_ask_id(answer.requestId);
         grant->set_permit_id(answer.permitId);
         grant->set_waited_ms(toMs(answer.waited));
         grant->set_send_within_ms(toMs(answer.sendWithin));
         return;
     }
     wire::Denial *denial = events.add_denials();
-    denial->set_ask_id(answer.askId);
+    denial->set_ask_id(answer.requestId);
     denial->set_reason(static_cast<std::uint32_t>(answer.reason));
     denial->set_retry_after_ms(toMs(answer.retryAfter));
     denial->set_first_token_in_ms(toMs(answer.firstTokenIn));
@@ -141,11 +141,11 @@
     sendTo(holder, events);
 }
 
-void PermitService::sendAllowance(const AllowanceAsk &ask, const Allowance &allowance)
+void PermitService::sendAllowance(const AllowanceRequest &ask, const Allowance &allowance)
 {
     wire::PermitEvents events;
     wire::AllowanceReply *reply = events.add_allowances();
-    reply->set_ask_id(ask.askId);
+    reply->set_ask_id(ask.requestId);
     reply->set_team(ask.team);
     reply->set_amount(static_cast<std::uint32_t>(allowance.amount));
     reply->set_life_ms(toMs(allowance.life));
--- a/src/adapters/grpc/permit_service.hpp
+++ b/src/adapters/grpc/permit_service.hpp
@@ -7,10 +7,10 @@
 #include <mutex>
 #include <unordered_map>
 
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 #include "fordwood/control.grpc.pb.h"
 #include "fordwood/key_registry.hpp"
-#include "fordwood/permit_book.hpp"
+#include "fordwood/permit_scheduler.hpp"
 
 namespace fordwood::adapters {
 
@@ -41,7 +41,7 @@
     void sendClaim(HolderId holder, std::uint64_t claimId, const ClaimAnswer &answer);
 
     // Sends a part of a team's ceiling.
-    void sendAllowance(const AllowanceAsk &ask, const Allowance &allowance);
+    void sendAllowance(const AllowanceRequest &ask, const Allowance &allowance);
 
     // Ends all streams, so that the server can stop.
     void closeAll();
--- a/src/adapters/http/upstream_client.cpp
+++ b/src/adapters/http/upstream_client.cpp
@@ -162,9 +162,9 @@
         if (line.rfind("HTTP/", 0) == 0) {
             m_head = AnswerHead{}; // a new head, after an interim one
             m_notRun = false;
-            m_limit = LimitReading{};
+            m_limit = ParsedLimit{};
             m_isDraining = false;
-            m_backoff = BackoffReading{};
+            m_backoff = ParsedBackoff{};
             return;
         }
         const std::size_t colon = line.find(':');
@@ -179,11 +179,11 @@
         else if (name == "x-version-mismatch")
             m_versionMismatch = value == "true";
         else if (name == "x-requests-per-second")
-            addLimit(value, m_limit);
+            addLimitField(value, m_limit);
         else if (name == "x-draining")
             m_isDraining = value == "true";
         else if (name == "retry-after")
-            addBackoff(value, m_backoff);
+            addBackoffField(value, m_backoff);
         else if (name == "x-used-tokens")
             m_cost = std::strtod(std::string(value).c_str(), nullptr);
         else if (name.rfind("fordwood-", 0) != 0 && !isHopByHop(name))
@@ -274,11 +274,11 @@
     bool passRest() { return m_partEvent.empty() || pass(m_partEvent) == Exchange::Append::Taken; }
 
     // The answer, if it is to be kept and short enough.
-    KeptAnswer keptAnswer() const
+    StoredAnswer keptAnswer() const
     {
         if (!m_attempt.send.keepAnswer || m_kept.size() > kMostKeptBytes)
             return {};
-        KeptAnswer answer{m_head.status, "", m_kept};
+        StoredAnswer answer{m_head.status, "", m_kept};
         for (const auto &[name, value] : m_head.headers) {
             if (lower(name) == "content-type")
                 answer.contentType = value;
@@ -382,9 +382,9 @@
     std::optional<AttemptFailure> m_failure;
     double m_cost = 0.0;
     bool m_notRun = false;
-    LimitReading m_limit;
+    ParsedLimit m_limit;
     bool m_isDraining = false;
-    BackoffReading m_backoff;
+    ParsedBackoff m_backoff;
     bool m_versionMismatch = false;
     bool m_begun = false;
     bool m_detached = false; // the caller has left, the answer is taken to be kept
--- a/src/adapters/http/upstream_client.hpp
+++ b/src/adapters/http/upstream_client.hpp
@@ -24,10 +24,11 @@
 {
 public:
     virtual ~UpstreamListener() = default;
-    virtual void attemptFinished(CallId call, unsigned attempt, double cost, KeptAnswer answer) = 0;
+    virtual void attemptFinished(CallId call, unsigned attempt, double cost, StoredAnswer answer)
+        = 0;
     virtual void attemptFailed(CallId call, unsigned attempt, const AttemptFailure &failure) = 0;
     // The head of an answer is there, and says this of the upstream's limit.
-    virtual void limitRead(CallId call, unsigned attempt, const LimitReading &limit) = 0;
+    virtual void limitRead(CallId call, unsigned attempt, const ParsedLimit &limit) = 0;
     // The head of an answer says this of the upstream. Comes before the end of the attempt.
     virtual void noticeRead(CallId call, unsigned attempt, const UpstreamNotice &notice) = 0;
 };
--- a/src/apps/controld/control_node.cpp
+++ b/src/apps/controld/control_node.cpp
@@ -191,12 +191,12 @@
 
 void ControlNode::on(const EngineHeldEvent &event)
 {
-    m_book.setHeld(event.upstream, event.held);
+    m_book.setPaused(event.upstream, event.held);
 }
 
 void ControlNode::on(const KeysHandedEvent &event)
 {
-    m_keys.takeOver(event.keys);
+    m_keys.importKeys(event.keys);
 }
 
 void ControlNode::on(const StopEvent &event)
@@ -283,7 +283,7 @@
         if (!it.leaving && boot != 0)
             members.push_back({{it.name, boot}, it.controlAddress});
     }
-    m_keys.setAlive(std::move(boots));
+    m_keys.setLiveMembers(std::move(boots));
     m_tenures.setMembers(std::move(members));
 }
 
--- a/src/apps/controld/control_node.hpp
+++ b/src/apps/controld/control_node.hpp
@@ -22,9 +22,9 @@
 #include "apps/controld/permit_desk.hpp"
 #include "apps/controld/platform_duty.hpp"
 #include "apps/controld/tenure_duty.hpp"
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 #include "fordwood/key_registry.hpp"
-#include "fordwood/permit_book.hpp"
+#include "fordwood/permit_scheduler.hpp"
 #include "fordwood/replicator.hpp"
 
 namespace fordwood::apps {
@@ -72,8 +72,8 @@
     adapters::Metrics m_metrics;
     ControlInbox m_inbox;
     Replicator m_replicator;
-    PermitBook m_book;
-    AllowanceBook m_allowances;
+    PermitScheduler m_book;
+    AllowanceAllocator m_allowances;
     KeyRegistry m_keys;
     adapters::ControlService m_controlService;
     adapters::PermitService m_permitService;
--- a/src/apps/controld/fleet_in_force.hpp
+++ b/src/apps/controld/fleet_in_force.hpp
@@ -11,7 +11,7 @@
 #include "apps/controld/load_duty.hpp"
 #include "config/configuration_assembler.hpp"
 #include "fordwood/fleet_view.hpp"
-#include "fordwood/permit_book.hpp"
+#include "fordwood/permit_scheduler.hpp"
 #include "fordwood/replicator.hpp"
 
 namespace fordwood::apps {
--- a/src/apps/controld/permit_desk.cpp
+++ b/src/apps/controld/permit_desk.cpp
@@ -8,7 +8,7 @@
 void PermitDesk::carryOut(HolderId holder, const wire::PermitCommands &commands)
 {
     for (const wire::Held &it : commands.held())
-        m_permits.hold(holder, it.permit_id(), it.upstream(), it.team());
+        m_permits.adoptPermit(holder, it.permit_id(), it.upstream(), it.team());
     for (const wire::Release &it : commands.releases())
         release(holder, it);
     for (const wire::Withdraw &it : commands.withdrawals())
@@ -44,30 +44,30 @@
 void PermitDesk::release(HolderId holder, const wire::Release &command)
 {
     if (command.pushed_back())
-        m_permits.pushedBack(holder, command.permit_id(), command.upstream());
+        m_permits.onPushback(holder, command.permit_id(), command.upstream());
     else
         m_permits.release(holder, command.permit_id(), command.upstream(), command.cost());
 }
 
 void PermitDesk::ask(HolderId holder, const wire::Ask &command)
 {
-    PermitAsk ask;
+    PermitRequest ask;
     ask.holder = holder;
-    ask.askId = command.ask_id();
+    ask.requestId = command.ask_id();
     ask.upstream = command.upstream();
     ask.team = command.team();
     ask.cost = command.cost();
     ask.priority = command.priority();
     ask.wait = std::chrono::milliseconds(command.wait_ms());
     ask.prompt = {command.prefix_hash(), command.context_tokens(), command.question_tokens()};
-    m_permits.ask(ask);
+    m_permits.request(ask);
 }
 
 void PermitDesk::askAllowance(HolderId holder, const wire::AllowanceAsk &command)
 {
-    const AllowanceAsk ask{holder, command.ask_id(), command.team(), command.used(),
-                           command.wanted()};
-    const Allowance allowance = m_allowances.ask(ask);
+    const AllowanceRequest ask{holder, command.ask_id(), command.team(), command.used(),
+                               command.wanted()};
+    const Allowance allowance = m_allowances.allocate(ask);
     if (allowance.amount < ask.wanted)
         m_metrics.count("fordwood_allowances_short_total");
     m_service.sendAllowance(ask, allowance);
--- a/src/apps/controld/permit_desk.hpp
+++ b/src/apps/controld/permit_desk.hpp
@@ -4,9 +4,9 @@
 
 #include "adapters/grpc/permit_service.hpp"
 #include "adapters/observe/metrics.hpp"
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 #include "fordwood/key_registry.hpp"
-#include "fordwood/permit_book.hpp"
+#include "fordwood/permit_scheduler.hpp"
 
 namespace fordwood::apps {
 
@@ -15,7 +15,7 @@
 class PermitDesk
 {
 public:
-    PermitDesk(PermitBook &permits, AllowanceBook &allowances, KeyRegistry &keys,
+    PermitDesk(PermitScheduler &permits, AllowanceAllocator &allowances, KeyRegistry &keys,
                adapters::PermitService &service, adapters::Metrics &metrics)
         : m_permits(permits), m_allowances(allowances), m_keys(keys), m_service(service),
           m_metrics(metrics)
@@ -36,8 +36,8 @@
     void askAllowance(HolderId holder, const wire::AllowanceAsk &command);
     void claim(HolderId holder, const wire::Claim &command);
 
-    PermitBook &m_permits;
-    AllowanceBook &m_allowances;
+    PermitScheduler &m_permits;
+    AllowanceAllocator &m_allowances;
     KeyRegistry &m_keys;
     adapters::PermitService &m_service;
     adapters::Metrics &m_metrics;
--- a/src/apps/entryd/entry_node.cpp
+++ b/src/apps/entryd/entry_node.cpp
@@ -162,11 +162,11 @@
     pushSurely(ClaimEvent{claimId, answer});
 }
 
-void EntryNode::allowanceAnswered(const std::string &team, std::uint64_t askId,
+void EntryNode::allowanceAnswered(const std::string &team, std::uint64_t requestId,
                                   const Allowance &allowance)
 {
     // One that is lost is given up after the owner's timeout, and what it granted runs out.
-    if (!m_ring.tryPush(AllowanceEvent{team, askId, allowance}))
+    if (!m_ring.tryPush(AllowanceEvent{team, requestId, allowance}))
         m_metrics.count("fordwood_allowances_dropped_total");
 }
 
@@ -175,7 +175,7 @@
     pushSurely(StreamLostEvent{owner, stream});
 }
 
-void EntryNode::attemptFinished(CallId call, unsigned attempt, double cost, KeptAnswer answer)
+void EntryNode::attemptFinished(CallId call, unsigned attempt, double cost, StoredAnswer answer)
 {
     pushSurely(FinishedEvent{call, attempt, cost, std::move(answer)});
 }
@@ -185,7 +185,7 @@
     pushSurely(FailedEvent{call, attempt, failure});
 }
 
-void EntryNode::limitRead(CallId call, unsigned attempt, const LimitReading &limit)
+void EntryNode::limitRead(CallId call, unsigned attempt, const ParsedLimit &limit)
 {
     // The next answer says the same.
     if (!m_ring.tryPush(LimitEvent{call, attempt, limit}))
@@ -295,7 +295,7 @@
 
 void EntryNode::on(const AllowanceEvent &event)
 {
-    m_dispatcher.allowanceAnswered(event.team, event.askId, event.allowance);
+    m_dispatcher.allowanceAnswered(event.team, event.requestId, event.allowance);
 }
 
 void EntryNode::on(const StreamLostEvent &event)
--- a/src/apps/entryd/entry_node.hpp
+++ b/src/apps/entryd/entry_node.hpp
@@ -64,7 +64,7 @@
     struct AllowanceEvent
     {
         std::string team;
-        std::uint64_t askId;
+        std::uint64_t requestId;
         Allowance allowance;
     };
     struct FinishedEvent
@@ -72,7 +72,7 @@
         CallId call;
         unsigned attempt;
         double cost;
-        KeptAnswer answer;
+        StoredAnswer answer;
     };
     struct FailedEvent
     {
@@ -90,7 +90,7 @@
     {
         CallId call;
         unsigned attempt;
-        LimitReading limit;
+        ParsedLimit limit;
     };
     struct LeftEvent
     {
@@ -117,14 +117,14 @@
     // PermitClientListener, on gRPC's threads
     bool replyArrived(const std::string &owner, const PermitReply &reply) override;
     void claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer) override;
-    void allowanceAnswered(const std::string &team, std::uint64_t askId,
+    void allowanceAnswered(const std::string &team, std::uint64_t requestId,
                            const Allowance &allowance) override;
     void streamLost(const std::string &owner, std::uint64_t stream) override;
 
     // UpstreamListener, on the upstream thread
-    void attemptFinished(CallId call, unsigned attempt, double cost, KeptAnswer answer) override;
+    void attemptFinished(CallId call, unsigned attempt, double cost, StoredAnswer answer) override;
     void attemptFailed(CallId call, unsigned attempt, const AttemptFailure &failure) override;
-    void limitRead(CallId call, unsigned attempt, const LimitReading &limit) override;
+    void limitRead(CallId call, unsigned attempt, const ParsedLimit &limit) override;
     void noticeRead(CallId call, unsigned attempt, const UpstreamNotice &notice) override;
 
     adapters::DirectAnswer operatorAnswer(const std::string &path);
--- a/src/apps/noded/main.cpp
+++ b/src/apps/noded/main.cpp
@@ -65,7 +65,7 @@
         // Loads are told again a moment later: one that does not fit is not missed.
         std::ignore = controlDuty->loadsMailbox().push(std::move(it));
     };
-    const auto tellRequestNews = [&](std::vector<RequestNews> it) {
+    const auto tellRequestNews = [&](std::vector<QuarantineUpdate> it) {
         return controlDuty->requestNewsMailbox().push(std::move(it));
     };
     node::TrafficDuty traffic(settings, clock, metrics, tellLoads, tellRequestNews);
--- a/src/core/allowance_book.cpp
+++ b/src/core/allowance_allocator.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 
 #include <algorithm>
 #include <limits>
 
 namespace fordwood {
 
-void AllowanceBook::setPools(const std::map<std::string, std::size_t> &pools)
+void AllowanceAllocator::setPools(const std::map<std::string, std::size_t> &pools)
 {
     std::erase_if(m_pools, [&](const auto &it) { return pools.count(it.first) == 0; });
     for (const auto &[team, size] : pools) {
@@ -17,32 +17,32 @@
     }
 }
 
-Allowance AllowanceBook::ask(const AllowanceAsk &ask)
+Allowance AllowanceAllocator::allocate(const AllowanceRequest &ask)
 {
     const auto known = m_pools.find(ask.team);
     if (known == m_pools.end())
         return {0, m_limits.life};
     Pool &pool = known->second;
     Holder &holder = pool.holders[ask.holder];
-    pool.counted -= countOf(holder);
-    forgetOld(holder);
+    pool.committed -= committedTo(holder);
+    dropExpired(holder);
     holder.used = ask.used;
     holder.wanted = ask.wanted;
     // Also a wish that gets nothing is remembered as long: it makes the others' parts smaller.
     holder.grants.push_back({0, m_clock.now() + m_limits.life});
-    pool.counted += countOf(holder);
-    if (pool.holders.size() <= m_limits.fewHolders || m_clock.now() >= pool.nextSweep)
+    pool.committed += committedTo(holder);
+    if (pool.holders.size() <= m_limits.alwaysSweepUpTo || m_clock.now() >= pool.nextSweep)
         sweep(pool);
-    const std::size_t others = pool.counted - countOf(holder);
+    const std::size_t others = pool.committed - committedTo(holder);
     const std::size_t free = pool.size - std::min(pool.size, others);
     const bool closed = m_clock.now() < pool.closedUntil;
-    const std::size_t amount = closed ? 0 : std::min({ask.wanted, free, pool.part});
+    const std::size_t amount = closed ? 0 : std::min({ask.wanted, free, pool.equalShareSize});
     holder.grants.back().amount = amount;
-    pool.counted = others + countOf(holder);
+    pool.committed = others + committedTo(holder);
     return {amount, m_limits.life};
 }
 
-std::size_t AllowanceBook::granted(const std::string &team) const
+std::size_t AllowanceAllocator::granted(const std::string &team) const
 {
     const auto known = m_pools.find(team);
     if (known == m_pools.end())
@@ -50,27 +50,27 @@
     Pool pool = known->second;
     std::size_t sum = 0;
     for (auto &[id, it] : pool.holders) {
-        forgetOld(it);
-        sum += heldBy(it);
+        dropExpired(it);
+        sum += largestGrant(it);
     }
     return sum;
 }
 
 // Drops what has run out, and finds the sum and the equal part anew.
-void AllowanceBook::sweep(Pool &pool) const
+void AllowanceAllocator::sweep(Pool &pool) const
 {
     pool.nextSweep = m_clock.now() + m_limits.sweepEvery;
-    pool.part = equalPart(pool);
-    pool.counted = 0;
+    pool.equalShareSize = equalShare(pool);
+    pool.committed = 0;
     for (auto &[id, holder] : pool.holders) {
-        forgetOld(holder);
-        pool.counted += countOf(holder);
+        dropExpired(holder);
+        pool.committed += committedTo(holder);
     }
     std::erase_if(pool.holders,
                   [](const auto &it) { return it.second.grants.empty() && it.second.wanted == 0; });
 }
 
-void AllowanceBook::forgetOld(Holder &holder) const
+void AllowanceAllocator::dropExpired(Holder &holder) const
 {
     const TimePoint now = m_clock.now();
     std::erase_if(holder.grants, [&](const Grant &it) { return it.until <= now; });
@@ -80,12 +80,12 @@
     }
 }
 
-std::size_t AllowanceBook::countOf(const Holder &holder)
+std::size_t AllowanceAllocator::committedTo(const Holder &holder)
 {
-    return std::max(heldBy(holder), holder.used);
+    return std::max(largestGrant(holder), holder.used);
 }
 
-std::size_t AllowanceBook::heldBy(const Holder &holder)
+std::size_t AllowanceAllocator::largestGrant(const Holder &holder)
 {
     std::size_t most = 0;
     for (const Grant &it : holder.grants)
@@ -95,7 +95,7 @@
 
 // What each holder may have if the pool is divided equally, and what some do not want goes to the
 // others.
-std::size_t AllowanceBook::equalPart(const Pool &pool)
+std::size_t AllowanceAllocator::equalShare(const Pool &pool)
 {
     std::vector<std::size_t> wishes;
     for (const auto &[id, it] : pool.holders)
@@ -104,9 +104,9 @@
     std::size_t left = pool.size;
     for (std::size_t it = 0; it < wishes.size(); ++it) {
         const std::size_t sharers = wishes.size() - it;
-        const std::size_t part = (left + sharers - 1) / sharers;
+        const std::size_t equalShareSize = (left + sharers - 1) / sharers;
         if (wishes[it] > left / sharers)
-            return part;
+            return equalShareSize;
         left -= wishes[it];
     }
     return std::numeric_limits<std::size_t>::max();
--- a/src/core/backoff_text.cpp
+++ b/src/core/backoff_text.cpp
@@ -7,17 +7,17 @@
 
 namespace fordwood {
 
-void addBackoff(std::string_view text, BackoffReading &reading)
+void addBackoffField(std::string_view text, ParsedBackoff &parsed)
 {
     constexpr double kMostSeconds = 1e9; // what a duration holds without overflow
-    const auto seconds = readNonNegative(text);
+    const auto seconds = parseNonNegative(text);
     if (!seconds) {
-        reading.isUnreadable = true;
+        parsed.isUnreadable = true;
         return;
     }
     const std::chrono::duration<double> length(std::min(*seconds, kMostSeconds));
-    reading.length = std::max(std::chrono::duration_cast<Duration>(length),
-                              reading.length.value_or(Duration::zero()));
+    parsed.length = std::max(std::chrono::duration_cast<Duration>(length),
+                             parsed.length.value_or(Duration::zero()));
 }
 
 } // namespace fordwood
--- a/src/core/ceiling_gate.cpp
+++ b/src/core/ceiling_gate.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // A part of what is in use is asked for on top, so that not every request needs an ask.
-constexpr std::size_t kHeadroomPart = 4;
+constexpr std::size_t kHeadroomDivisor = 4;
 
 } // namespace
 
@@ -22,7 +22,7 @@
         team.base = base;
     }
     std::erase_if(m_teams, [](const auto &it) {
-        return !it.second.limited && it.second.running == 0 && !it.second.asking;
+        return !it.second.limited && it.second.running == 0 && !it.second.isPending;
     });
 }
 
@@ -41,64 +41,65 @@
     if (it == m_teams.end() || it->second.running == 0)
         return;
     --it->second.running;
-    if (!it->second.limited && it->second.running == 0 && !it->second.asking)
+    if (!it->second.limited && it->second.running == 0 && !it->second.isPending)
         m_teams.erase(it);
 }
 
-bool CeilingGate::mayAsk(const std::string &name) const
+bool CeilingGate::mayRequest(const std::string &name) const
 {
     const auto it = m_teams.find(name);
-    return it != m_teams.end() && it->second.limited && m_clock.now() >= it->second.askAgainAt;
+    return it != m_teams.end() && it->second.limited && m_clock.now() >= it->second.retryAt;
 }
 
-AllowanceAsk CeilingGate::ask(const std::string &name, std::size_t waiting)
+AllowanceRequest CeilingGate::startRequest(const std::string &name, std::size_t waiting)
 {
     Team &team = m_teams[name];
     const std::size_t used = team.running - std::min(team.running, team.base);
-    team.wanted = used + waiting + std::max<std::size_t>(1, used / kHeadroomPart);
-    team.asked = m_clock.now();
-    team.asking = true;
-    team.askId = m_nextAsk++;
-    return {0, team.askId, name, used, team.wanted};
+    team.wanted = used + waiting + std::max<std::size_t>(1, used / kHeadroomDivisor);
+    team.requestedAt = m_clock.now();
+    team.isPending = true;
+    team.requestId = m_nextRequestId++;
+    return {0, team.requestId, name, used, team.wanted};
 }
 
-bool CeilingGate::isAsking(const std::string &name) const
+bool CeilingGate::isRequestPending(const std::string &name) const
 {
     const auto it = m_teams.find(name);
-    return it != m_teams.end() && it->second.asking;
+    return it != m_teams.end() && it->second.isPending;
 }
 
-void CeilingGate::answered(const std::string &name, std::uint64_t askId, const Allowance &allowance)
+void CeilingGate::onAnswer(const std::string &name, std::uint64_t requestId,
+                           const Allowance &allowance)
 {
     const auto it = m_teams.find(name);
-    if (it == m_teams.end() || !it->second.asking || it->second.askId != askId)
+    if (it == m_teams.end() || !it->second.isPending || it->second.requestId != requestId)
         return;
     Team &team = it->second;
-    team.asking = false;
+    team.isPending = false;
     team.amount = allowance.amount;
     // Counted from the ask, so that it ends here before it ends at the owner.
-    team.until = team.asked + allowance.life;
-    team.renewAt = team.asked + allowance.life / 2;
+    team.expiresAt = team.requestedAt + allowance.life;
+    team.renewAt = team.requestedAt + allowance.life / 2;
     if (allowance.amount < team.wanted)
-        team.askAgainAt = m_clock.now() + m_limits.askAgain;
+        team.retryAt = m_clock.now() + m_limits.retryDelay;
 }
 
-void CeilingGate::unanswered(const std::string &name)
+void CeilingGate::onNoAnswer(const std::string &name)
 {
     const auto it = m_teams.find(name);
-    if (it == m_teams.end() || !it->second.asking)
+    if (it == m_teams.end() || !it->second.isPending)
         return;
-    it->second.asking = false;
-    it->second.askAgainAt = m_clock.now() + m_limits.askAgain;
+    it->second.isPending = false;
+    it->second.retryAt = m_clock.now() + m_limits.retryDelay;
 }
 
-std::vector<std::string> CeilingGate::due() const
+std::vector<std::string> CeilingGate::dueForRenewal() const
 {
     const TimePoint now = m_clock.now();
     std::vector<std::string> names;
     for (const auto &[name, team] : m_teams) {
         const bool inUse = team.limited && team.running > team.base;
-        if (inUse && !team.asking && now >= team.renewAt && now >= team.askAgainAt)
+        if (inUse && !team.isPending && now >= team.renewAt && now >= team.retryAt)
             names.push_back(name);
     }
     return names;
@@ -112,7 +113,7 @@
 
 std::size_t CeilingGate::ceiling(const Team &team) const
 {
-    return team.base + (m_clock.now() < team.until ? team.amount : 0);
+    return team.base + (m_clock.now() < team.expiresAt ? team.amount : 0);
 }
 
 } // namespace fordwood
--- a/src/core/cold_gate.cpp
+++ b/src/core/cold_gate.cpp
@@ -12,14 +12,14 @@
 
 // Two parts of a fleet that cannot hear each other may each choose nodes of their own: either part
 // uses half of what the upstream bears.
-constexpr double kPartOfEachView = 0.5;
+constexpr double kShareOfEachSide = 0.5;
 
-constexpr std::size_t kNoSender = SIZE_MAX;
+constexpr std::size_t kNotASender = SIZE_MAX;
 
 } // namespace
 
 ColdGate::ColdGate(const Clock &clock, Limits limits, const std::string &self)
-    : m_clock(clock), m_limits(limits), m_self(stableHash(self)), m_nodesSince(clock.now())
+    : m_clock(clock), m_limits(limits), m_self(stableHash(self)), m_nodesChangedAt(clock.now())
 { }
 
 void ColdGate::setNodes(const std::vector<std::string> &others)
@@ -27,16 +27,16 @@
     const TimePoint now = m_clock.now();
     // While changes follow each other closely, the nodes before all of them stay the ones to agree
     // with: a node that was chosen then may have sent a moment ago.
-    if (now - m_nodesSince >= m_limits.window)
-        m_nodesBefore = std::move(m_nodes);
+    if (now - m_nodesChangedAt >= m_limits.window)
+        m_previousNodes = std::move(m_nodes);
     NodeHashes &nodes = m_nodes.emplace();
     for (const std::string &it : others)
         nodes.push_back(stableHash(it));
-    m_nodesSince = now;
-    m_changes += 1;
+    m_nodesChangedAt = now;
+    m_nodesVersion += 1;
 }
 
-void ColdGate::noteCold(const std::string &instanceId, Duration remaining)
+void ColdGate::setCold(const std::string &instanceId, Duration remaining)
 {
     const auto known = m_upstreams.find(instanceId);
     if (remaining <= Duration::zero() && known == m_upstreams.end())
@@ -70,37 +70,37 @@
 
 // What all nodes that agree with each other may send in a window. Never more than the stated rate:
 // the rest is for what they do not know.
-std::size_t ColdGate::mostForAll(double requestsPerSecond) const
+std::size_t ColdGate::totalQuota(double requestsPerSecond) const
 {
     const double borne = requestsPerSecond * m_limits.overshoot + m_limits.slack;
-    const double most = std::min(requestsPerSecond, kPartOfEachView * borne);
-    return std::max<std::size_t>(1, static_cast<std::size_t>(most));
+    const double total = std::min(requestsPerSecond, kShareOfEachSide * borne);
+    return std::max<std::size_t>(1, static_cast<std::size_t>(total));
 }
 
 std::size_t ColdGate::rankAmong(const std::optional<NodeHashes> &others,
                                 std::uint64_t upstream) const
 {
-    return others ? rendezvousRank(upstream, m_self, *others) : kNoSender;
+    return others ? rendezvousRank(upstream, m_self, *others) : kNotASender;
 }
 
-std::size_t ColdGate::ownPart(Upstream &upstream, const std::string &instanceId, std::size_t most)
+std::size_t ColdGate::ownQuota(Upstream &upstream, const std::string &instanceId, std::size_t total)
 {
-    if (upstream.judgedAt != m_changes) {
+    if (upstream.rankedForVersion != m_nodesVersion) {
         const std::uint64_t hash = stableHash(instanceId);
-        upstream.judgedAt = m_changes;
+        upstream.rankedForVersion = m_nodesVersion;
         upstream.rank = rankAmong(m_nodes, hash);
-        upstream.rankBefore = rankAmong(m_nodesBefore, hash);
+        upstream.previousRank = rankAmong(m_previousNodes, hash);
     }
     const std::size_t nodes = m_nodes ? m_nodes->size() + 1 : 1;
-    const std::size_t senders = std::min({m_limits.senders, most, nodes});
+    const std::size_t senders = std::min({m_limits.senders, total, nodes});
     const auto partOf = [&](std::size_t rank) -> std::size_t {
         if (rank >= senders)
             return 0;
-        return most / senders + (rank < most % senders ? 1 : 0);
+        return total / senders + (rank < total % senders ? 1 : 0);
     };
-    const bool isSettled = m_clock.now() - m_nodesSince >= m_limits.window;
+    const bool isSettled = m_clock.now() - m_nodesChangedAt >= m_limits.window;
     const std::size_t part = partOf(upstream.rank);
-    return isSettled ? part : std::min(part, partOf(upstream.rankBefore));
+    return isSettled ? part : std::min(part, partOf(upstream.previousRank));
 }
 
 bool ColdGate::maySend(const std::string &instanceId, double requestsPerSecond)
@@ -112,10 +112,10 @@
     const TimePoint oldest = m_clock.now() - m_limits.window;
     while (!upstream.sends.empty() && upstream.sends.front() <= oldest)
         upstream.sends.pop_front();
-    return upstream.sends.size() < ownPart(upstream, instanceId, mostForAll(requestsPerSecond));
+    return upstream.sends.size() < ownQuota(upstream, instanceId, totalQuota(requestsPerSecond));
 }
 
-void ColdGate::sent(const std::string &instanceId)
+void ColdGate::recordSend(const std::string &instanceId)
 {
     const auto it = m_upstreams.find(instanceId);
     if (it != m_upstreams.end() && isCold(it->second))
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -38,7 +38,7 @@
         if (it.name != m_limits.node)
             others.push_back(it.name);
     }
-    m_gate.setSilentNodes(others);
+    m_gate.setNonGossipingPeers(others);
 }
 
 void Dispatcher::begin(const CallRequest &request)
@@ -72,7 +72,7 @@
 
 void Dispatcher::claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer)
 {
-    const auto id = m_claims.answered(claimId);
+    const auto id = m_claims.onAnswer(claimId);
     if (!id)
         return;
     Call &call = m_calls.at(*id);
@@ -94,7 +94,7 @@
 
 void Dispatcher::permitAnswered(const std::string &owner, const PermitReply &reply)
 {
-    const auto known = m_asks.find(reply.askId);
+    const auto known = m_asks.find(reply.requestId);
     if (known == m_asks.end()) {
         // The call has gone on without this permit.
         if (reply.granted)
@@ -103,11 +103,11 @@
     }
     Call &call = m_calls.at(known->second);
     m_asks.erase(known);
-    call.askId = 0;
+    call.requestId = 0;
     if (reply.granted) {
         // Counted from the ask, not from the reply: it may have lain unread while we were paused.
         const TimePoint sendBy = call.asked + reply.waited + reply.sendWithin;
-        m_permits.takeGranted(call.request, owner, reply.permitId, call.candidates.current()->name);
+        m_permits.addGranted(call.request, owner, reply.permitId, call.candidates.current()->name);
         return send(call, sendBy);
     }
     const Verdict why = Verdict::of(reply.reason, {}, reply.retryAfter);
@@ -135,10 +135,10 @@
     fallBack(call);
 }
 
-void Dispatcher::allowanceAnswered(const std::string &team, std::uint64_t askId,
+void Dispatcher::allowanceAnswered(const std::string &team, std::uint64_t requestId,
                                    const Allowance &allowance)
 {
-    m_admission.answered(team, askId, allowance);
+    m_admission.onAnswer(team, requestId, allowance);
 }
 
 void Dispatcher::ownerLost(const std::string &owner)
@@ -146,7 +146,7 @@
     m_permits.ownerLost(owner);
     std::vector<CallId> waiting;
     for (const auto &[id, call] : m_calls) {
-        if (call.askId != 0 && call.askedOwner == owner)
+        if (call.requestId != 0 && call.askedOwner == owner)
             waiting.push_back(id);
     }
     for (const CallId id : m_claims.openAt(owner))
@@ -155,8 +155,8 @@
     std::sort(waiting.begin(), waiting.end());
     for (const CallId id : waiting) {
         Call &call = m_calls.at(id);
-        m_asks.erase(call.askId);
-        call.askId = 0;
+        m_asks.erase(call.requestId);
+        call.requestId = 0;
         fallBack(call);
     }
 }
@@ -214,20 +214,20 @@
     return sentDirectly && failure.reason == Reason::UpstreamPushback;
 }
 
-void Dispatcher::attemptFinished(CallId id, unsigned attempt, double cost, KeptAnswer answer)
+void Dispatcher::attemptFinished(CallId id, unsigned attempt, double cost, StoredAnswer answer)
 {
     Call *call = find(id, attempt);
     if (call == nullptr)
         return;
     m_permits.release(id, cost);
     if (call->request.fingerprint)
-        m_quarantine.answered(*call->request.fingerprint);
+        m_quarantine.onAnswer(*call->request.fingerprint);
     m_contention.countAccepted(call->request.target);
     m_claims.finish(id, RunState::Ran, std::move(answer));
     forget(id);
 }
 
-Dispatcher::LimitHeard Dispatcher::limitRead(CallId id, unsigned attempt, const LimitReading &limit)
+Dispatcher::LimitHeard Dispatcher::limitRead(CallId id, unsigned attempt, const ParsedLimit &limit)
 {
     const Call *call = find(id, attempt);
     if (call == nullptr)
@@ -235,10 +235,11 @@
     LimitHeard heard;
     heard.upstream = call->candidates.current()->name;
     if (limit.perSecond)
-        m_gate.beliefs().know(heard.upstream);
+        m_gate.upstreamLimits().addUpstream(heard.upstream);
     if (limit.perSecond || !limit.isUnreadable)
-        heard.change = m_gate.beliefs().answered(heard.upstream, limit.perSecond, call->sentAt);
-    heard.ownPart = m_gate.ownPart(heard.upstream);
+        heard.change
+            = m_gate.upstreamLimits().onAnswer(heard.upstream, limit.perSecond, call->sentAt);
+    heard.ownPart = m_gate.ownRate(heard.upstream);
     return heard;
 }
 
@@ -251,7 +252,7 @@
     const Duration length = std::max(notice.isDraining ? kDrainingPause : Duration::zero(),
                                      notice.backoff.value_or(Duration::zero()));
     const std::string &upstream = call->candidates.current()->name;
-    if (!m_backoffs.request(upstream, length))
+    if (!m_backoffs.addBackoff(upstream, length))
         return std::nullopt;
     return Backoff{upstream, length};
 }
@@ -288,7 +289,7 @@
             late.push_back(id);
         else if (m_claims.isOverdue(id))
             unclaimed.push_back(id);
-        else if (call.askId != 0 && call.askedUntil <= now)
+        else if (call.requestId != 0 && call.askedUntil <= now)
             silent.push_back(id);
     }
     std::sort(silent.begin(), silent.end());
@@ -306,7 +307,7 @@
     m_admission.tick();
     m_quarantine.tick();
     // This daemon counts for itself: there is nobody to tell.
-    std::ignore = m_quarantine.takeNews();
+    std::ignore = m_quarantine.takeUpdates();
 }
 
 // Ends a call whose time is up.
@@ -333,14 +334,14 @@
     m_admission.admit(call.request.id, call.request.team);
 }
 
-void Dispatcher::entered(CallId id)
+void Dispatcher::onAdmitted(CallId id)
 {
     Call &call = m_calls.at(id);
     call.entered = true;
     ask(call);
 }
 
-void Dispatcher::refused(CallId id)
+void Dispatcher::onRefused(CallId id)
 {
     end(id, Verdict::of(Reason::TeamCeiling, {}, kRetrySoon));
 }
@@ -382,27 +383,27 @@
     if (!maySend(upstream->name))
         return passOver(call);
     if (maySendDirectly(*upstream, call)) {
-        m_permits.takeDirect(call.request, upstream->name);
+        m_permits.addDirect(call.request, upstream->name);
         return send(call, m_clock.now() + kLocalSendWithin);
     }
     const Member *owner = call.candidates.view().owner(*upstream);
     if (owner == nullptr)
         return fallBack(call);
-    m_permits.aboutToAsk(*owner);
+    m_permits.announceHeldPermits(*owner);
     // A lone candidate is queued for at once; else the first round only looks for a free place.
     const bool queueing = call.candidates.isQueueing() || call.candidates.isOnlyOne();
     call.candidates.setQueueing(queueing);
     const TimePoint now = m_clock.now();
     const Duration wait = queueing ? call.request.deadline - now : Duration::zero();
     call.stage = Stage::Asking;
-    call.askId = m_nextAsk++;
+    call.requestId = m_nextAsk++;
     call.askedOwner = owner->name;
     call.asked = now;
     call.askedUntil = now + m_limits.ownerTimeout + wait;
-    m_asks.emplace(call.askId, call.request.id);
+    m_asks.emplace(call.requestId, call.request.id);
     m_actions.emplace_back(AskPermit{
         call.request.id,
-        call.askId,
+        call.requestId,
         owner->name,
         owner->controlAddress,
         upstream->name,
@@ -451,7 +452,7 @@
 
 void Dispatcher::fallBack(Call &call)
 {
-    if (!m_permits.takeLocal(call.request, *call.candidates.current())) {
+    if (!m_permits.tryTakeLocal(call.request, *call.candidates.current())) {
         const Verdict verdict = Verdict::of(Reason::LocalAllowanceUsed, {}, kRetrySoon);
         return call.candidates.isQueueing() ? end(call.request.id, verdict)
                                             : askNext(call, verdict);
@@ -480,7 +481,7 @@
         m_permits.release(call.request.id, 0.0);
         return passOver(call);
     }
-    m_gate.sent(upstream->name);
+    m_gate.recordSend(upstream->name);
     renewVersion(call);
     call.stage = Stage::Sent;
     call.sentAt = m_clock.now();
@@ -505,12 +506,12 @@
 
 void Dispatcher::withdraw(Call &call)
 {
-    if (call.askId == 0)
+    if (call.requestId == 0)
         return;
     m_actions.emplace_back(
-        WithdrawAsk{call.askId, call.askedOwner, call.candidates.current()->name});
-    m_asks.erase(call.askId);
-    call.askId = 0;
+        WithdrawAsk{call.requestId, call.askedOwner, call.candidates.current()->name});
+    m_asks.erase(call.requestId);
+    call.requestId = 0;
 }
 
 void Dispatcher::end(CallId id, const Verdict &verdict)
@@ -546,8 +547,8 @@
 void Dispatcher::noteBrokeOff(const Call &call)
 {
     if (call.request.fingerprint)
-        m_quarantine.brokeOff(*call.request.fingerprint,
-                              m_ends.brokeOff(call.candidates.current()->name));
+        m_quarantine.onDisconnect(*call.request.fingerprint,
+                                  m_ends.onDisconnect(call.candidates.current()->name));
 }
 
 bool Dispatcher::isHeld(const CallRequest &request) const
@@ -570,7 +571,7 @@
     if (backoff > Duration::zero())
         return Verdict::of(Reason::UpstreamBackoff, {},
                            times.next(static_cast<double>(upstream.slots) / nodes, backoff));
-    const double perSecond = m_gate.partOfAll(upstream.name).value_or(0.0);
+    const double perSecond = m_gate.totalRate(upstream.name).value_or(0.0);
     return Verdict::of(Reason::UpstreamLimited, {}, times.next(perSecond / nodes));
 }
 
--- a/src/core/fair_queue.cpp
+++ b/src/core/fair_queue.cpp
@@ -28,7 +28,7 @@
     Team &team = m_teams[name];
     const Slot slot = m_entries.at(team.waiting.begin()->id);
     charge(slot.entry.team, slot.entry.share, slot.entry.cost);
-    forget(slot);
+    removeSlot(slot);
     return slot.entry;
 }
 
@@ -45,7 +45,7 @@
     const auto it = m_entries.find(id);
     if (it == m_entries.end())
         return false;
-    forget(Slot(it->second));
+    removeSlot(Slot(it->second));
     return true;
 }
 
@@ -69,7 +69,7 @@
     return it == m_teams.end() ? 0 : it->second.waiting.size();
 }
 
-void FairQueue::forget(const Slot &slot)
+void FairQueue::removeSlot(const Slot &slot)
 {
     Team &team = m_teams[slot.entry.team];
     team.waiting.erase(slot.order);
--- a/src/core/key_claims.cpp
+++ b/src/core/key_claims.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int kMostRedirections = 2; // our choice: one change of holders, and one more under way
+constexpr int kMaxRedirections = 2; // our choice: one change of holders, and one more under way
 
 } // namespace
 
@@ -20,20 +20,20 @@
     Claim &claim = m_claims[call];
     claim.key = key;
     claim.holder = holder.name;
-    claim.openId = m_nextId++;
+    claim.pendingId = m_nextId++;
     claim.until = m_clock.now() + m_holderTimeout;
-    m_open.emplace(claim.openId, call);
-    m_actions.emplace_back(ClaimKey{claim.openId, holder.name, holder.controlAddress, key});
+    m_pending.emplace(claim.pendingId, call);
+    m_actions.emplace_back(ClaimKey{claim.pendingId, holder.name, holder.controlAddress, key});
 }
 
-std::optional<CallId> KeyClaims::answered(std::uint64_t claimId)
+std::optional<CallId> KeyClaims::onAnswer(std::uint64_t claimId)
 {
-    const auto open = m_open.find(claimId);
-    if (open == m_open.end())
+    const auto open = m_pending.find(claimId);
+    if (open == m_pending.end())
         return std::nullopt;
     const CallId call = open->second;
-    m_open.erase(open);
-    m_claims.at(call).openId = 0;
+    m_pending.erase(open);
+    m_claims.at(call).pendingId = 0;
     return call;
 }
 
@@ -50,26 +50,26 @@
 
 bool KeyClaims::mayRedirect(CallId call)
 {
-    return ++m_claims.at(call).redirections <= kMostRedirections;
+    return ++m_claims.at(call).redirections <= kMaxRedirections;
 }
 
 bool KeyClaims::isOverdue(CallId call) const
 {
     const auto it = m_claims.find(call);
-    return it != m_claims.end() && it->second.openId != 0 && it->second.until <= m_clock.now();
+    return it != m_claims.end() && it->second.pendingId != 0 && it->second.until <= m_clock.now();
 }
 
 std::vector<CallId> KeyClaims::openAt(const std::string &holder) const
 {
     std::vector<CallId> calls;
     for (const auto &[call, claim] : m_claims) {
-        if (claim.openId != 0 && claim.holder == holder)
+        if (claim.pendingId != 0 && claim.holder == holder)
             calls.push_back(call);
     }
     return calls;
 }
 
-void KeyClaims::finish(CallId call, RunState state, KeptAnswer answer)
+void KeyClaims::finish(CallId call, RunState state, StoredAnswer answer)
 {
     const auto it = m_claims.find(call);
     if (it == m_claims.end())
@@ -77,7 +77,7 @@
     const Claim &claim = it->second;
     if (claim.granted)
         m_actions.emplace_back(FinishClaim{claim.holder, claim.key, state, std::move(answer)});
-    else if (claim.openId != 0)
+    else if (claim.pendingId != 0)
         m_actions.emplace_back(FinishClaim{claim.holder, claim.key, RunState::NotRun, {}});
     forget(call);
 }
@@ -87,7 +87,7 @@
     const auto it = m_claims.find(call);
     if (it == m_claims.end())
         return;
-    m_open.erase(it->second.openId);
+    m_pending.erase(it->second.pendingId);
     m_claims.erase(it);
 }
 
--- a/src/core/key_registry.cpp
+++ b/src/core/key_registry.cpp
@@ -21,7 +21,7 @@
     return -1;
 }
 
-bool isDashPlace(std::size_t index)
+bool isDashPosition(std::size_t index)
 {
     return index == 8 || index == 13 || index == 18 || index == 23;
 }
@@ -30,16 +30,16 @@
 
 std::optional<WallTime> issueTimeOf(const std::string &uuid)
 {
-    constexpr std::size_t kVersionPlace = 14;
-    constexpr std::size_t kVariantPlace = 19;
+    constexpr std::size_t kVersionPosition = 14;
+    constexpr std::size_t kVariantPosition = 19;
     constexpr std::size_t kTimeEnd = 13; // twelve digits and a dash
     if (uuid.size() != kUuidLength)
         return std::nullopt;
     std::int64_t time = 0;
     for (std::size_t it = 0; it < uuid.size(); ++it) {
-        if (isDashPlace(it) != (uuid[it] == '-'))
+        if (isDashPosition(it) != (uuid[it] == '-'))
             return std::nullopt;
-        if (isDashPlace(it))
+        if (isDashPosition(it))
             continue;
         const int value = hexValue(uuid[it]);
         if (value < 0)
@@ -47,8 +47,8 @@
         if (it < kTimeEnd)
             time = time * 16 + value;
     }
-    const int variant = hexValue(uuid[kVariantPlace]);
-    if (uuid[kVersionPlace] != '7' || variant < 8 || variant > 11)
+    const int variant = hexValue(uuid[kVariantPosition]);
+    if (uuid[kVersionPosition] != '7' || variant < 8 || variant > 11)
         return std::nullopt;
     return WallTime(std::chrono::milliseconds(time));
 }
@@ -64,7 +64,7 @@
         known = chain;
 }
 
-void KeyRegistry::setAlive(std::map<std::string, std::uint64_t> bootByNode)
+void KeyRegistry::setLiveMembers(std::map<std::string, std::uint64_t> bootByNode)
 {
     m_bootByNode = std::move(bootByNode);
 }
@@ -74,7 +74,7 @@
     const Id id{key.team, key.text};
     const auto known = m_entries.find(id);
     if (known != m_entries.end())
-        return repeated(known->second);
+        return answerRepeat(known->second);
     const auto chain = m_chains.find(keyPartition(key.team, key.text));
     if (chain == m_chains.end() || chain->second.empty()
         || key.issued >= chain->second.back().until)
@@ -101,7 +101,7 @@
 }
 
 void KeyRegistry::finish(ClaimantId claimant, const IdempotencyKey &key, RunState state,
-                         KeptAnswer answer)
+                         StoredAnswer answer)
 {
     const auto it = m_entries.find({key.team, key.text});
     if (it == m_entries.end() || it->second.claimant != claimant
@@ -111,7 +111,7 @@
         return forget(it->first);
     it->second.state = state == RunState::Ran ? State::Ran : State::MayHaveRun;
     if (state == RunState::Ran && answer.status != 0
-        && m_answerBytes + answer.body.size() <= m_limits.mostAnswerBytes) {
+        && m_answerBytes + answer.body.size() <= m_limits.maxAnswerBytes) {
         m_answerBytes += answer.body.size();
         it->second.answer = std::move(answer);
     }
@@ -137,7 +137,7 @@
     return handed;
 }
 
-void KeyRegistry::takeOver(const HandedKeys &handed)
+void KeyRegistry::importKeys(const HandedKeys &handed)
 {
     m_floor = std::max(m_floor, handed.floor);
     for (const HandedKey &it : handed.keys) {
@@ -146,7 +146,7 @@
             continue; // handed over twice
         const State state = it.state == RunState::Ran ? State::Ran : State::MayHaveRun;
         Entry entry{state, 0, it.key.issued, std::nullopt};
-        if (it.answer && m_answerBytes + it.answer->body.size() <= m_limits.mostAnswerBytes) {
+        if (it.answer && m_answerBytes + it.answer->body.size() <= m_limits.maxAnswerBytes) {
             m_answerBytes += it.answer->body.size();
             entry.answer = it.answer;
         }
@@ -180,7 +180,7 @@
     return answer;
 }
 
-ClaimAnswer KeyRegistry::repeated(const Entry &entry) const
+ClaimAnswer KeyRegistry::answerRepeat(const Entry &entry) const
 {
     ClaimAnswer answer = refuse(Reason::DuplicateKey);
     if (entry.state == State::Ran)
@@ -195,7 +195,7 @@
 // Too many keys: the oldest go, and what is older than them is no longer judged.
 void KeyRegistry::forgetOldest()
 {
-    while (m_entries.size() > m_limits.mostKeys) {
+    while (m_entries.size() > m_limits.maxKeys) {
         m_floor = std::max(m_floor, m_byTime.begin()->first + std::chrono::milliseconds(1));
         forget(Id(m_byTime.begin()->second));
     }
--- a/src/core/limit_senders.cpp
+++ b/src/core/limit_senders.cpp
@@ -11,128 +11,130 @@
 namespace {
 
 // A node that has had no request for so long has none: callers of a busy service come sooner.
-constexpr Duration kWantsFor = std::chrono::seconds(2);
+constexpr Duration kDemandTimeout = std::chrono::seconds(2);
 
 // A node says that it has requests for so long before it sends: longer than its word takes to reach
 // all others through two relays, one of which may miss a message.
-constexpr Duration kSaidFor = std::chrono::milliseconds(1'500);
+constexpr Duration kAnnounceBeforeSending = std::chrono::milliseconds(1'500);
 
 // A node that no peer has named for so long is cut off, or counted no more. Some messages may be
 // lost, and a relay may be replaced.
-constexpr Duration kNamedFor = std::chrono::seconds(1);
+constexpr Duration kNamedTimeout = std::chrono::seconds(1);
 
 // A node that has said nothing new for so long is counted no more: longer than a pause after which
 // it ceases to send, so that nobody has its part before it has stopped.
-constexpr Duration kCountsFor = std::chrono::seconds(3);
+constexpr Duration kSenderTimeout = std::chrono::seconds(3);
 
 // A word is passed on for less than it counts, and remembered for longer than it can still be on
 // its way: what comes back through others neither prolongs it nor is taken for a new one.
-constexpr Duration kPassedOnFor = std::chrono::seconds(2);
-constexpr Duration kRememberedFor = std::chrono::minutes(1);
+constexpr Duration kForwardFor = std::chrono::seconds(2);
+constexpr Duration kRememberFor = std::chrono::minutes(1);
 
 } // namespace
 
-bool LimitSenders::isWanting(const Wanting &wanting) const
+bool LimitSenders::hasDemand(const Demand &demand) const
 {
-    return wanting.since && isYoungerThan(wanting.last, kWantsFor);
+    return demand.since && isWithin(demand.last, kDemandTimeout);
 }
 
-bool LimitSenders::isNamed(const Wanting &wanting) const
+bool LimitSenders::isNamedByPeer(const Demand &demand) const
 {
-    return m_isAlone || (wanting.named && isYoungerThan(*wanting.named, kNamedFor));
+    return m_isAlone || (demand.lastNamed && isWithin(*demand.lastNamed, kNamedTimeout));
 }
 
-std::uint64_t LimitSenders::timeNumber(TimePoint time) const
+std::uint64_t LimitSenders::millisecondsOf(TimePoint time) const
 {
     return static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(time.time_since_epoch()).count());
 }
 
-void LimitSenders::want(std::uint64_t upstream)
+void LimitSenders::recordDemand(std::uint64_t upstream)
 {
-    Wanting &wanting = m_upstreams[upstream];
+    Demand &demand = m_upstreams[upstream];
     // After a pause, or a time in which this process stood still, the others count without it.
-    if (!isWanting(wanting))
-        wanting.since = m_clock.now();
-    wanting.last = m_clock.now();
+    if (!hasDemand(demand))
+        demand.since = m_clock.now();
+    demand.last = m_clock.now();
 }
 
-void LimitSenders::hear(Wanting &wanting, const SenderWord &word)
+void LimitSenders::applyAnnouncement(Demand &demand, const SenderAnnouncement &word)
 {
     if (word.node == m_self) {
         // A word of before a pause tells nothing of now.
-        if (wanting.since && word.said >= timeNumber(*wanting.since))
-            wanting.named = m_clock.now();
+        if (demand.since && word.sequence >= millisecondsOf(*demand.since))
+            demand.lastNamed = m_clock.now();
         return;
     }
-    const auto [known, isNew] = wanting.others.try_emplace(word.node);
-    if (isNew || word.said > known->second.said)
-        known->second = {word.said, m_clock.now()};
+    const auto [known, isNew] = demand.others.try_emplace(word.node);
+    if (isNew || word.sequence > known->second.sequence)
+        known->second = {word.sequence, m_clock.now()};
 }
 
-void LimitSenders::heard(std::uint64_t upstream, const std::vector<SenderWord> &words)
+void LimitSenders::applyAnnouncements(std::uint64_t upstream,
+                                      const std::vector<SenderAnnouncement> &words)
 {
     if (words.empty())
         return;
-    Wanting &wanting = m_upstreams[upstream];
-    std::erase_if(wanting.others, [this](const auto &it) {
-        return !isYoungerThan(it.second.when, kRememberedFor);
-    });
-    for (const SenderWord &it : words)
-        hear(wanting, it);
+    Demand &demand = m_upstreams[upstream];
+    std::erase_if(demand.others,
+                  [this](const auto &it) { return !isWithin(it.second.receivedAt, kRememberFor); });
+    for (const SenderAnnouncement &it : words)
+        applyAnnouncement(demand, it);
 }
 
-std::optional<LimitSenders::Place> LimitSenders::bounded(Place place, std::size_t mostSenders)
+std::optional<LimitSenders::Place> LimitSenders::bounded(Place place, std::size_t maxSenders)
 {
-    if (place.rank >= mostSenders)
+    if (place.rank >= maxSenders)
         return std::nullopt;
-    place.senders = std::min(place.senders, mostSenders);
+    place.senders = std::min(place.senders, maxSenders);
     return place;
 }
 
 std::optional<LimitSenders::Place> LimitSenders::place(std::uint64_t upstream,
-                                                       std::size_t mostSenders) const
+                                                       std::size_t maxSenders) const
 {
-    if (m_alwaysWanting)
+    if (m_fixedSenders)
         return bounded(
-            {rendezvousRank(upstream, m_self, *m_alwaysWanting), m_alwaysWanting->size() + 1},
-            mostSenders);
+            {rendezvousRank(upstream, m_self, *m_fixedSenders), m_fixedSenders->size() + 1},
+            maxSenders);
     const auto it = m_upstreams.find(upstream);
-    if (it == m_upstreams.end() || !isWanting(it->second) || !isNamed(it->second)
-        || isYoungerThan(*it->second.since, kSaidFor))
+    if (it == m_upstreams.end() || !hasDemand(it->second) || !isNamedByPeer(it->second)
+        || isWithin(*it->second.since, kAnnounceBeforeSending))
         return std::nullopt;
     const std::uint64_t own = rendezvousWeight(upstream, m_self);
     Place place;
     for (const auto &[node, heard] : it->second.others) {
-        if (!isYoungerThan(heard.when, kCountsFor))
+        if (!isWithin(heard.receivedAt, kSenderTimeout))
             continue;
         place.senders += 1;
         place.rank += rendezvousWeight(upstream, node) > own ? 1 : 0;
     }
-    return bounded(place, mostSenders);
+    return bounded(place, maxSenders);
 }
 
-std::vector<SenderWord> LimitSenders::ownWord(std::uint64_t upstream) const
+std::vector<SenderAnnouncement> LimitSenders::ownAnnouncement(std::uint64_t upstream) const
 {
     const auto it = m_upstreams.find(upstream);
-    if (it == m_upstreams.end() || !isWanting(it->second))
+    if (it == m_upstreams.end() || !hasDemand(it->second))
         return {};
-    return {{m_self, timeNumber(m_clock.now())}};
+    return {{m_self, millisecondsOf(m_clock.now())}};
 }
 
-std::vector<SenderWord> LimitSenders::firstWords(std::uint64_t upstream, std::size_t most) const
+std::vector<SenderAnnouncement> LimitSenders::firstAnnouncements(std::uint64_t upstream,
+                                                                 std::size_t most) const
 {
-    std::vector<SenderWord> words = ownWord(upstream);
+    std::vector<SenderAnnouncement> words = ownAnnouncement(upstream);
     const auto it = m_upstreams.find(upstream);
     if (it == m_upstreams.end())
         return words;
     for (const auto &[node, heard] : it->second.others) {
-        if (isYoungerThan(heard.when, kPassedOnFor))
-            words.push_back({node, heard.said});
+        if (isWithin(heard.receivedAt, kForwardFor))
+            words.push_back({node, heard.sequence});
     }
-    std::sort(words.begin(), words.end(), [upstream](const SenderWord &a, const SenderWord &b) {
-        return rendezvousWeight(upstream, a.node) > rendezvousWeight(upstream, b.node);
-    });
+    std::sort(words.begin(), words.end(),
+              [upstream](const SenderAnnouncement &a, const SenderAnnouncement &b) {
+                  return rendezvousWeight(upstream, a.node) > rendezvousWeight(upstream, b.node);
+              });
     words.resize(std::min(words.size(), most));
     return words;
 }
--- a/src/core/limit_text.cpp
+++ b/src/core/limit_text.cpp
@@ -6,7 +6,7 @@
 
 namespace fordwood {
 
-std::optional<double> readNonNegative(std::string_view text)
+std::optional<double> parseNonNegative(std::string_view text)
 {
     double value = 0.0;
     const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
--- a/src/core/news_spreader.cpp
+++ b/src/core/news_spreader.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void NewsSpreader::add(const RequestNews &news)
+void NewsSpreader::add(const QuarantineUpdate &news)
 {
     if (m_items.size() == kMostItems)
         m_items.pop_front();
@@ -35,9 +35,9 @@
     return std::any_of(m_items.begin(), m_items.end(), [](const Item &it) { return it.told == 0; });
 }
 
-std::vector<RequestNews> NewsSpreader::next()
+std::vector<QuarantineUpdate> NewsSpreader::next()
 {
-    std::vector<RequestNews> news;
+    std::vector<QuarantineUpdate> news;
     const TimePoint now = m_clock.now();
     for (Item &it : m_items) {
         if (now < it.due || news.size() == kMostInMessage)
--- a/src/core/permits_in_use.cpp
+++ b/src/core/permits_in_use.cpp
@@ -9,113 +9,114 @@
 namespace {
 
 // Marks permit ids that this node made itself, apart from those that owners give out.
-constexpr std::uint64_t kMovedPermit = 1ULL << 63;
+constexpr std::uint64_t kTransferredPermitBit = 1ULL << 63;
 
 } // namespace
 
 void PermitsInUse::setView(std::shared_ptr<const FleetView> view)
 {
     m_view = std::move(view);
-    for (auto &[call, held] : m_held) {
-        if (held.direct || held.owner.empty())
+    for (auto &[call, permit] : m_permits) {
+        if (permit.isDirect || permit.owner.empty())
             continue;
-        const Member *owner = ownerOf(held);
-        if (owner != nullptr && owner->name != held.owner)
-            holdAt(call, held, *owner);
+        const Member *owner = ownerOf(permit);
+        if (owner != nullptr && owner->name != permit.owner)
+            transferTo(call, permit, *owner);
     }
 }
 
-void PermitsInUse::takeGranted(const CallRequest &call, const std::string &owner,
-                               std::uint64_t permitId, const std::string &upstream)
+void PermitsInUse::addGranted(const CallRequest &call, const std::string &owner,
+                              std::uint64_t permitId, const std::string &upstream)
 {
-    m_held[call.id] = Held{call.team, upstream, owner, permitId, false};
+    m_permits[call.id] = PermitInUse{call.team, upstream, owner, permitId, false};
 }
 
-void PermitsInUse::takeDirect(const CallRequest &call, const std::string &upstream)
+void PermitsInUse::addDirect(const CallRequest &call, const std::string &upstream)
 {
-    m_held[call.id] = Held{call.team, upstream, {}, 0, true};
+    m_permits[call.id] = PermitInUse{call.team, upstream, {}, 0, true};
 }
 
-bool PermitsInUse::takeLocal(const CallRequest &call, const UpstreamConfig &upstream)
+bool PermitsInUse::tryTakeLocal(const CallRequest &call, const UpstreamConfig &upstream)
 {
-    std::size_t &used = m_localInUse[upstream.name];
-    if (used >= localPlaces(upstream))
+    std::size_t &used = m_localSlotsInUse[upstream.name];
+    if (used >= localSlots(upstream))
         return false;
     ++used;
-    m_held[call.id] = Held{call.team, upstream.name, {}, 0, false};
+    m_permits[call.id] = PermitInUse{call.team, upstream.name, {}, 0, false};
     return true;
 }
 
 bool PermitsInUse::isDirect(CallId call) const
 {
-    const auto it = m_held.find(call);
-    return it != m_held.end() && it->second.direct;
+    const auto it = m_permits.find(call);
+    return it != m_permits.end() && it->second.isDirect;
 }
 
 void PermitsInUse::release(CallId call, double cost, bool pushedBack)
 {
-    const auto node = m_held.extract(call);
-    if (node.empty() || node.mapped().direct)
+    const auto node = m_permits.extract(call);
+    if (node.empty() || node.mapped().isDirect)
         return;
-    const Held &held = node.mapped();
-    if (held.permitId == 0)
-        freeLocal(held.upstream);
-    else if (!held.owner.empty())
+    const PermitInUse &permit = node.mapped();
+    if (permit.permitId == 0)
+        releaseLocalSlot(permit.upstream);
+    else if (!permit.owner.empty())
         m_actions.emplace_back(
-            ReleasePermit{held.owner, held.permitId, held.upstream, cost, pushedBack});
+            ReleasePermit{permit.owner, permit.permitId, permit.upstream, cost, pushedBack});
 }
 
 void PermitsInUse::ownerLost(const std::string &owner)
 {
     m_lostOwners.insert(owner);
-    for (auto &[call, held] : m_held) {
-        if (held.owner == owner)
-            held.owner.clear();
+    for (auto &[call, permit] : m_permits) {
+        if (permit.owner == owner)
+            permit.owner.clear();
     }
 }
 
-void PermitsInUse::aboutToAsk(const Member &owner)
+void PermitsInUse::announceHeldPermits(const Member &owner)
 {
     if (m_lostOwners.erase(owner.name) == 0)
         return;
-    for (auto &[call, held] : m_held) {
-        if (held.direct || !held.owner.empty())
+    for (auto &[call, permit] : m_permits) {
+        if (permit.isDirect || !permit.owner.empty())
             continue;
-        const Member *present = ownerOf(held);
+        const Member *present = ownerOf(permit);
         if (present != nullptr && present->name == owner.name)
-            holdAt(call, held, owner);
+            transferTo(call, permit, owner);
     }
 }
 
 // Who owns the upstream of a permit now; null when it has gone or there are no members.
-const Member *PermitsInUse::ownerOf(const Held &held) const
+const Member *PermitsInUse::ownerOf(const PermitInUse &permit) const
 {
     const auto &upstreams = m_view->configuration().upstreams;
-    const auto it = upstreams.find(held.upstream);
+    const auto it = upstreams.find(permit.upstream);
     return it == upstreams.end() ? nullptr : m_view->owner(it->second);
 }
 
 // Moves a permit to another owner, or to the next process of the same one.
-void PermitsInUse::holdAt(CallId call, Held &held, const Member &owner)
+void PermitsInUse::transferTo(CallId call, PermitInUse &permit, const Member &owner)
 {
-    if (held.permitId == 0)
-        freeLocal(held.upstream);
-    else if (!held.owner.empty())
-        m_actions.emplace_back(ReleasePermit{held.owner, held.permitId, held.upstream, 0.0, false});
-    held.owner = owner.name;
-    held.permitId = kMovedPermit | call;
-    m_actions.emplace_back(
-        HoldPermit{owner.name, owner.controlAddress, held.permitId, held.upstream, held.team});
+    if (permit.permitId == 0)
+        releaseLocalSlot(permit.upstream);
+    else if (!permit.owner.empty())
+        m_actions.emplace_back(
+            ReleasePermit{permit.owner, permit.permitId, permit.upstream, 0.0, false});
+    permit.owner = owner.name;
+    permit.permitId = kTransferredPermitBit | call;
+    m_actions.emplace_back(HoldPermit{owner.name, owner.controlAddress, permit.permitId,
+                                      permit.upstream, permit.team});
 }
 
-void PermitsInUse::freeLocal(const std::string &upstream)
+void PermitsInUse::releaseLocalSlot(const std::string &upstream)
 {
-    std::size_t &used = m_localInUse[upstream];
+    std::size_t &used = m_localSlotsInUse[upstream];
     used -= used > 0 ? 1 : 0;
 }
 
 // The places of an upstream, divided among the nodes of its failure domain.
-std::size_t PermitsInUse::localPlaces(const UpstreamConfig &upstream) const
+std::size_t PermitsInUse::localSlots(const UpstreamConfig &upstream) const
 {
     const auto &members = m_view->members();
     const auto peers = static_cast<std::size_t>(
--- a/src/core/quarantine.cpp
+++ b/src/core/quarantine.cpp
@@ -5,58 +5,60 @@
 
 namespace fordwood {
 
-bool Quarantine::take(const RequestNews &news)
+bool Quarantine::apply(const QuarantineUpdate &update)
 {
-    return news.brokenLife ? noteEnd(news.request, *news.brokenLife) : noteAnswer(news.request);
+    return update.failedInstance ? recordFailure(update.request, *update.failedInstance)
+                                 : recordAnswer(update.request);
 }
 
-bool Quarantine::noteAnswer(const RequestFingerprint &request)
+bool Quarantine::recordAnswer(const RequestFingerprint &request)
 {
     const auto it = m_entries.find(request);
     if (it == m_entries.end() || it->second.isAnswered)
         return false;
     it->second.isAnswered = true;
-    it->second.brokenLives.clear();
-    it->second.lastNews = m_clock.now();
+    it->second.failedInstances.clear();
+    it->second.lastUpdate = m_clock.now();
     return true;
 }
 
-bool Quarantine::noteEnd(const RequestFingerprint &request, std::uint64_t life)
+bool Quarantine::recordFailure(const RequestFingerprint &request, std::uint64_t instance)
 {
     if (!m_entries.contains(request))
         makeRoom();
     Entry &entry = m_entries[request];
-    std::vector<std::uint64_t> &lives = entry.brokenLives;
-    if (entry.isAnswered || std::find(lives.begin(), lives.end(), life) != lives.end())
+    std::vector<std::uint64_t> &instances = entry.failedInstances;
+    if (entry.isAnswered
+        || std::find(instances.begin(), instances.end(), instance) != instances.end())
         return false;
-    const bool isTold = lives.size() < m_limits.mostLives;
-    if (isTold)
-        lives.push_back(life);
-    entry.lastNews = m_clock.now();
-    if (lives.size() >= m_limits.ends)
-        entry.heldUntil = entry.lastNews + m_limits.holdFor;
-    return isTold;
+    const bool isRecorded = instances.size() < m_limits.maxInstances;
+    if (isRecorded)
+        instances.push_back(instance);
+    entry.lastUpdate = m_clock.now();
+    if (instances.size() >= m_limits.failuresToHold)
+        entry.heldUntil = entry.lastUpdate + m_limits.holdFor;
+    return isRecorded;
 }
 
 // Many go at once, so that a storm of ends does not look through all entries for each.
 void Quarantine::makeRoom()
 {
-    constexpr std::size_t kPartToDrop = 4;
-    if (m_entries.size() < m_limits.most)
+    constexpr std::size_t kDropDivisor = 4;
+    if (m_entries.size() < m_limits.maxRequests)
         return;
     std::vector<TimePoint> ages;
     for (const auto &[request, entry] : m_entries) {
         if (!isHeld(entry))
-            ages.push_back(entry.lastNews);
+            ages.push_back(entry.lastUpdate);
     }
     if (ages.empty()) {
         m_entries.erase(m_entries.begin());
         return;
     }
-    const auto last = ages.begin() + static_cast<std::ptrdiff_t>(ages.size() / kPartToDrop);
+    const auto last = ages.begin() + static_cast<std::ptrdiff_t>(ages.size() / kDropDivisor);
     std::nth_element(ages.begin(), last, ages.end());
     std::erase_if(m_entries, [&](const auto &it) {
-        return !isHeld(it.second) && it.second.lastNews <= *last;
+        return !isHeld(it.second) && it.second.lastUpdate <= *last;
     });
 }
 
@@ -83,10 +85,10 @@
     return heldFor(request) > Duration::zero();
 }
 
-std::vector<std::uint64_t> Quarantine::endsUnder(const RequestFingerprint &request) const
+std::vector<std::uint64_t> Quarantine::failedInstancesOf(const RequestFingerprint &request) const
 {
     const auto it = m_entries.find(request);
-    return it == m_entries.end() ? std::vector<std::uint64_t>{} : it->second.brokenLives;
+    return it == m_entries.end() ? std::vector<std::uint64_t>{} : it->second.failedInstances;
 }
 
 std::size_t Quarantine::heldRequests() const
@@ -100,8 +102,8 @@
     const TimePoint now = m_clock.now();
     std::erase_if(m_entries, [&](const auto &it) {
         const Entry &entry = it.second;
-        return now - entry.lastNews
-               >= (entry.isAnswered ? m_limits.vouchFor : m_limits.forgetAfter);
+        return now - entry.lastUpdate
+               >= (entry.isAnswered ? m_limits.answerValidFor : m_limits.forgetAfter);
     });
 }
 
--- a/src/core/request_fingerprint.cpp
+++ b/src/core/request_fingerprint.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr std::size_t kDigits = 16; // of one half
+constexpr std::size_t kHalfDigits = 16; // of one half
 constexpr int kBase = 16;
 
-std::string halfText(std::uint64_t half)
+std::string formatHalf(std::uint64_t half)
 {
-    std::array<char, kDigits> digits{};
+    std::array<char, kHalfDigits> digits{};
     const auto end = std::to_chars(digits.begin(), digits.end(), half, kBase).ptr;
     const auto n = static_cast<std::size_t>(end - digits.begin());
-    return std::string(kDigits - n, '0') + std::string(digits.begin(), end);
+    return std::string(kHalfDigits - n, '0') + std::string(digits.begin(), end);
 }
 
 std::optional<std::uint64_t> parseHalf(std::string_view text)
@@ -36,15 +36,15 @@
 
 std::string RequestFingerprint::text() const
 {
-    return halfText(high) + halfText(low);
+    return formatHalf(high) + formatHalf(low);
 }
 
 std::optional<RequestFingerprint> RequestFingerprint::parse(std::string_view text)
 {
-    if (text.size() != 2 * kDigits)
+    if (text.size() != 2 * kHalfDigits)
         return std::nullopt;
-    const auto high = parseHalf(text.substr(0, kDigits));
-    const auto low = parseHalf(text.substr(kDigits));
+    const auto high = parseHalf(text.substr(0, kHalfDigits));
+    const auto low = parseHalf(text.substr(kHalfDigits));
     if (!high || !low)
         return std::nullopt;
     return RequestFingerprint{*high, *low};
--- a/src/core/team_admission.cpp
+++ b/src/core/team_admission.cpp
@@ -23,11 +23,11 @@
 void TeamAdmission::admit(CallId call, const std::string &team)
 {
     if (m_gate.enter(team))
-        return m_listener.entered(call);
-    if (!m_gate.isAsking(team) && !m_gate.mayAsk(team))
-        return m_listener.refused(call);
+        return m_listener.onAdmitted(call);
+    if (!m_gate.isRequestPending(team) && !m_gate.mayRequest(team))
+        return m_listener.onRefused(call);
     m_waiting[team].push_back(call);
-    if (!m_gate.isAsking(team))
+    if (!m_gate.isRequestPending(team))
         ask(team);
 }
 
@@ -46,73 +46,73 @@
         m_waiting.erase(waiting);
 }
 
-void TeamAdmission::answered(const std::string &team, std::uint64_t askId,
+void TeamAdmission::onAnswer(const std::string &team, std::uint64_t requestId,
                              const Allowance &allowance)
 {
-    m_gate.answered(team, askId, allowance);
-    if (m_gate.isAsking(team))
+    m_gate.onAnswer(team, requestId, allowance);
+    if (m_gate.isRequestPending(team))
         return; // it was the answer to an earlier ask
-    m_asks.erase(team);
-    settle(team);
+    m_pendingRequests.erase(team);
+    processWaiting(team);
 }
 
 void TeamAdmission::ownerLost(const std::string &owner)
 {
-    giveUp([&](const OpenAsk &it) { return it.owner == owner; });
+    abandonRequests([&](const PendingRequest &it) { return it.owner == owner; });
 }
 
 void TeamAdmission::tick()
 {
     const TimePoint now = m_clock.now();
-    giveUp([&](const OpenAsk &it) { return it.until <= now; });
-    for (const std::string &team : m_gate.due())
+    abandonRequests([&](const PendingRequest &it) { return it.until <= now; });
+    for (const std::string &team : m_gate.dueForRenewal())
         ask(team);
 }
 
 void TeamAdmission::ask(const std::string &team)
 {
     const auto waiting = m_waiting.find(team);
-    const AllowanceAsk ask
-        = m_gate.ask(team, waiting == m_waiting.end() ? 0 : waiting->second.size());
+    const AllowanceRequest ask
+        = m_gate.startRequest(team, waiting == m_waiting.end() ? 0 : waiting->second.size());
     const Member *owner = m_view->teamOwner(team);
     if (owner == nullptr) {
-        m_gate.unanswered(team);
-        return settle(team);
+        m_gate.onNoAnswer(team);
+        return processWaiting(team);
     }
-    m_asks[team] = {owner->name, m_clock.now() + m_ownerTimeout};
+    m_pendingRequests[team] = {owner->name, m_clock.now() + m_ownerTimeout};
     m_actions.emplace_back(AskAllowance{owner->name, owner->controlAddress, ask});
 }
 
 // Goes on without the answers to the open asks that match.
 template <typename Matches>
-void TeamAdmission::giveUp(Matches matches)
+void TeamAdmission::abandonRequests(Matches matches)
 {
     std::vector<std::string> teams;
-    for (const auto &[team, it] : m_asks) {
+    for (const auto &[team, it] : m_pendingRequests) {
         if (matches(it))
             teams.push_back(team);
     }
     for (const std::string &team : teams) {
-        m_asks.erase(team);
-        m_gate.unanswered(team);
-        settle(team);
+        m_pendingRequests.erase(team);
+        m_gate.onNoAnswer(team);
+        processWaiting(team);
     }
 }
 
 // Lets waiting calls of a team begin as far as its ceiling allows. The others ask again if the
 // owner gave all that was asked for before they came, and are refused if it did not.
-void TeamAdmission::settle(const std::string &team)
+void TeamAdmission::processWaiting(const std::string &team)
 {
     const auto waiting = m_waiting.extract(team);
     if (waiting.empty())
         return;
     for (const CallId it : waiting.mapped()) {
         if (m_gate.enter(team))
-            m_listener.entered(it);
-        else if (m_gate.mayAsk(team))
+            m_listener.onAdmitted(it);
+        else if (m_gate.mayRequest(team))
             m_waiting[team].push_back(it);
         else
-            m_listener.refused(it);
+            m_listener.onRefused(it);
     }
     if (m_waiting.count(team) != 0)
         ask(team);
--- a/src/core/upstream_backoffs.cpp
+++ b/src/core/upstream_backoffs.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 // An upstream that confuses units must not be lost for days.
-constexpr Duration kLongest = std::chrono::minutes(10);
+constexpr Duration kMaxBackoff = std::chrono::minutes(10);
 
 } // namespace
 
-bool UpstreamBackoffs::request(const std::string &instanceId, Duration length)
+bool UpstreamBackoffs::addBackoff(const std::string &instanceId, Duration length)
 {
-    const TimePoint until = m_clock.now() + std::min(length, kLongest);
+    const TimePoint until = m_clock.now() + std::min(length, kMaxBackoff);
     if (until <= m_clock.now())
         return false;
     TimePoint &known = m_until[instanceId];
--- a/src/core/upstream_limits.cpp
+++ b/src/core/upstream_limits.cpp
@@ -11,25 +11,25 @@
 
 // How long peers are told that a limit is lifted: longer than a node stands still or is cut off on
 // an ordinary day. One that comes back later says what it believes, and is told then.
-constexpr Duration kTellLifted = std::chrono::seconds(30);
+constexpr Duration kAnnounceLiftedFor = std::chrono::seconds(30);
 
 // From here on a limit is none: no process serves so many callers a second.
-constexpr double kNoLimit = 10'000.0;
+constexpr double kUnlimitedFrom = 10'000.0;
 
 // An upstream that names less, or zero, gets one request in ten seconds all the same: without an
 // answer now and then nobody would learn that it takes requests again.
-constexpr double kLeastLimit = 0.1;
+constexpr double kMinLimit = 0.1;
 
-std::optional<double> binding(std::optional<double> perSecond)
+std::optional<double> effectiveLimit(std::optional<double> perSecond)
 {
-    if (!perSecond || *perSecond >= kNoLimit)
+    if (!perSecond || *perSecond >= kUnlimitedFrom)
         return std::nullopt;
-    return std::max(*perSecond, kLeastLimit);
+    return std::max(*perSecond, kMinLimit);
 }
 
 } // namespace
 
-void UpstreamLimits::know(const std::string &instanceId)
+void UpstreamLimits::addUpstream(const std::string &instanceId)
 {
     m_inService.emplace(stableHash(instanceId), instanceId);
 }
@@ -38,66 +38,66 @@
 {
     const std::uint64_t upstream = stableHash(instanceId);
     m_inService.erase(upstream);
-    const auto it = m_beliefs.find(upstream);
-    if (it == m_beliefs.end())
+    const auto it = m_states.find(upstream);
+    if (it == m_states.end())
         return;
     m_limited -= it->second.perSecond ? 1 : 0;
-    m_beliefs.erase(it);
+    m_states.erase(it);
 }
 
 // What is believed of the upstream, to be changed; null: it is not in service.
-UpstreamLimits::Belief *UpstreamLimits::belief(std::uint64_t upstream)
+UpstreamLimits::LimitState *UpstreamLimits::state(std::uint64_t upstream)
 {
-    const auto known = m_beliefs.find(upstream);
-    if (known != m_beliefs.end())
+    const auto known = m_states.find(upstream);
+    if (known != m_states.end())
         return &known->second;
     const auto it = m_inService.find(upstream);
     if (it == m_inService.end())
         return nullptr;
-    Belief &belief = m_beliefs[upstream];
-    belief.instanceId = it->second;
-    return &belief;
+    LimitState &state = m_states[upstream];
+    state.instanceId = it->second;
+    return &state;
 }
 
-bool UpstreamLimits::mayChange(const Belief &belief, std::optional<double> perSecond,
+bool UpstreamLimits::mayChange(const LimitState &state, std::optional<double> perSecond,
                                TimePoint sent)
 {
-    if (belief.version == 0)
+    if (state.version == 0)
         return true;
-    const bool isEased = belief.perSecond && (!perSecond || *perSecond > *belief.perSecond);
-    return sent > (isEased ? belief.borneOut : belief.learnt);
+    const bool isEased = state.perSecond && (!perSecond || *perSecond > *state.perSecond);
+    return sent > (isEased ? state.confirmedAt : state.changedAt);
 }
 
-LimitChange UpstreamLimits::change(Belief &belief, std::uint64_t version,
+LimitChange UpstreamLimits::change(LimitState &state, std::uint64_t version,
                                    std::optional<double> perSecond, TimePoint answered)
 {
     const TimePoint now = m_clock.now();
-    LimitChange result{belief.instanceId, belief.perSecond, perSecond, version, now - answered};
+    LimitChange result{state.instanceId, state.perSecond, perSecond, version, now - answered};
     m_limited += perSecond ? 1 : 0;
-    m_limited -= belief.perSecond ? 1 : 0;
-    belief.version = version;
-    belief.perSecond = perSecond;
-    belief.learnt = now;
-    belief.borneOut = now;
-    belief.answered = answered;
-    belief.tellUntil = now + kTellLifted;
+    m_limited -= state.perSecond ? 1 : 0;
+    state.version = version;
+    state.perSecond = perSecond;
+    state.changedAt = now;
+    state.confirmedAt = now;
+    state.answered = answered;
+    state.announceUntil = now + kAnnounceLiftedFor;
     return result;
 }
 
-std::optional<LimitChange> UpstreamLimits::answered(const std::string &instanceId,
+std::optional<LimitChange> UpstreamLimits::onAnswer(const std::string &instanceId,
                                                     std::optional<double> perSecond, TimePoint sent)
 {
-    const std::optional<double> named = binding(perSecond);
+    const std::optional<double> named = effectiveLimit(perSecond);
     if (!named && m_limited == 0)
         return std::nullopt;
     const std::uint64_t upstream = stableHash(instanceId);
-    if (!named && !m_beliefs.contains(upstream))
+    if (!named && !m_states.contains(upstream))
         return std::nullopt; // as ever
-    Belief *known = belief(upstream);
+    LimitState *known = state(upstream);
     if (known == nullptr)
         return std::nullopt;
     if (named == known->perSecond) {
-        known->borneOut = m_clock.now();
+        known->confirmedAt = m_clock.now();
         return std::nullopt;
     }
     if (!mayChange(*known, named, sent))
@@ -105,23 +105,24 @@
     return change(*known, known->version + 1, named, m_clock.now());
 }
 
-std::vector<LimitChange> UpstreamLimits::heard(const std::vector<LimitWord> &words)
+std::vector<LimitChange> UpstreamLimits::applyUpdates(const std::vector<LimitUpdate> &words)
 {
     std::vector<LimitChange> changes;
     const TimePoint now = m_clock.now();
-    for (const LimitWord &it : words) {
-        Belief *found = belief(it.upstream);
+    for (const LimitUpdate &it : words) {
+        LimitState *found = state(it.upstream);
         if (found == nullptr)
             continue;
-        Belief &known = *found;
+        LimitState &known = *found;
         const std::optional<double> named
-            = binding(it.perSecond > 0.0 ? std::optional(it.perSecond) : std::nullopt);
+            = effectiveLimit(it.perSecond > 0.0 ? std::optional(it.perSecond) : std::nullopt);
         // Two nodes may have read different answers at the same time: the stricter one holds until
         // the next answer.
         const bool isStricter = it.version == known.version && named
                                 && (!known.perSecond || *named < *known.perSecond);
         if (it.version < known.version)
-            known.tellUntil = now + kTellLifted; // who says so has missed what came after
+            known.announceUntil
+                = now + kAnnounceLiftedFor; // who says so has missed what came after
         if (it.version <= known.version && !isStricter)
             continue;
         const bool isSame = named == known.perSecond;
@@ -139,16 +140,16 @@
 
 std::optional<double> UpstreamLimits::perSecond(std::uint64_t upstream) const
 {
-    const auto it = m_beliefs.find(upstream);
-    return it == m_beliefs.end() ? std::nullopt : it->second.perSecond;
+    const auto it = m_states.find(upstream);
+    return it == m_states.end() ? std::nullopt : it->second.perSecond;
 }
 
-std::vector<LimitWord> UpstreamLimits::words() const
+std::vector<LimitUpdate> UpstreamLimits::updates() const
 {
-    std::vector<LimitWord> words;
+    std::vector<LimitUpdate> words;
     const TimePoint now = m_clock.now();
-    for (const auto &[hash, it] : m_beliefs) {
-        const bool isLifted = it.version > 0 && !it.perSecond && now < it.tellUntil;
+    for (const auto &[hash, it] : m_states) {
+        const bool isLifted = it.version > 0 && !it.perSecond && now < it.announceUntil;
         if (it.perSecond || isLifted)
             words.push_back({hash, it.version, it.perSecond.value_or(0.0), now - it.answered, {}});
     }
--- a/src/node/call_run.cpp
+++ b/src/node/call_run.cpp
@@ -123,7 +123,7 @@
 // to a further upstream and after it has waited, since any node may have learnt it meanwhile.
 bool CallRun::isHeld() const
 {
-    return !m_traffic.quarantine().isIdle() && m_traffic.quarantine().isHeld(fingerprint());
+    return !m_traffic.quarantine().isEmpty() && m_traffic.quarantine().isHeld(fingerprint());
 }
 
 void CallRun::refuseHeld()
@@ -142,13 +142,13 @@
 // new ids ended 19 engines, in a fleet that has 18 at a time.
 void CallRun::noteBrokeOff()
 {
-    m_traffic.quarantine().brokeOff(fingerprint(), m_attempt->upstream.instanceId);
+    m_traffic.quarantine().onDisconnect(fingerprint(), m_attempt->upstream.instanceId);
     m_traffic.requestNewsMade();
 }
 
 void CallRun::noteAnswered()
 {
-    m_traffic.quarantine().answered(fingerprint());
+    m_traffic.quarantine().onAnswer(fingerprint());
     m_traffic.requestNewsMade();
 }
 
@@ -157,7 +157,7 @@
 {
     if (!m_attempt || !m_attempt->isOpen || !m_attempt->sent)
         return;
-    m_traffic.quarantine().leftUnanswered(fingerprint(), m_attempt->upstream.instanceId);
+    m_traffic.quarantine().onUnanswered(fingerprint(), m_attempt->upstream.instanceId);
     m_traffic.requestNewsMade();
 }
 
@@ -235,8 +235,8 @@
     m_traffic.health().failed(m_attempt->upstream.instanceId);
     // Nothing listens there: whatever comes back at the address has just started.
     if (ec == net::error::connection_refused)
-        m_traffic.gate().cold().suspectRestart(m_attempt->upstream.instanceId,
-                                               m_call.pool->coldStart);
+        m_traffic.gate().coldGate().suspectRestart(m_attempt->upstream.instanceId,
+                                                   m_call.pool->coldStart);
     m_plan.notSent();
     endAttempt(false);
     judgeFailure({RunState::NotRun, Reason::ConnectFailed, m_streamBegun});
@@ -273,7 +273,7 @@
         attempt();
         return;
     }
-    m_traffic.gate().sent(m_attempt->upstream.instanceId);
+    m_traffic.gate().recordSend(m_attempt->upstream.instanceId);
     m_attempt->sent = true;
     m_attempt->sentAt = m_traffic.clock().now();
     m_traffic.health().sent(m_attempt->upstream.instanceId);
--- a/src/node/control_duty.cpp
+++ b/src/node/control_duty.cpp
@@ -95,7 +95,7 @@
           [this](FleetUpdate it) { this->tell(std::move(it)); }),
       m_quarantine(
           clock, m_store, m_replica,
-          [this](std::vector<RequestNews> it) { this->tell(RequestsHeard{std::move(it)}); }),
+          [this](std::vector<QuarantineUpdate> it) { this->tell(RequestsHeard{std::move(it)}); }),
       m_documents(metrics, *this),
       m_fetcher(clock, m_caller, m_replica, metrics,
                 [this](const ReplicaPart &it) { merge(it.changes, it.mayBeExpiry); }),
@@ -111,7 +111,7 @@
       m_metricsServer(m_context, [this](std::string_view it) { return metricsReply(it); }),
       m_ownLoads(m_context, kMailboxCapacity, [this](OwnLoads it) { takeOwnLoads(std::move(it)); }),
       m_ownRequestNews(m_context, kMailboxCapacity,
-                       [this](const std::vector<RequestNews> &it) { takeOwnRequestNews(it); }),
+                       [this](const std::vector<QuarantineUpdate> &it) { takeOwnRequestNews(it); }),
       m_tickTimer(m_context), m_upstreams(clock, {}),
       m_drainReports(m_upstreams, [this](FleetUpdate it) { this->tell(std::move(it)); }),
       m_loads(clock)
@@ -353,7 +353,7 @@
     m_quarantine.takeStored(request, lives);
 }
 
-void ControlDuty::takeOwnRequestNews(const std::vector<RequestNews> &news)
+void ControlDuty::takeOwnRequestNews(const std::vector<QuarantineUpdate> &news)
 {
     m_quarantine.takeOwn(news);
     m_gossipSoon = m_gossipSoon || m_quarantine.hasNews();
@@ -479,7 +479,7 @@
 
 // Those that have just changed are told at once, the others now and then, since messages go out
 // more often than a limit needs.
-std::vector<LimitWord> ControlDuty::limitsForPeers()
+std::vector<LimitUpdate> ControlDuty::limitsForPeers()
 {
     const TimePoint now = m_clock.now();
     if (!m_lastOwn.isUrgent && now < m_nextLimits)
--- a/src/node/control_duty.hpp
+++ b/src/node/control_duty.hpp
@@ -65,7 +65,7 @@
     void finishStop();
     void reload(const config::OneProcessSettings &settings);
     Mailbox<OwnLoads> &loadsMailbox() { return m_ownLoads; }
-    Mailbox<std::vector<RequestNews>> &requestNewsMailbox() { return m_ownRequestNews; }
+    Mailbox<std::vector<QuarantineUpdate>> &requestNewsMailbox() { return m_ownRequestNews; }
 
 private:
     void storeTold(const StoreChanges &changes, const StoreAnswerTimes &times) override;
@@ -97,10 +97,10 @@
     bool usesSums() const;
     void noteOthersLoad(LoadReport others);
     void takeOwnLoads(OwnLoads own);
-    void takeOwnRequestNews(const std::vector<RequestNews> &news);
+    void takeOwnRequestNews(const std::vector<QuarantineUpdate> &news);
     bool mayGossipAgain() const;
     Gossip ownMessage() const;
-    std::vector<LimitWord> limitsForPeers();
+    std::vector<LimitUpdate> limitsForPeers();
     void gossip();
     RelayRole::Peers relayPeers() const;
     void tick();
@@ -155,13 +155,13 @@
     SmallServer m_peerServer;
     SmallServer m_metricsServer;
     Mailbox<OwnLoads> m_ownLoads;
-    Mailbox<std::vector<RequestNews>> m_ownRequestNews;
+    Mailbox<std::vector<QuarantineUpdate>> m_ownRequestNews;
     net::steady_timer m_tickTimer;
     UpstreamDirectory m_upstreams;
     DrainReports m_drainReports;
     LoadBook m_loads;
     OwnLoads m_lastOwn;
-    MessageRounds<LimitWord> m_limitRounds;
+    MessageRounds<LimitUpdate> m_limitRounds;
     UpdateQueue m_waiting; // updates that did not fit
     bool m_hasConfiguration = false;
     bool m_isStopping = false;
--- a/src/node/fleet_update.hpp
+++ b/src/node/fleet_update.hpp
@@ -124,14 +124,14 @@
 // What other nodes know of requests that end upstreams.
 struct RequestsHeard
 {
-    std::vector<RequestNews> news;
+    std::vector<QuarantineUpdate> news;
 };
 
 // What a peer has told of limits that upstreams name.
 struct LimitsHeard
 {
     std::string peer;
-    std::vector<LimitWord> words;
+    std::vector<LimitUpdate> words;
 };
 
 // A peer knows an upstream to be draining, by its answers.
@@ -155,8 +155,8 @@
 // it is a relay.
 struct LimitNews
 {
-    std::vector<LimitWord> own;
-    std::vector<LimitWord> all;
+    std::vector<LimitUpdate> own;
+    std::vector<LimitUpdate> all;
 };
 
 // What the thread that serves requests tells the control thread: its own load, now and then.
--- a/src/node/peer_messages.cpp
+++ b/src/node/peer_messages.cpp
@@ -68,52 +68,52 @@
 }
 
 // Two numbers name a request, a third one the life that ended under it.
-Json encodeRequestNews(const std::vector<RequestNews> &news)
+Json encodeRequestNews(const std::vector<QuarantineUpdate> &news)
 {
     Json list = Json::array();
-    for (const RequestNews &it : news) {
+    for (const QuarantineUpdate &it : news) {
         Json row{it.request.high, it.request.low};
-        if (it.brokenLife)
-            row.push_back(*it.brokenLife);
+        if (it.failedInstance)
+            row.push_back(*it.failedInstance);
         list.push_back(std::move(row));
     }
     return list;
 }
 
-std::vector<RequestNews> decodeRequestNews(const Json &list)
+std::vector<QuarantineUpdate> decodeRequestNews(const Json &list)
 {
-    std::vector<RequestNews> news;
+    std::vector<QuarantineUpdate> news;
     for (const Json &row : list) {
-        RequestNews it{{row.at(0).get<std::uint64_t>(), row.at(1).get<std::uint64_t>()}, {}};
+        QuarantineUpdate it{{row.at(0).get<std::uint64_t>(), row.at(1).get<std::uint64_t>()}, {}};
         if (row.size() > 2)
-            it.brokenLife = row.at(2).get<std::uint64_t>();
+            it.failedInstance = row.at(2).get<std::uint64_t>();
         news.push_back(it);
     }
     return news;
 }
 
 // Four numbers of each limit, and two of each sender.
-Json encodeLimits(const std::vector<LimitWord> &words)
+Json encodeLimits(const std::vector<LimitUpdate> &words)
 {
     Json list = Json::array();
-    for (const LimitWord &it : words) {
+    for (const LimitUpdate &it : words) {
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(it.age);
         Json senders = Json::array();
-        for (const SenderWord &sender : it.senders) {
+        for (const SenderAnnouncement &sender : it.senders) {
             senders.push_back(sender.node);
-            senders.push_back(sender.said);
+            senders.push_back(sender.sequence);
         }
         list.push_back({it.upstream, it.version, it.perSecond, age.count(), std::move(senders)});
     }
     return list;
 }
 
-std::vector<LimitWord> decodeLimits(const Json &list)
+std::vector<LimitUpdate> decodeLimits(const Json &list)
 {
     constexpr std::int64_t kOldest = 3'600'000; // milliseconds; only for the log
-    std::vector<LimitWord> words;
+    std::vector<LimitUpdate> words;
     for (const Json &row : list) {
-        LimitWord it;
+        LimitUpdate it;
         it.upstream = row.at(0).get<std::uint64_t>();
         it.version = row.at(1).get<std::uint64_t>();
         it.perSecond = row.at(2).get<double>();
--- a/src/node/peer_messages.hpp
+++ b/src/node/peer_messages.hpp
@@ -93,8 +93,8 @@
     std::optional<std::chrono::milliseconds> wholeFor;
     // A node that starts learns it from its peers.
     NamedWeights weightsNamed;
-    std::vector<RequestNews> requestNews; // of requests that end upstreams
-    std::vector<LimitWord> limits; // that upstreams name; ages in whole milliseconds
+    std::vector<QuarantineUpdate> requestNews; // of requests that end upstreams
+    std::vector<LimitUpdate> limits; // that upstreams name; ages in whole milliseconds
     std::vector<std::string> draining; // upstreams that say so in their answers
 };
 
--- a/src/node/quarantine_duty.cpp
+++ b/src/node/quarantine_duty.cpp
@@ -54,10 +54,10 @@
         bytes, [](const nlohmann::json &lives) { return lives.get<std::vector<std::uint64_t>>(); });
 }
 
-bool QuarantineDuty::take(const RequestNews &news)
+bool QuarantineDuty::take(const QuarantineUpdate &news)
 {
     const bool wasHeld = m_quarantine.isHeld(news.request);
-    if (!m_quarantine.take(news))
+    if (!m_quarantine.apply(news))
         return false;
     const bool isHeld = m_quarantine.isHeld(news.request);
     if (isHeld && !wasHeld)
@@ -71,7 +71,7 @@
 {
     const bool isOwn = m_own.contains(request);
     logEvent(Event::RequestHeld, {{"fingerprint", request.text()},
-                                  {"ends", m_quarantine.endsUnder(request).size()},
+                                  {"ends", m_quarantine.failedInstancesOf(request).size()},
                                   {"own", isOwn}});
 }
 
@@ -83,20 +83,20 @@
         write->second.next = m_clock.now();
 }
 
-void QuarantineDuty::takeOwn(const std::vector<RequestNews> &news)
+void QuarantineDuty::takeOwn(const std::vector<QuarantineUpdate> &news)
 {
-    for (const RequestNews &it : news) {
-        if (it.brokenLife)
+    for (const QuarantineUpdate &it : news) {
+        if (it.failedInstance)
             m_own.insert(it.request);
         if (take(it))
             m_spreader.add(it);
     }
 }
 
-void QuarantineDuty::takeHeard(const std::vector<RequestNews> &news, bool passesOn)
+void QuarantineDuty::takeHeard(const std::vector<QuarantineUpdate> &news, bool passesOn)
 {
-    std::vector<RequestNews> unknown;
-    for (const RequestNews &it : news) {
+    std::vector<QuarantineUpdate> unknown;
+    for (const QuarantineUpdate &it : news) {
         if (!take(it))
             continue;
         unknown.push_back(it);
@@ -110,7 +110,7 @@
 void QuarantineDuty::takeStored(const RequestFingerprint &request,
                                 const std::vector<std::uint64_t> &lives)
 {
-    std::vector<RequestNews> news;
+    std::vector<QuarantineUpdate> news;
     news.reserve(lives.size());
     for (const std::uint64_t it : lives)
         news.push_back({request, it});
@@ -199,7 +199,7 @@
 void QuarantineDuty::put(const RequestFingerprint &request, std::int64_t lease)
 {
     // A write that is done late, or by several nodes, says the same.
-    const std::string value = encodeLives(m_quarantine.endsUnder(request));
+    const std::string value = encodeLives(m_quarantine.failedInstancesOf(request));
     m_store.send(platform::putCall(keyOf(request), value, lease, false),
                  [this, request](const HttpResult &result) {
                      const auto answer = platform::readPut(result);
--- a/src/node/quarantine_duty.hpp
+++ b/src/node/quarantine_duty.hpp
@@ -23,21 +23,21 @@
 {
 public:
     // Is told what this node's requests should know.
-    using Tell = std::function<void(std::vector<RequestNews>)>;
+    using Tell = std::function<void(std::vector<QuarantineUpdate>)>;
 
     QuarantineDuty(const Clock &clock, StoreLink &store, const StoreReplica &replica, Tell tell);
 
     // What this node's own sends have shown.
-    void takeOwn(const std::vector<RequestNews> &news);
+    void takeOwn(const std::vector<QuarantineUpdate> &news);
 
     // What a peer has told. `passesOn`: others hear it from this node only.
-    void takeHeard(const std::vector<RequestNews> &news, bool passesOn);
+    void takeHeard(const std::vector<QuarantineUpdate> &news, bool passesOn);
 
     // A held request stands in the store.
     void takeStored(const RequestFingerprint &request, const std::vector<std::uint64_t> &lives);
 
     // What goes into the next message to peers, and whether that should go soon.
-    std::vector<RequestNews> newsForPeers() { return m_spreader.next(); }
+    std::vector<QuarantineUpdate> newsForPeers() { return m_spreader.next(); }
     bool hasNews() const { return m_spreader.hasNew(); }
 
     void tick();
@@ -57,7 +57,7 @@
         TimePoint next{};
     };
 
-    bool take(const RequestNews &news);
+    bool take(const QuarantineUpdate &news);
     bool isLeased(const Write &write) const { return write.lease.holdsIn(m_store.epoch()); }
     void noteHeld(const RequestFingerprint &request);
     void noteReleased(const RequestFingerprint &request);
--- a/src/node/traffic.cpp
+++ b/src/node/traffic.cpp
@@ -75,8 +75,8 @@
 void Traffic::apply(const UpstreamWritten &update)
 {
     m_upstreams.put(update.record);
-    m_gate.limits().beliefs().know(update.record.instanceId);
-    m_gate.cold().noteCold(update.record.instanceId, update.record.coldFor);
+    m_gate.limitGate().upstreamLimits().addUpstream(update.record.instanceId);
+    m_gate.coldGate().setCold(update.record.instanceId, update.record.coldFor);
 }
 
 void Traffic::apply(const UpstreamRemoved &update)
@@ -93,7 +93,7 @@
 
 void Traffic::noteUpstreamEnded(const std::string &instanceId)
 {
-    m_quarantine.upstreamEnded(instanceId);
+    m_quarantine.onUpstreamEnded(instanceId);
     m_requestNews();
 }
 
@@ -144,12 +144,12 @@
 void Traffic::apply(const LiveNodes &update)
 {
     m_liveNodes = std::max<std::size_t>(update.n, 1);
-    m_gate.limits().setLiveNodes(m_liveNodes);
+    m_gate.limitGate().setLiveNodeCount(m_liveNodes);
 }
 
 void Traffic::apply(const KnownNodes &update)
 {
-    m_gate.cold().setNodes(update.others);
+    m_gate.coldGate().setNodes(update.others);
 }
 
 void Traffic::apply(const ContextStoreTold &update)
@@ -182,13 +182,13 @@
 
 void Traffic::apply(const RequestsHeard &update)
 {
-    m_quarantine.heard(update.news);
+    m_quarantine.applyUpdates(update.news);
     m_requestNews();
 }
 
 void Traffic::apply(const LimitsHeard &update)
 {
-    for (const LimitChange &it : m_gate.limits().heard(update.words))
+    for (const LimitChange &it : m_gate.limitGate().applyUpdates(update.words))
         logLimit(it, update.peer);
 }
 
@@ -240,7 +240,8 @@
 void Traffic::noteBackoff(const std::string &instanceId, Duration length,
                           const std::string &request)
 {
-    if (m_upstreams.find(instanceId) == nullptr || !m_gate.backoffs().request(instanceId, length))
+    if (m_upstreams.find(instanceId) == nullptr
+        || !m_gate.backoffs().addBackoff(instanceId, length))
         return;
     const auto remaining
         = std::chrono::ceil<std::chrono::milliseconds>(m_gate.backoffs().remaining(instanceId));
@@ -271,7 +272,7 @@
     if (!isWord)
         return;
     const auto change
-        = m_gate.limits().beliefs().answered(id, head.limit.perSecond, attempt.sentAt);
+        = m_gate.limitGate().upstreamLimits().onAnswer(id, head.limit.perSecond, attempt.sentAt);
     if (!change)
         return;
     logLimit(*change, requestId);
@@ -327,13 +328,13 @@
     m_metrics.setGauge("fordwood_quarantined_requests",
                        static_cast<double>(m_quarantine.heldRequests()));
     m_metrics.setGauge("fordwood_limited_upstreams",
-                       static_cast<double>(m_gate.limits().beliefs().limited()));
+                       static_cast<double>(m_gate.limitGate().upstreamLimits().limitedUpstreams()));
     m_metrics.setGauge("fordwood_backing_off_upstreams",
                        static_cast<double>(m_gate.backoffs().size()));
     m_metrics.setGauge("fordwood_draining_reported_upstreams",
                        static_cast<double>(m_upstreams.reportedDraining().size()));
     m_metrics.setGauge("fordwood_cold_upstreams",
-                       static_cast<double>(m_gate.cold().coldUpstreams()));
+                       static_cast<double>(m_gate.coldGate().coldUpstreams()));
     if (!m_table)
         return;
     const std::size_t demand = m_shortDemand.total();
@@ -393,7 +394,7 @@
 
 void Traffic::logLimit(const LimitChange &change, const std::string &source)
 {
-    m_limitLog.changed(change, source, m_gate.limits().ownPart(change.instanceId));
+    m_limitLog.changed(change, source, m_gate.limitGate().ownRate(change.instanceId));
 }
 
 // Each node's callers return as often as its part of what all these upstreams take bears out.
@@ -401,7 +402,7 @@
 {
     double perSecond = 0.0;
     for (const UpstreamRecord *it : m_upstreams.usable(pool.name))
-        perSecond += m_gate.limits().partOfAll(it->instanceId).value_or(0.0);
+        perSecond += m_gate.limitGate().totalRate(it->instanceId).value_or(0.0);
     const auto times = m_returnTimes.try_emplace(pool.name, m_clock).first;
     return times->second.next(perSecond / static_cast<double>(m_liveNodes));
 }
@@ -423,7 +424,7 @@
 {
     std::set<std::string> bounded;
     for (const UpstreamRecord *it : candidates) {
-        if (m_gate.isBounded(it->instanceId))
+        if (m_gate.isRateLimited(it->instanceId))
             bounded.insert(it->instanceId);
     }
     return bounded;
--- a/src/node/traffic.hpp
+++ b/src/node/traffic.hpp
@@ -92,7 +92,10 @@
     void onReportNow(std::function<void()> told) { m_reportNow = std::move(told); }
 
     // What this node's peers should hear of limits, and what those should for whom it is a relay.
-    LimitNews limitNews() const { return {m_gate.limits().ownWords(), m_gate.limits().allWords()}; }
+    LimitNews limitNews() const
+    {
+        return {m_gate.limitGate().ownUpdates(), m_gate.limitGate().allUpdates()};
+    }
 
     // An upstream broke off, or answered: peers may have to hear of it.
     void onRequestNews(std::function<void()> told) { m_requestNews = std::move(told); }
--- a/src/node/traffic_duty.cpp
+++ b/src/node/traffic_duty.cpp
@@ -84,7 +84,7 @@
 
 void TrafficDuty::reportRequestNews()
 {
-    const std::vector<RequestNews> news = m_traffic.quarantine().takeNews();
+    const std::vector<QuarantineUpdate> news = m_traffic.quarantine().takeUpdates();
     m_untold.insert(m_untold.end(), news.begin(), news.end());
     if (!m_untold.empty() && m_tellRequestNews(m_untold))
         m_untold.clear();
--- a/src/node/traffic_duty.hpp
+++ b/src/node/traffic_duty.hpp
@@ -22,7 +22,7 @@
 public:
     using TellLoads = std::function<void(OwnLoads)>;
     // False when the receiver is full for the moment.
-    using TellRequestNews = std::function<bool(std::vector<RequestNews>)>;
+    using TellRequestNews = std::function<bool(std::vector<QuarantineUpdate>)>;
 
     TrafficDuty(const config::OneProcessSettings &settings, const Clock &clock,
                 adapters::Metrics &metrics, TellLoads tellLoads, TellRequestNews tellRequestNews);
@@ -48,7 +48,7 @@
     adapters::Metrics &m_metrics;
     TellLoads m_tellLoads;
     TellRequestNews m_tellRequestNews;
-    std::vector<RequestNews> m_untold; // news that did not fit yet
+    std::vector<QuarantineUpdate> m_untold; // news that did not fit yet
     net::io_context m_context;
     Traffic m_traffic;
     Mailbox<FleetUpdate> m_mailbox;
--- a/src/node/update_queue.cpp
+++ b/src/node/update_queue.cpp
@@ -86,7 +86,7 @@
 // News of requests that wait; beyond it the oldest go. As many as a node remembers requests.
 constexpr std::size_t kMostRequestNews = 2'048;
 
-void addRequests(std::vector<RequestNews> &older, const std::vector<RequestNews> &newer)
+void addRequests(std::vector<QuarantineUpdate> &older, const std::vector<QuarantineUpdate> &newer)
 {
     older.insert(older.end(), newer.begin(), newer.end());
     if (older.size() > kMostRequestNews)
--- a/tests/node/belief_ages_test.cpp
+++ b/tests/node/belief_ages_test.cpp
@@ -213,8 +213,8 @@
 namespace {
 
 const RequestFingerprint kPage{1, 2};
-const std::vector<RequestNews> kThreeEnds{{kPage, 1}, {kPage, 2}, {kPage, 3}};
-const std::vector<RequestNews> kAnswered{{kPage, {}}};
+const std::vector<QuarantineUpdate> kThreeEnds{{kPage, 1}, {kPage, 2}, {kPage, 3}};
+const std::vector<QuarantineUpdate> kAnswered{{kPage, {}}};
 
 class HoldingNode : private StoreListener
 {
@@ -243,8 +243,8 @@
     bool holds() const
     {
         Quarantine quarantine(m_clock);
-        for (const RequestNews &it : m_told)
-            quarantine.take(it);
+        for (const QuarantineUpdate &it : m_told)
+            quarantine.apply(it);
         return quarantine.isHeld(kPage);
     }
 
@@ -275,8 +275,9 @@
     HttpCaller m_caller{m_context, m_clock};
     StoreReplica m_replica;
     StoreLink m_link{m_context, m_caller, m_clock, m_store, m_replica, *this};
-    std::vector<RequestNews> m_told;
-    QuarantineDuty m_duty{m_clock, m_link, m_replica, [this](const std::vector<RequestNews> &it) {
+    std::vector<QuarantineUpdate> m_told;
+    QuarantineDuty m_duty{m_clock, m_link, m_replica,
+                          [this](const std::vector<QuarantineUpdate> &it) {
                               m_told.insert(m_told.end(), it.begin(), it.end());
                           }};
 };
--- a/tests/node/quarantine_duty_test.cpp
+++ b/tests/node/quarantine_duty_test.cpp
@@ -14,16 +14,16 @@
 const RequestFingerprint kFatal{1, 2};
 
 // Nodes that hold the request by what they have been told, and by `own`.
-std::size_t holders(RelayFleet &fleet, const std::vector<RequestNews> &own = {})
+std::size_t holders(RelayFleet &fleet, const std::vector<QuarantineUpdate> &own = {})
 {
     std::size_t n = 0;
     const ManualClock clock;
     for (const RelayFleet::Node &node : fleet.nodes()) {
         Quarantine quarantine(clock);
-        for (const RequestNews &it : node.requestNews)
-            quarantine.take(it);
-        for (const RequestNews &it : own)
-            quarantine.take(it);
+        for (const QuarantineUpdate &it : node.requestNews)
+            quarantine.apply(it);
+        for (const QuarantineUpdate &it : own)
+            quarantine.apply(it);
         n += quarantine.isHeld(kFatal) ? 1 : 0;
     }
     return n;
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -14,7 +14,7 @@
 GatePolicy::GatePolicy(const Clock &clock, const std::string &name, std::string upstream)
     : m_gate(clock, stableHash(name)), m_upstream(std::move(upstream))
 {
-    m_gate.beliefs().know(m_upstream);
+    m_gate.upstreamLimits().addUpstream(m_upstream);
 }
 
 LimitFleet::LimitFleet(std::size_t size, double perSecond, MakePolicy make)
@@ -38,7 +38,7 @@
     nodes.push_back(std::move(node));
 }
 
-void LimitFleet::tellLiveNodes()
+void LimitFleet::updateLiveNodes()
 {
     std::map<int, std::vector<std::string>> live; // by side
     for (const Node &it : nodes) {
@@ -87,9 +87,9 @@
     const bool isLate = m_random() % 20 == 0;
     const TimePoint arrival = clock.now() + 1ms * (isLate ? 300 : m_random() % 20);
     // Without a limit, each node sends some request a second there.
-    if (!node.gate().beliefs().perSecond(kUpstream) && m_random() % 100 != 0)
+    if (!node.gate().upstreamLimits().perSecond(kUpstream) && m_random() % 100 != 0)
         return;
-    node.policy->sent();
+    node.policy->recordSend();
     arrivals.push_back(arrival);
     m_answers.push_back({arrival + 50ms * (1 + m_random() % 6), clock.now(), node.name, limit});
 }
@@ -109,13 +109,13 @@
             if (n == relay)
                 continue;
             if (!nodes[n].isFrozen)
-                tell(relay, nodes[n].gate().ownWords());
-            tell(n, nodes[relay].gate().allWords());
+                tell(relay, nodes[n].gate().ownUpdates());
+            tell(n, nodes[relay].gate().allUpdates());
         }
     }
 }
 
-void LimitFleet::tell(std::size_t to, std::vector<LimitWord> words)
+void LimitFleet::tell(std::size_t to, std::vector<LimitUpdate> words)
 {
     const bool isLost = m_random() % 30 == 0;
     const Duration way = 100ms + 10ms * (m_random() % 20);
@@ -131,7 +131,7 @@
             return true;
         if (clock.now() < it.when || nodes[it.to].isFrozen)
             return false;
-        nodes[it.to].gate().heard(it.words);
+        nodes[it.to].gate().applyUpdates(it.words);
         return true;
     });
     std::erase_if(m_answers, [this](const Answer &it) {
@@ -141,7 +141,7 @@
             return true;
         if (clock.now() < it.when || node->isFrozen)
             return false;
-        node->gate().beliefs().answered(kUpstream, it.named, it.sent);
+        node->gate().upstreamLimits().onAnswer(kUpstream, it.named, it.sent);
         return true;
     });
 }
--- a/tests/support/limit_fleet.hpp
+++ b/tests/support/limit_fleet.hpp
@@ -27,7 +27,7 @@
     virtual ~LimitPolicy() = default;
 
     virtual bool maySend() = 0;
-    virtual void sent() = 0;
+    virtual void recordSend() = 0;
 
     // The nodes that live, this one included, by name.
     virtual void setNodes(const std::vector<std::string> &names) = 0;
@@ -43,10 +43,10 @@
     GatePolicy(const Clock &clock, const std::string &name, std::string upstream);
 
     bool maySend() override { return m_gate.maySend(m_upstream); }
-    void sent() override { m_gate.sent(m_upstream); }
+    void recordSend() override { m_gate.recordSend(m_upstream); }
     void setNodes(const std::vector<std::string> &names) override
     {
-        m_gate.setLiveNodes(names.size());
+        m_gate.setLiveNodeCount(names.size());
     }
     LimitGate &gate() override { return m_gate; }
 
@@ -81,7 +81,7 @@
     void start(const std::string &name);
 
     // Each node hears which nodes of its side live.
-    void tellLiveNodes();
+    void updateLiveNodes();
 
     void play(Duration time);
 
@@ -104,7 +104,7 @@
     {
         TimePoint when{};
         std::size_t to = 0;
-        std::vector<LimitWord> words;
+        std::vector<LimitUpdate> words;
     };
 
     // An answer that is on its way back.
@@ -118,7 +118,7 @@
 
     void send(Node &node);
     void tell();
-    void tell(std::size_t to, std::vector<LimitWord> words);
+    void tell(std::size_t to, std::vector<LimitUpdate> words);
     void deliver();
 
     MakePolicy m_make;
--- a/tests/support/relay_fleet.hpp
+++ b/tests/support/relay_fleet.hpp
@@ -55,7 +55,7 @@
             m_clock, *node.links, LoadExchange::Pace{200ms, kLinkBytesPerSecond},
             [this, n](LoadReport it) { m_nodes[n].others = std::move(it); });
         node.quarantine = std::make_unique<QuarantineDuty>(
-            m_clock, m_store, m_replica, [this, n](const std::vector<RequestNews> &it) {
+            m_clock, m_store, m_replica, [this, n](const std::vector<QuarantineUpdate> &it) {
                 m_nodes[n].requestNews.insert(m_nodes[n].requestNews.end(), it.begin(), it.end());
             });
         ErrorCode ec;
@@ -113,7 +113,7 @@
         std::unique_ptr<LoadExchange> exchange;
         std::optional<LoadReport> others;
         std::unique_ptr<QuarantineDuty> quarantine;
-        std::vector<RequestNews> requestNews; // told by others
+        std::vector<QuarantineUpdate> requestNews; // told by others
         std::size_t heard = 0;
     };
 
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -238,8 +238,9 @@
     DispatcherLimits limits;
     limits.direct = m_size.direct;
     node.dispatcher = std::make_unique<Dispatcher>(fleet.clock, limits);
-    node.book = std::make_unique<PermitBook>(fleet.clock, PermitLimits{kPermitLife, 64});
-    node.allowances = std::make_unique<AllowanceBook>(fleet.clock, AllowanceBook::Limits{});
+    node.book = std::make_unique<PermitScheduler>(fleet.clock, PermitLimits{kPermitLife, 64});
+    node.allowances
+        = std::make_unique<AllowanceAllocator>(fleet.clock, AllowanceAllocator::Limits{});
     node.loads = std::make_unique<LoadPlanner>(fleet.member(index).name, boot, fleet.clock,
                                                LoadPlanner::Limits{}, boot);
     node.keys = std::make_unique<KeyRegistry>(KeyHolder{fleet.member(index).name, boot},
@@ -350,25 +351,25 @@
     };
     if (const auto *ask = std::get_if<AskPermit>(&action)) {
         node.streams.insert(ask->owner);
-        PermitAsk message;
+        PermitRequest message;
         message.holder = holder;
-        message.askId = ask->askId;
+        message.requestId = ask->requestId;
         message.upstream = ask->upstream;
         message.team = ask->team;
         message.cost = ask->cost;
         message.wait = ask->wait;
         message.prompt = ask->prompt;
-        toOwner(ask->owner, [message](Node &it) { it.book->ask(message); });
+        toOwner(ask->owner, [message](Node &it) { it.book->request(message); });
     } else if (const auto *withdrawal = std::get_if<WithdrawAsk>(&action)) {
         const WithdrawAsk message = *withdrawal;
         toOwner(message.owner, [holder, message](Node &it) {
-            it.book->withdraw(holder, message.askId, message.upstream);
+            it.book->withdraw(holder, message.requestId, message.upstream);
         });
     } else if (const auto *release = std::get_if<ReleasePermit>(&action)) {
         const ReleasePermit message = *release;
         toOwner(message.owner, [holder, message](Node &it) {
             if (message.pushedBack)
-                it.book->pushedBack(holder, message.permitId, message.upstream);
+                it.book->onPushback(holder, message.permitId, message.upstream);
             else
                 it.book->release(holder, message.permitId, message.upstream, message.cost);
         });
@@ -376,19 +377,19 @@
         node.streams.insert(hold->owner);
         const HoldPermit message = *hold;
         toOwner(message.owner, [holder, message](Node &it) {
-            it.book->hold(holder, message.permitId, message.upstream, message.team);
+            it.book->adoptPermit(holder, message.permitId, message.upstream, message.team);
         });
     } else if (const auto *allowance = std::get_if<AskAllowance>(&action)) {
         node.streams.insert(allowance->owner);
-        AllowanceAsk message = allowance->ask;
+        AllowanceRequest message = allowance->ask;
         message.holder = holder;
         toOwner(allowance->owner, [this, index, holder, message](Node &it) {
-            Allowance answer = it.allowances->ask(message);
+            Allowance answer = it.allowances->allocate(message);
             if (m_size.mutation == Mutation::GrantsEveryWish)
                 answer.amount = message.wanted;
             if (holder == holderOf(placeOf(index)))
                 post(index, [message, answer](Node &entry) {
-                    entry.dispatcher->allowanceAnswered(message.team, message.askId, answer);
+                    entry.dispatcher->allowanceAnswered(message.team, message.requestId, answer);
                 });
         });
     } else if (const auto *claim = std::get_if<ClaimKey>(&action)) {
@@ -541,7 +542,7 @@
             || !fleet.reaches(index, entry))
             continue;
         PermitReply reply;
-        reply.askId = answer.askId;
+        reply.requestId = answer.requestId;
         reply.granted = answer.granted;
         reply.permitId = answer.permitId;
         reply.waited = answer.waited;
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -14,12 +14,12 @@
 #include <string>
 #include <vector>
 
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 #include "fordwood/dispatcher.hpp"
 #include "fordwood/fleet_view.hpp"
 #include "fordwood/key_registry.hpp"
 #include "fordwood/load_planner.hpp"
-#include "fordwood/permit_book.hpp"
+#include "fordwood/permit_scheduler.hpp"
 #include "support/replica_fleet.hpp"
 
 namespace fordwood::support {
@@ -157,8 +157,8 @@
     struct Node
     {
         std::unique_ptr<Dispatcher> dispatcher;
-        std::unique_ptr<PermitBook> book;
-        std::unique_ptr<AllowanceBook> allowances;
+        std::unique_ptr<PermitScheduler> book;
+        std::unique_ptr<AllowanceAllocator> allowances;
         std::unique_ptr<KeyRegistry> keys;
         std::unique_ptr<LoadPlanner> loads;
         std::shared_ptr<const FleetView> view;
--- a/tests/support/world_engines.cpp
+++ b/tests/support/world_engines.cpp
@@ -151,7 +151,7 @@
         const std::string name = order->upstream;
         postLater(index, kLoadTime + kHop, [name](Node &it) { it.loads->orderEnded(name); });
     } else if (const auto *hold = std::get_if<HoldEngine>(&action)) {
-        node.book->setHeld(hold->upstream, hold->held);
+        node.book->setPaused(hold->upstream, hold->held);
     }
 }
 
--- a/tests/support/world_keys.cpp
+++ b/tests/support/world_keys.cpp
@@ -40,7 +40,7 @@
     std::map<std::string, std::uint64_t> boots;
     for (const KeyHolder &it : seen.holders)
         boots[it.node] = it.boot;
-    node.keys->setAlive(boots);
+    node.keys->setLiveMembers(boots);
     if (!fleet.reachesPlatform(index))
         return;
     for (std::uint32_t value = 0; value < kTenureValues; ++value) {
@@ -95,7 +95,7 @@
         = [&](std::uint32_t partition) { return indexOf(seen.of(partition).node); };
     for (const auto &[target, keys] : groupBySuccessor(handed, successorIndex)) {
         if (target >= 0 && m_size.mutation != Mutation::HandsOverTenuresOnly)
-            post(target, [keys = keys](Node &it) { it.keys->takeOver(keys); });
+            post(target, [keys = keys](Node &it) { it.keys->importKeys(keys); });
     }
     for (std::uint32_t value = 0; value < kTenureValues; ++value) {
         const auto stored = fleet.store.get(tenureKey(value), kHop);
--- a/tests/unit/allowance_test.cpp
+++ b/tests/unit/allowance_test.cpp
@@ -3,7 +3,7 @@
 
 #include <random>
 
-#include "fordwood/allowance_book.hpp"
+#include "fordwood/allowance_allocator.hpp"
 #include "fordwood/ceiling_gate.hpp"
 #include "fordwood/manual_clock.hpp"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-AllowanceAsk askOf(std::uint64_t holder, std::size_t wanted)
+AllowanceRequest requestFrom(std::uint64_t holder, std::size_t wanted)
 {
     return {holder, 1, "t", 0, wanted};
 }
@@ -22,41 +22,43 @@
 TEST_CASE("allowances: a new owner gives nothing until its predecessor's parts ran out [ceiling]")
 {
     ManualClock clock;
-    AllowanceBook book(clock, {});
-    book.setPools({{"t", 10}});
-    CHECK(book.ask(askOf(1, 4)).amount == 0);
+    AllowanceAllocator allocator(clock, {});
+    allocator.setPools({{"t", 10}});
+    CHECK(allocator.allocate(requestFrom(1, 4)).amount == 0);
     clock.advance(3s);
-    CHECK(book.ask(askOf(1, 4)).amount == 4);
-    CHECK(book.ask(AllowanceAsk{1, 1, "unknown", 0, 4}).amount == 0);
+    CHECK(allocator.allocate(requestFrom(1, 4)).amount == 4);
+    CHECK(allocator.allocate(AllowanceRequest{1, 1, "unknown", 0, 4}).amount == 0);
 }
 
 TEST_CASE("allowances: what a silent holder has comes back when it runs out [ceiling]")
 {
     ManualClock clock;
-    AllowanceBook book(clock, {});
-    book.setPools({{"t", 10}});
+    AllowanceAllocator allocator(clock, {});
+    allocator.setPools({{"t", 10}});
     clock.advance(3s);
-    CHECK(book.ask(askOf(1, 10)).amount == 10);
-    CHECK(book.ask(askOf(2, 10)).amount == 0);
+    CHECK(allocator.allocate(requestFrom(1, 10)).amount == 10);
+    CHECK(allocator.allocate(requestFrom(2, 10)).amount == 0);
     clock.advance(2s);
-    CHECK(book.ask(askOf(1, 10)).amount == 5); // the second holder's wish is known now
-    CHECK(book.ask(askOf(2, 10)).amount == 0); // the first one's old part has not run out
+    CHECK(allocator.allocate(requestFrom(1, 10)).amount
+          == 5); // the second holder's wish is known now
+    CHECK(allocator.allocate(requestFrom(2, 10)).amount
+          == 0); // the first one's old part has not run out
     clock.advance(1s);
-    CHECK(book.ask(askOf(2, 10)).amount == 5);
+    CHECK(allocator.allocate(requestFrom(2, 10)).amount == 5);
 }
 
 TEST_CASE("allowances: the sum never passes the pool, for any order of asks [ceiling]")
 {
     ManualClock clock;
-    AllowanceBook book(clock, {});
+    AllowanceAllocator allocator(clock, {});
     std::mt19937_64 random(7);
     std::size_t pool = 20;
-    book.setPools({{"t", pool}});
+    allocator.setPools({{"t", pool}});
     for (int it = 0; it < 20'000; ++it) {
         clock.advance(std::chrono::milliseconds(random() % 200));
-        const Allowance part = book.ask(askOf(random() % 6, random() % 15));
+        const Allowance part = allocator.allocate(requestFrom(random() % 6, random() % 15));
         CHECK(part.amount <= pool);
-        CHECK(book.granted("t") <= pool);
+        CHECK(allocator.granted("t") <= pool);
     }
 }
 
@@ -68,16 +70,16 @@
     CHECK(gate.enter("t"));
     CHECK(gate.enter("t"));
     CHECK_FALSE(gate.enter("t"));
-    REQUIRE(gate.mayAsk("t"));
-    const AllowanceAsk first = gate.ask("t", 1);
+    REQUIRE(gate.mayRequest("t"));
+    const AllowanceRequest first = gate.startRequest("t", 1);
     CHECK(first.used == 0);
     CHECK(first.wanted == 2); // the one that waits, and one to spare
-    gate.answered("t", first.askId, {1, 3s});
+    gate.onAnswer("t", first.requestId, {1, 3s});
     CHECK(gate.enter("t"));
     CHECK_FALSE(gate.enter("t"));
-    CHECK_FALSE(gate.mayAsk("t")); // less than wanted was given just now
+    CHECK_FALSE(gate.mayRequest("t")); // less than wanted was given just now
     clock.advance(200ms);
-    CHECK(gate.mayAsk("t"));
+    CHECK(gate.mayRequest("t"));
     for (int it = 0; it < 100; ++it)
         CHECK(gate.enter("free")); // a team without a ceiling
 }
@@ -88,19 +90,19 @@
     ManualClock clock;
     CeilingGate gate(clock, {});
     gate.setBases({{"t", 0}});
-    const AllowanceAsk late = gate.ask("t", 1);
+    const AllowanceRequest late = gate.startRequest("t", 1);
     clock.advance(1s);
-    gate.unanswered("t");
-    const AllowanceAsk ask = gate.ask("t", 1);
-    gate.answered("t", late.askId, {5, 3s}); // would seem to last longer than it does
+    gate.onNoAnswer("t");
+    const AllowanceRequest ask = gate.startRequest("t", 1);
+    gate.onAnswer("t", late.requestId, {5, 3s}); // would seem to last longer than it does
     CHECK_FALSE(gate.enter("t"));
     clock.advance(1s);
-    gate.answered("t", ask.askId, {1, 3s});
+    gate.onAnswer("t", ask.requestId, {1, 3s});
     CHECK(gate.enter("t"));
     clock.advance(1s);
-    CHECK(gate.due().size() == 1);
+    CHECK(gate.dueForRenewal().size() == 1);
     gate.leave("t");
-    CHECK(gate.due().empty());
+    CHECK(gate.dueForRenewal().empty());
     clock.advance(1s); // three seconds after the ask, two after the answer
     CHECK_FALSE(gate.enter("t"));
 }
--- a/tests/unit/belief_ages_test.cpp
+++ b/tests/unit/belief_ages_test.cpp
@@ -69,10 +69,10 @@
     ManualClock clock;
     clock.advance(1h);
     ColdGate early(clock, {}, "a");
-    early.noteCold("u", 3s);
+    early.setCold("u", 3s);
     clock.advance(2s);
     ColdGate late(clock, {}, "b");
-    late.noteCold("u", 3s);
+    late.setCold("u", 3s);
     CHECK(early.isCold("u"));
     CHECK(late.isCold("u"));
     clock.advance(1s);
--- a/tests/unit/cold_gate_test.cpp
+++ b/tests/unit/cold_gate_test.cpp
@@ -40,7 +40,7 @@
     {
         m_names.push_back(name);
         m_gates[name] = std::make_unique<ColdGate>(clock, limits(), name);
-        m_gates[name]->noteCold("u", 1h);
+        m_gates[name]->setCold("u", 1h);
     }
 
     void stopFirst()
@@ -68,7 +68,7 @@
             clock.advance(kStep);
             for (auto &[name, gate] : m_gates) {
                 while (gate->maySend("u", kRate)) {
-                    gate->sent("u");
+                    gate->recordSend("u");
                     // Nearly at once, or late for a lost packet.
                     m_arrivals.push_back(clock.now() + 10ms * (m_random() % 10));
                 }
@@ -178,13 +178,13 @@
     clock.advance(2s);
     gate.setNodes({});
     clock.advance(2s);
-    gate.noteCold("u", 0s);
+    gate.setCold("u", 0s);
     CHECK_FALSE(gate.isCold("u"));
-    gate.noteCold("u", 3s);
+    gate.setCold("u", 3s);
     CHECK(gate.isCold("u"));
     for (std::size_t n = 0; n < 13; ++n) {
         REQUIRE(gate.maySend("u", kRate));
-        gate.sent("u");
+        gate.recordSend("u");
     }
     CHECK_FALSE(gate.maySend("u", kRate));
     CHECK(gate.maySend("u", 0.0)); // of a service that states no rate
@@ -192,7 +192,7 @@
     clock.advance(3s);
     CHECK_FALSE(gate.isCold("u"));
     CHECK(gate.maySend("u", kRate));
-    gate.noteCold("u", 1s);
+    gate.setCold("u", 1s);
     CHECK(gate.coldUpstreams() == 1);
     gate.forget("u");
     CHECK_FALSE(gate.isCold("u"));
@@ -205,7 +205,7 @@
     ManualClock clock;
     ColdGate gate(clock, limits(), "a");
     gate.suspectRestart("u", 3s);
-    gate.noteCold("u", 0s);
+    gate.setCold("u", 0s);
     CHECK(gate.isCold("u"));
     CHECK_FALSE(gate.maySend("u", kRate)); // the other nodes are not known yet
     clock.advance(3s);
--- a/tests/unit/control_parts_test.cpp
+++ b/tests/unit/control_parts_test.cpp
@@ -57,8 +57,8 @@
 // Hears of admissions.
 struct Admitted : TeamAdmission::Listener
 {
-    void entered(CallId call) override { in.push_back(call); }
-    void refused(CallId call) override { out.push_back(call); }
+    void onAdmitted(CallId call) override { in.push_back(call); }
+    void onRefused(CallId call) override { out.push_back(call); }
 
     std::vector<CallId> in;
     std::vector<CallId> out;
@@ -193,8 +193,8 @@
     claims.open(1, {"t", "granted"}, holder);
     claims.open(2, {"t", "given up"}, holder);
     const auto firstId = std::get<ClaimKey>(actions.at(0)).claimId;
-    CHECK(claims.answered(firstId) == CallId{1});
-    CHECK_FALSE(claims.answered(firstId));
+    CHECK(claims.onAnswer(firstId) == CallId{1});
+    CHECK_FALSE(claims.onAnswer(firstId));
     claims.grant(1);
     CHECK(claims.openAt("h") == std::vector<CallId>{2});
     clock.advance(600ms);
@@ -228,7 +228,7 @@
     allowance.amount = 1;
     allowance.life = 3s;
     const auto &ask = std::get<AskAllowance>(actions.front()).ask;
-    admission.answered("t", ask.askId, allowance);
+    admission.onAnswer("t", ask.requestId, allowance);
     CHECK(heard.in.back() == secondWaiting);
     CHECK(heard.out.size() + heard.in.size() == 19);
 }
--- a/tests/unit/dispatcher_test.cpp
+++ b/tests/unit/dispatcher_test.cpp
@@ -80,7 +80,7 @@
         const auto ask = last<AskPermit>();
         REQUIRE(ask);
         PermitReply reply;
-        reply.askId = ask->askId;
+        reply.requestId = ask->requestId;
         reply.granted = true;
         reply.permitId = ++permits;
         reply.sendWithin = 2s;
@@ -135,7 +135,7 @@
     const auto ask = bench.last<AskPermit>();
     REQUIRE(ask);
     PermitReply reply;
-    reply.askId = ask->askId;
+    reply.requestId = ask->requestId;
     reply.reason = Reason::NotOwner;
     bench.dispatcher.permitAnswered("n1", reply);
     // This node's view still names the same owner: the small local allowance is left.
@@ -167,7 +167,7 @@
     const auto ask = bench.last<AskPermit>();
     REQUIRE(ask);
     PermitReply denial;
-    denial.askId = ask->askId;
+    denial.requestId = ask->requestId;
     denial.reason = Reason::DeadlineTooNear;
     bench.dispatcher.permitAnswered("n1", denial);
     const auto end = bench.last<EndCall>();
@@ -197,7 +197,7 @@
     const auto ask = bench.last<AskPermit>();
     bench.clock.advance(10s); // the grant came at once, but nobody read it
     PermitReply reply;
-    reply.askId = ask->askId;
+    reply.requestId = ask->requestId;
     reply.granted = true;
     reply.permitId = 1;
     reply.sendWithin = 2s;
@@ -214,7 +214,7 @@
     const auto ask = bench.last<AskPermit>();
     bench.setFleet(1, {"e0"});
     PermitReply reply;
-    reply.askId = ask->askId;
+    reply.requestId = ask->requestId;
     reply.granted = true;
     reply.permitId = 9;
     reply.sendWithin = 2s;
@@ -295,7 +295,7 @@
     bench.dispatcher.callerLeft(1);
     bench.dispatcher.takeActions();
     PermitReply reply;
-    reply.askId = ask->askId;
+    reply.requestId = ask->requestId;
     reply.granted = true;
     reply.permitId = 5;
     bench.dispatcher.permitAnswered("n1", reply);
@@ -401,7 +401,7 @@
     REQUIRE(ask);
     endThreeUpstreams(bench, 2);
     PermitReply reply;
-    reply.askId = ask->askId;
+    reply.requestId = ask->requestId;
     reply.granted = true;
     reply.permitId = 99;
     reply.sendWithin = 1min;
--- a/tests/unit/isolation_test.cpp
+++ b/tests/unit/isolation_test.cpp
@@ -8,7 +8,7 @@
 #include "config/read_configuration.hpp"
 #include "fordwood/key_registry.hpp"
 #include "fordwood/manual_clock.hpp"
-#include "fordwood/permit_book.hpp"
+#include "fordwood/permit_scheduler.hpp"
 
 using namespace fordwood;
 using namespace std::chrono_literals;
@@ -110,9 +110,9 @@
 TEST_CASE("isolation: a permit is nobody's but its holder's [isolation]")
 {
     ManualClock clock;
-    PermitBook book(clock);
+    PermitScheduler book(clock);
     book.setUpstreams({{"up", 1, false}});
-    book.ask({1, 1, "up", "a", 1.0, 0, 0s});
+    book.request({1, 1, "up", "a", 1.0, 0, 0s});
     const auto answers = book.takeAnswers();
     REQUIRE(answers.at(0).granted);
     const std::uint64_t permit = answers[0].permitId;
--- a/tests/unit/key_registry_test.cpp
+++ b/tests/unit/key_registry_test.cpp
@@ -90,12 +90,12 @@
 {
     Bench bench;
     bench.setChains({bench.tenure(kOther, -20s, -5s), bench.tenure(kSelf, -5s, 10s)});
-    bench.registry.setAlive({{"a", 1}, {"b", 1}});
+    bench.registry.setLiveMembers({{"a", 1}, {"b", 1}});
     const ClaimAnswer before = bench.registry.claim(1, keyAt(bench.clock, -6s));
     CHECK(before.decision == Decision::Redirect);
     CHECK(before.holder == "b");
     // The other process was started again: it has forgotten.
-    bench.registry.setAlive({{"a", 1}, {"b", 2}});
+    bench.registry.setLiveMembers({{"a", 1}, {"b", 2}});
     CHECK(bench.registry.claim(1, keyAt(bench.clock, -6s)).reason == Reason::KeyHolderGone);
     CHECK(bench.registry.claim(1, keyAt(bench.clock, 11s)).reason == Reason::KeyTooNew);
     CHECK(bench.registry.claim(1, keyAt(bench.clock, -30s)).reason == Reason::KeyTooOld);
