--- a/tests/unit/limit_gate_test.cpp
+++ b/tests/unit/limit_gate_test.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 // When the limit is counted, from its first naming.
-constexpr Duration kInForce = 3s;
+constexpr Duration kEnforcedAfter = 3s;
 
-std::size_t borneInFourSeconds(double perSecond)
+std::size_t capacityInFourSeconds(double perSecond)
 {
     return static_cast<std::size_t>(1.5 * perSecond * 4.0 + 5.0);
 }
@@ -33,12 +33,12 @@
             CAPTURE(nodes);
             CAPTURE(perSecond);
             LimitFleet fleet(nodes, perSecond);
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             const TimePoint named = fleet.clock.now();
             // Long enough for a few requests at the least rate.
             fleet.play(perSecond < 1.0 ? 30s : 15s);
-            CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(perSecond));
-            CHECK(fleet.used(named + kInForce) >= 0.8);
+            CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
+            CHECK(fleet.used(named + kEnforcedAfter) >= 0.8);
         }
     }
 }
@@ -51,20 +51,20 @@
             CAPTURE(nodes);
             CAPTURE(busy);
             LimitFleet fleet(nodes, 3.2);
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             for (std::size_t n = busy; n < nodes; ++n)
                 fleet.nodes[n].hasCallers = false;
             const TimePoint named = fleet.clock.now();
             fleet.play(20s);
-            CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(3.2));
-            CHECK(fleet.used(named + kInForce) >= 0.8);
+            CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
+            CHECK(fleet.used(named + kEnforcedAfter) >= 0.8);
             // They move to other nodes.
             for (std::size_t n = 0; n < nodes; ++n)
                 fleet.nodes[n].hasCallers = n >= nodes - busy;
             fleet.play(6s);
             const TimePoint moved = fleet.clock.now();
             fleet.play(15s);
-            CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(3.2));
+            CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
             CHECK(fleet.used(moved) >= 0.8);
         }
     }
@@ -77,23 +77,23 @@
     for (const double perSecond : {0.3, 2.4, 10.0}) {
         CAPTURE(perSecond);
         LimitFleet fleet(8, perSecond);
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
         const TimePoint named = fleet.clock.now();
         fleet.play(8s);
         for (const std::size_t n : {0U, 3U})
             fleet.nodes[n].isFrozen = true;
         fleet.play(1s);
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
         fleet.play(4s);
         const TimePoint told = fleet.clock.now();
         fleet.play(10s);
         CHECK(fleet.used(told) >= 0.55); // two in three at least: they may be cut off and alive
         for (const std::size_t n : {0U, 3U})
             fleet.nodes[n].isFrozen = false;
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
         const TimePoint awake = fleet.clock.now();
         fleet.play(perSecond < 1.0 ? 30s : 12s);
-        CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(perSecond));
+        CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
         CHECK(fleet.used(awake) >= 0.7);
     }
 }
@@ -107,21 +107,21 @@
             CAPTURE(nodes);
             CAPTURE(perSecond);
             LimitFleet fleet(nodes, perSecond);
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             const TimePoint named = fleet.clock.now();
             fleet.play(8s);
             for (std::size_t n = 0; n < nodes / 2; ++n)
                 fleet.nodes[n].side = 1;
             fleet.play(1s);
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             const TimePoint cut = fleet.clock.now();
             fleet.play(15s);
             CHECK(fleet.used(cut) >= 0.8);
             for (LimitFleet::Node &it : fleet.nodes)
                 it.side = 0;
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             fleet.play(8s);
-            CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(perSecond));
+            CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
         }
     }
 }
@@ -131,34 +131,34 @@
 {
     constexpr double kRate = 2.4;
     LimitFleet fleet(8, kRate);
-    fleet.tellLiveNodes();
+    fleet.updateLiveNodes();
     const TimePoint named = fleet.clock.now();
     fleet.play(5s);
     SUBCASE("one after the other")
     {
         for (std::size_t n = 0; n < 16; ++n) {
             fleet.nodes.pop_front();
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             fleet.play(500ms);
             fleet.start("new-" + std::to_string(n));
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             fleet.play(1s);
         }
         CHECK(fleet.used(named + 5s) >= 0.4);
         fleet.play(10s);
-        CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(kRate));
+        CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(kRate));
     }
     SUBCASE("all but one at once")
     {
         while (fleet.nodes.size() > 1)
             fleet.nodes.pop_front();
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
         for (std::size_t n = 0; n < 7; ++n)
             fleet.start("new-" + std::to_string(n));
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
         fleet.play(15s);
-        CHECK(fleet.busiest(named + 5s + kInForce) <= borneInFourSeconds(kRate));
-        CHECK(fleet.used(named + 5s + kInForce) >= 0.6);
+        CHECK(fleet.busiest(named + 5s + kEnforcedAfter) <= capacityInFourSeconds(kRate));
+        CHECK(fleet.used(named + 5s + kEnforcedAfter) >= 0.6);
     }
 }
 
@@ -168,37 +168,37 @@
     for (const std::size_t nodes : {8U, 79U}) {
         CAPTURE(nodes);
         LimitFleet fleet(nodes, 10.0);
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
         fleet.play(8s);
         fleet.limit = 1.0;
         const TimePoint lowered = fleet.clock.now();
         fleet.play(12s);
-        CHECK(fleet.busiest(lowered + kInForce) <= borneInFourSeconds(1.0));
-        CHECK(fleet.used(lowered + kInForce) >= 0.8);
+        CHECK(fleet.busiest(lowered + kEnforcedAfter) <= capacityInFourSeconds(1.0));
+        CHECK(fleet.used(lowered + kEnforcedAfter) >= 0.8);
         for (std::size_t n = 2; n < nodes; ++n)
             fleet.nodes[n].hasCallers = false;
         fleet.limit.reset();
         // Their parts grow once the others have ceased to send, and then an answer shows it.
         fleet.play(12s);
         for (LimitFleet::Node &it : fleet.nodes)
-            CHECK_FALSE(it.gate().beliefs().perSecond("u"));
+            CHECK_FALSE(it.gate().upstreamLimits().perSecond("u"));
     }
 }
 
 TEST_CASE("limit gate: the next life of an upstream has no limit of the one before [limit]")
 {
     LimitFleet fleet(3, 1.0);
-    fleet.tellLiveNodes();
+    fleet.updateLiveNodes();
     fleet.play(5s);
     LimitGate &gate = fleet.nodes.front().gate();
-    CHECK_FALSE((gate.maySend("u") && gate.maySend("u") && gate.ownPart("u") > 1.0));
-    REQUIRE(gate.ownPart("u"));
-    CHECK(gate.partOfAll("u") == 1.0);
+    CHECK_FALSE((gate.maySend("u") && gate.maySend("u") && gate.ownRate("u") > 1.0));
+    REQUIRE(gate.ownRate("u"));
+    CHECK(gate.totalRate("u") == 1.0);
     gate.forget("u");
-    gate.beliefs().know("u/2");
+    gate.upstreamLimits().addUpstream("u/2");
     CHECK(gate.maySend("u/2"));
-    CHECK_FALSE(gate.ownPart("u/2"));
-    CHECK(gate.ownWords().empty());
+    CHECK_FALSE(gate.ownRate("u/2"));
+    CHECK(gate.ownUpdates().empty());
 }
 
 TEST_CASE("limit share: what all may send stays below what the upstream bears, on either side of a "
--- a/tests/unit/prefill_line_test.cpp
+++ b/tests/unit/prefill_line_test.cpp
@@ -4,7 +4,7 @@
 #include <doctest/doctest.h>
 
 #include "fordwood/manual_clock.hpp"
-#include "fordwood/permit_book.hpp"
+#include "fordwood/permit_scheduler.hpp"
 
 using namespace fordwood;
 using namespace std::chrono_literals;
@@ -24,10 +24,10 @@
     return {prefix, 1000, 100};
 }
 
-PermitAsk askOf(std::uint64_t id, std::uint64_t prefix, Duration wait = 0s)
+PermitRequest askOf(std::uint64_t id, std::uint64_t prefix, Duration wait = 0s)
 {
-    PermitAsk ask;
-    ask.askId = id;
+    PermitRequest ask;
+    ask.requestId = id;
     ask.upstream = "up";
     ask.team = "t";
     ask.wait = wait;
@@ -68,24 +68,24 @@
 TEST_CASE("permit book: an engine that runs nothing has nothing to compute [routing]")
 {
     ManualClock clock;
-    PermitBook book(clock);
+    PermitScheduler book(clock);
     book.setUpstreams({{"up", 8, false, 1000, 10'000}});
-    book.ask(askOf(1, 1));
+    book.request(askOf(1, 1));
     const auto first = book.takeAnswers();
     REQUIRE(first.at(0).granted);
     book.release(0, first[0].permitId, "up", 0); // sooner than was thought
-    book.ask(askOf(2, 2));
+    book.request(askOf(2, 2));
     CHECK(book.takeAnswers().at(0).granted);
 }
 
 TEST_CASE("permit book: prompts that waited for one context leave nothing behind [routing]")
 {
     ManualClock clock;
-    PermitBook book(clock);
+    PermitScheduler book(clock);
     book.setUpstreams({{"up", 8, false, 1000, 10'000}});
-    book.ask(askOf(1, 1));
+    book.request(askOf(1, 1));
     for (std::uint64_t it = 2; it <= 5; ++it)
-        book.ask(askOf(it, 2, 60s)); // the first of them makes it cheap for the others
+        book.request(askOf(it, 2, 60s)); // the first of them makes it cheap for the others
     for (int it = 0; it < 10; ++it) {
         clock.advance(1s);
         book.tick();
@@ -95,27 +95,27 @@
         }
     }
     REQUIRE(book.waiting("up") == 0);
-    book.ask(askOf(6, 6));
+    book.request(askOf(6, 6));
     CHECK(book.takeAnswers().at(0).granted);
-    book.ask(askOf(7, 7, 4s)); // the engine has 1.1 s to compute, and nothing waits
+    book.request(askOf(7, 7, 4s)); // the engine has 1.1 s to compute, and nothing waits
     CHECK(book.waiting("up") == 1);
 }
 
 TEST_CASE("permit book: free slots do not hide prompts that wait to be computed [routing]")
 {
     ManualClock clock;
-    PermitBook book(clock);
+    PermitScheduler book(clock);
     book.setUpstreams({{"up", 8, false, 1000, 10'000}});
-    book.ask(askOf(1, 1));
+    book.request(askOf(1, 1));
     CHECK(book.takeAnswers().at(0).granted);
-    book.ask(askOf(2, 2)); // seven slots are free, but it would wait for 1.1 s
+    book.request(askOf(2, 2)); // seven slots are free, but it would wait for 1.1 s
     const auto cold = book.takeAnswers();
     CHECK_FALSE(cold.at(0).granted);
     CHECK(cold.at(0).reason == Reason::UpstreamBusy);
     CHECK(cold.at(0).firstTokenIn > 1100ms);
-    book.ask(askOf(3, 1)); // its context is there: elsewhere it would take as long
+    book.request(askOf(3, 1)); // its context is there: elsewhere it would take as long
     CHECK(book.takeAnswers().at(0).granted);
-    book.ask(askOf(4, 2, 10s)); // it may wait, and is granted when the engine is nearly idle
+    book.request(askOf(4, 2, 10s)); // it may wait, and is granted when the engine is nearly idle
     CHECK(book.takeAnswers().empty());
     clock.advance(1s);
     book.tick();
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -22,7 +22,7 @@
 const RequestFingerprint kFatal{1, 2};
 const RequestFingerprint kOther{3, 4};
 
-RequestNews ended(std::uint64_t life, const RequestFingerprint &request = kFatal)
+QuarantineUpdate ended(std::uint64_t life, const RequestFingerprint &request = kFatal)
 {
     return {request, life};
 }
@@ -35,10 +35,10 @@
     void tellEachOther()
     {
         for (QuarantineGate &from : gates) {
-            const auto news = from.takeNews();
+            const auto news = from.takeUpdates();
             for (QuarantineGate &to : gates) {
                 if (&to != &from)
-                    to.heard(news);
+                    to.applyUpdates(news);
             }
         }
     }
@@ -55,9 +55,9 @@
     Quarantine one(clock);
     Quarantine other(clock);
     for (const std::uint64_t life : {7U, 8U, 7U, 9U})
-        one.take(ended(life));
+        one.apply(ended(life));
     for (const std::uint64_t life : {9U, 7U, 8U, 7U})
-        other.take(ended(life));
+        other.apply(ended(life));
     CHECK(one.isHeld(kFatal));
     CHECK(other.isHeld(kFatal));
     CHECK_FALSE(one.isHeld(kOther));
@@ -68,9 +68,9 @@
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    CHECK(quarantine.take(ended(7)));
+    CHECK(quarantine.apply(ended(7)));
     for (int n = 0; n < 10; ++n)
-        CHECK_FALSE(quarantine.take(ended(7)));
+        CHECK_FALSE(quarantine.apply(ended(7)));
     CHECK(quarantine.isSuspect(kFatal));
     CHECK_FALSE(quarantine.isHeld(kFatal));
 }
@@ -80,12 +80,12 @@
     ManualClock clock;
     Quarantine quarantine(clock);
     for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.take(ended(life));
+        quarantine.apply(ended(life));
     CHECK(quarantine.isHeld(kFatal));
-    CHECK(quarantine.take({kFatal, {}}));
+    CHECK(quarantine.apply({kFatal, {}}));
     CHECK_FALSE(quarantine.isHeld(kFatal));
     for (std::uint64_t life = 4; life <= 9; ++life)
-        CHECK_FALSE(quarantine.take(ended(life)));
+        CHECK_FALSE(quarantine.apply(ended(life)));
     CHECK_FALSE(quarantine.isHeld(kFatal));
 }
 
@@ -94,11 +94,11 @@
     ManualClock clock;
     Quarantine quarantine(clock);
     for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.take(ended(life));
+        quarantine.apply(ended(life));
     CHECK(quarantine.heldFor(kFatal) == 10min);
     clock.advance(10min);
     CHECK_FALSE(quarantine.isHeld(kFatal));
-    quarantine.take(ended(4));
+    quarantine.apply(ended(4));
     CHECK(quarantine.isHeld(kFatal));
     clock.advance(1h);
     quarantine.tick();
@@ -110,10 +110,10 @@
     ManualClock clock;
     Quarantine quarantine(clock);
     for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.take(ended(life));
+        quarantine.apply(ended(life));
     for (std::uint64_t n = 0; n < 5'000; ++n) {
         clock.advance(1ms);
-        quarantine.take(ended(1, {n, n + 10}));
+        quarantine.apply(ended(1, {n, n + 10}));
     }
     CHECK(quarantine.isHeld(kFatal));
     CHECK_FALSE(quarantine.isSuspect({0, 10}));
@@ -124,7 +124,7 @@
 {
     Nodes nodes;
     for (std::size_t n = 0; n < nodes.gates.size(); ++n)
-        nodes.gates[n].brokeOff(kFatal, "i-" + std::to_string(n));
+        nodes.gates[n].onDisconnect(kFatal, "i-" + std::to_string(n));
     nodes.tellEachOther();
     for (const QuarantineGate &it : nodes.gates)
         CHECK(it.isHeld(kFatal));
@@ -134,11 +134,11 @@
           "after the other, at no node")
 {
     Nodes nodes;
-    nodes.gates[0].answered(kOther);
+    nodes.gates[0].onAnswer(kOther);
     for (int n = 0; n < 6; ++n) {
         nodes.clock.advance(500ms);
         for (QuarantineGate &it : nodes.gates)
-            it.brokeOff(kOther, "i-" + std::to_string(n));
+            it.onDisconnect(kOther, "i-" + std::to_string(n));
         nodes.tellEachOther();
         nodes.tellEachOther(); // the answer goes back to those that told of an end
     }
@@ -150,10 +150,10 @@
 {
     ManualClock clock;
     QuarantineGate gate(clock);
-    gate.answered(kFatal);
+    gate.onAnswer(kFatal);
     clock.advance(1min);
     for (int n = 0; n < 3; ++n)
-        gate.brokeOff(kFatal, "i-" + std::to_string(n));
+        gate.onDisconnect(kFatal, "i-" + std::to_string(n));
     CHECK(gate.isHeld(kFatal));
 }
 
@@ -164,14 +164,14 @@
     // Its connections stay silent. The first caller leaves before the record runs out, the last
     // one after it.
     for (const char *it : {"i-1", "i-2"}) {
-        gate.leftUnanswered(kFatal, it);
+        gate.onUnanswered(kFatal, it);
         clock.advance(4s);
-        gate.upstreamEnded(it);
+        gate.onUpstreamEnded(it);
     }
-    gate.upstreamEnded("i-3");
+    gate.onUpstreamEnded("i-3");
     clock.advance(1s);
     CHECK_FALSE(gate.isHeld(kFatal));
-    gate.leftUnanswered(kFatal, "i-3");
+    gate.onUnanswered(kFatal, "i-3");
     CHECK(gate.isHeld(kFatal));
 }
 
@@ -180,10 +180,10 @@
     ManualClock clock;
     QuarantineGate gate(clock);
     for (const char *it : {"i-1", "i-2", "i-3"}) {
-        gate.leftUnanswered(kFatal, it);
+        gate.onUnanswered(kFatal, it);
         clock.advance(10s);
         gate.tick();
-        gate.upstreamEnded(it);
+        gate.onUpstreamEnded(it);
     }
     CHECK_FALSE(gate.isHeld(kFatal));
 }
@@ -221,10 +221,10 @@
 
 // Callers send to any node for 20 s, one request in 33 with the content that ends each engine that
 // runs it, always under a new id; and each engine that ended starts again as another life.
-class FleetUnderFatalRequests
+class FleetUnderPoisonRequests
 {
 public:
-    explicit FleetUnderFatalRequests(std::uint64_t seed) : m_random(seed)
+    explicit FleetUnderPoisonRequests(std::uint64_t seed) : m_random(seed)
     {
         for (int n = 0; n < 8; ++n)
             m_gates.emplace_back(m_clock);
@@ -308,10 +308,10 @@
             const Run run = m_runs.front();
             m_runs.pop_front();
             if (run.request == kFatal) {
-                m_gates[run.node].brokeOff(run.request, idOf(run.engine));
+                m_gates[run.node].onDisconnect(run.request, idOf(run.engine));
                 endEngine(run.engine);
             } else {
-                m_gates[run.node].answered(run.request);
+                m_gates[run.node].onAnswer(run.request);
                 othersAnswered += 1;
             }
         }
@@ -322,7 +322,7 @@
     {
         for (const Run &it : m_runs) {
             if (it.engine == engine)
-                m_gates[it.node].brokeOff(it.request, idOf(engine));
+                m_gates[it.node].onDisconnect(it.request, idOf(engine));
         }
         std::erase_if(m_runs, [engine](const Run &it) { return it.engine == engine; });
         m_engines[engine].life += 1;
@@ -336,10 +336,10 @@
     {
         m_nextRound = m_clock.now() + kRound;
         for (QuarantineGate &from : m_gates) {
-            const auto news = from.takeNews();
+            const auto news = from.takeUpdates();
             for (QuarantineGate &to : m_gates) {
                 if (&to != &from)
-                    to.heard(news);
+                    to.applyUpdates(news);
             }
         }
     }
@@ -360,7 +360,7 @@
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        FleetUnderFatalRequests fleet(seed);
+        FleetUnderPoisonRequests fleet(seed);
         fleet.run();
         CHECK(fleet.ends >= 3);
         CHECK(fleet.ends <= 6);
--- a/tests/unit/upstream_limits_test.cpp
+++ b/tests/unit/upstream_limits_test.cpp
@@ -19,15 +19,15 @@
     Pair()
     {
         clock.advance(1h);
-        a.know("u");
-        b.know("u");
+        a.addUpstream("u");
+        b.addUpstream("u");
     }
 
     // An answer to a request that was sent so long ago.
     std::optional<LimitChange> answer(UpstreamLimits &node, std::optional<double> perSecond,
                                       Duration ago = 100ms)
     {
-        return node.answered("u", perSecond, clock.now() - ago);
+        return node.onAnswer("u", perSecond, clock.now() - ago);
     }
 
     ManualClock clock;
@@ -41,27 +41,27 @@
 {
     Pair pair;
     CHECK_FALSE(pair.answer(pair.a, std::nullopt));
-    CHECK(pair.a.words().empty());
+    CHECK(pair.a.updates().empty());
     const auto named = pair.answer(pair.a, 3.2);
     REQUIRE(named);
     CHECK(named->now == 3.2);
     CHECK_FALSE(named->before);
     CHECK_FALSE(pair.answer(pair.a, 3.2)); // nothing new
-    CHECK(pair.a.limited() == 1);
+    CHECK(pair.a.limitedUpstreams() == 1);
     pair.clock.advance(2s);
-    const auto heard = pair.b.heard(pair.a.words());
+    const auto heard = pair.b.applyUpdates(pair.a.updates());
     REQUIRE(heard.size() == 1);
     CHECK(heard.front().age == 2s);
     CHECK(pair.b.perSecond("u") == 3.2);
-    CHECK(pair.b.heard(pair.a.words()).empty());
+    CHECK(pair.b.applyUpdates(pair.a.updates()).empty());
 
     pair.clock.advance(1s);
     const auto lifted = pair.answer(pair.b, std::nullopt);
     REQUIRE(lifted);
     CHECK(lifted->before == 3.2);
-    pair.a.heard(pair.b.words());
+    pair.a.applyUpdates(pair.b.updates());
     CHECK_FALSE(pair.a.perSecond("u"));
-    CHECK(pair.a.limited() == 0);
+    CHECK(pair.a.limitedUpstreams() == 0);
 }
 
 TEST_CASE("limits: an older word does not revive a limit, and who says it is told what came after "
@@ -69,20 +69,20 @@
 {
     Pair pair;
     pair.answer(pair.a, 3.2);
-    const std::vector<LimitWord> old = pair.a.words();
-    pair.b.heard(old);
+    const std::vector<LimitUpdate> old = pair.a.updates();
+    pair.b.applyUpdates(old);
     pair.clock.advance(1s);
     pair.answer(pair.a, std::nullopt);
-    CHECK(pair.a.heard(old).empty());
+    CHECK(pair.a.applyUpdates(old).empty());
     CHECK_FALSE(pair.a.perSecond("u"));
     // Peers hear of it for a while; then it needs no more words.
-    CHECK(pair.a.words().size() == 1);
+    CHECK(pair.a.updates().size() == 1);
     pair.clock.advance(1min);
-    CHECK(pair.a.words().empty());
+    CHECK(pair.a.updates().empty());
     // A node that was away for longer still says the old word.
     CHECK(pair.b.perSecond("u") == 3.2);
-    pair.a.heard(pair.b.words());
-    CHECK(pair.b.heard(pair.a.words()).size() == 1);
+    pair.a.applyUpdates(pair.b.updates());
+    CHECK(pair.b.applyUpdates(pair.a.updates()).size() == 1);
     CHECK_FALSE(pair.b.perSecond("u"));
 }
 
@@ -116,13 +116,13 @@
     Pair pair;
     pair.answer(pair.a, 5.0);
     pair.answer(pair.b, 2.0);
-    pair.a.heard(pair.b.words());
-    pair.b.heard(pair.a.words());
+    pair.a.applyUpdates(pair.b.updates());
+    pair.b.applyUpdates(pair.a.updates());
     CHECK(pair.a.perSecond("u") == 2.0);
     CHECK(pair.b.perSecond("u") == 2.0);
     pair.clock.advance(1s);
     CHECK(pair.answer(pair.a, 5.0));
-    pair.b.heard(pair.a.words());
+    pair.b.applyUpdates(pair.a.updates());
     CHECK(pair.b.perSecond("u") == 5.0);
 }
 
@@ -131,12 +131,12 @@
     Pair pair;
     pair.answer(pair.a, 2.0);
     pair.a.forget("u");
-    pair.a.know("u/2");
+    pair.a.addUpstream("u/2");
     CHECK_FALSE(pair.a.perSecond("u"));
     CHECK_FALSE(pair.a.perSecond("u/2"));
-    CHECK(pair.a.heard({{stableHash("u"), 9, 2.0, 0s, {}}}).empty());
+    CHECK(pair.a.applyUpdates({{stableHash("u"), 9, 2.0, 0s, {}}}).empty());
     CHECK_FALSE(pair.answer(pair.a, 2.0));
-    CHECK(pair.a.words().empty());
+    CHECK(pair.a.updates().empty());
 }
 
 TEST_CASE("limits: zero still lets through what shows that it is lifted; one beyond any process is "
