--- a/bench/cold_bench.cpp
+++ b/bench/cold_bench.cpp
@@ -27,7 +27,7 @@
 constexpr double kRate = 14.0;
 constexpr double kOvershoot = 1.5;
 constexpr double kSlack = 5.0;
-constexpr double kBorne = kRate * kOvershoot + kSlack; // in a second
+constexpr double kCapacity = kRate * kOvershoot + kSlack; // in a second
 constexpr Duration kColdFor = 3s;
 
 // How one node keeps to what the cold upstream bears.
@@ -46,10 +46,10 @@
     virtual void recordSend() = 0;
 };
 
-class EvenParts : public ColdPolicy
+class EqualShares : public ColdPolicy
 {
 public:
-    explicit EvenParts(const Clock &clock) : m_clock(clock) { }
+    explicit EqualShares(const Clock &clock) : m_clock(clock) { }
 
     void setNodes(const std::vector<std::string> &names) override { m_nodes = names.size(); }
     void turnCold() override { }
@@ -98,7 +98,7 @@
 };
 
 // What the holder of the upstream's rate has left to give: one request at a time.
-struct Holder
+struct TokenBucket
 {
     double tokens = 0.0;
     TimePoint filled{};
@@ -106,11 +106,11 @@
 
 // One node, the first by rendezvous, gives out what the upstream bears, a request at a time; the
 // others ask it, and its word takes a message there and back through the nodes' threads.
-class AskedHolder : public ColdPolicy
+class TokenServer : public ColdPolicy
 {
 public:
-    AskedHolder(const Clock &clock, std::map<std::string, Holder> &holders)
-        : m_clock(clock), m_holders(holders)
+    TokenServer(const Clock &clock, std::map<std::string, TokenBucket> &buckets)
+        : m_clock(clock), m_buckets(buckets)
     { }
 
     void setNodes(const std::vector<std::string> &names) override
@@ -119,62 +119,62 @@
         hashes.reserve(names.size());
         for (const std::string &it : names)
             hashes.push_back(stableHash(it));
-        m_holder = names[static_cast<std::size_t>(rendezvousWinner(stableHash(kUpstream), hashes))];
+        m_server = names[static_cast<std::size_t>(rendezvousWinner(stableHash(kUpstream), hashes))];
     }
     void turnCold() override { }
     bool maySend() override
     {
         const TimePoint now = m_clock.now();
-        if (!m_asked)
-            m_asked = now;
-        if (now - *m_asked < kAnswerTakes)
+        if (!m_requestedAt)
+            m_requestedAt = now;
+        if (now - *m_requestedAt < kRoundTrip)
             return false;
-        m_asked.reset();
+        m_requestedAt.reset();
         // Two holders, for a moment or in a cut, each give half of what is borne.
-        const double rate = std::min(kRate, kBorne / 2.0);
-        Holder &holder = m_holders[m_holder];
-        const std::chrono::duration<double> passed = now - holder.filled;
-        holder.tokens = std::min(rate / 4.0, holder.tokens + rate * passed.count());
-        holder.filled = now;
-        if (holder.tokens < 1.0)
+        const double rate = std::min(kRate, kCapacity / 2.0);
+        TokenBucket &bucket = m_buckets[m_server];
+        const std::chrono::duration<double> passed = now - bucket.filled;
+        bucket.tokens = std::min(rate / 4.0, bucket.tokens + rate * passed.count());
+        bucket.filled = now;
+        if (bucket.tokens < 1.0)
             return false;
-        holder.tokens -= 1.0;
+        bucket.tokens -= 1.0;
         return true;
     }
     void recordSend() override { }
 
 private:
-    static constexpr Duration kAnswerTakes = 40ms;
+    static constexpr Duration kRoundTrip = 40ms;
 
     const Clock &m_clock;
-    std::map<std::string, Holder> &m_holders; // by name
-    std::string m_holder;
-    std::optional<TimePoint> m_asked;
+    std::map<std::string, TokenBucket> &m_buckets; // by name
+    std::string m_server;
+    std::optional<TimePoint> m_requestedAt;
 };
 
-enum class Way { EvenParts, FewSenders, AskedHolder };
+enum class PolicyKind { EqualShares, FewSenders, TokenServer };
 enum class Pattern { Everywhere, OneDomain, Cut };
 
-struct Figures
+struct Result
 {
-    double busiest = 0; // of what is borne
-    double used = 0;
+    double peak = 0; // of what is borne
+    double utilization = 0;
 };
 
-Figures measure(Way way, std::size_t nodes, Pattern pattern)
+Result measure(PolicyKind kind, std::size_t nodes, Pattern pattern)
 {
     ManualClock clock;
-    std::map<std::string, Holder> holders;
+    std::map<std::string, TokenBucket> buckets;
     std::vector<std::string> names;
     std::vector<std::unique_ptr<ColdPolicy>> policies;
     for (std::size_t n = 0; n < nodes; ++n) {
         names.push_back("node-" + std::to_string(n));
-        if (way == Way::EvenParts)
-            policies.push_back(std::make_unique<EvenParts>(clock));
-        else if (way == Way::FewSenders)
+        if (kind == PolicyKind::EqualShares)
+            policies.push_back(std::make_unique<EqualShares>(clock));
+        else if (kind == PolicyKind::FewSenders)
             policies.push_back(std::make_unique<FewSenders>(clock, names.back()));
         else
-            policies.push_back(std::make_unique<AskedHolder>(clock, holders));
+            policies.push_back(std::make_unique<TokenServer>(clock, buckets));
     }
     const auto half = names.begin() + static_cast<std::ptrdiff_t>(nodes / 2);
     const std::vector<std::string> one(names.begin(), half);
@@ -198,9 +198,10 @@
             arrivals.push_back(clock.now() + 10ms * (random() % 10));
         }
     }
-    const double used = static_cast<double>(arrivals.size())
-                        / (kRate * std::chrono::duration<double>(kColdFor).count());
-    return {static_cast<double>(support::busiestWindow(arrivals, 1s, TimePoint{})) / kBorne, used};
+    const double utilization = static_cast<double>(arrivals.size())
+                               / (kRate * std::chrono::duration<double>(kColdFor).count());
+    return {static_cast<double>(support::busiestWindow(arrivals, 1s, TimePoint{})) / kCapacity,
+            utilization};
 }
 
 const char *nameOf(Pattern pattern)
@@ -226,9 +227,10 @@
     for (const Pattern pattern : {Pattern::Everywhere, Pattern::OneDomain, Pattern::Cut}) {
         for (const std::size_t nodes : {3U, 8U, 79U, 295U}) {
             std::cout << "| " << nameOf(pattern) << " | " << nodes;
-            for (const Way it : {Way::EvenParts, Way::FewSenders, Way::AskedHolder}) {
-                const Figures figures = measure(it, nodes, pattern);
-                std::cout << " | " << figures.busiest << " / " << figures.used;
+            for (const PolicyKind it :
+                 {PolicyKind::EqualShares, PolicyKind::FewSenders, PolicyKind::TokenServer}) {
+                const Result result = measure(it, nodes, pattern);
+                std::cout << " | " << result.peak << " / " << result.utilization;
             }
             std::cout << " |\n";
         }
--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -19,12 +19,13 @@
 
 // Senders without any word between the nodes: the first few of all nodes that live, each with the
 // same part.
-class FixedParts : public LimitPolicy
+class FixedShares : public LimitPolicy
 {
 public:
-    // `isEven`: all nodes send; else as many as the limit allows for.
-    FixedParts(const Clock &clock, const std::string &name, bool isEven)
-        : m_clock(clock), m_gate(clock, stableHash(name)), m_name(name), m_isEven(isEven)
+    // `areAllSending`: all nodes send; else as many as the limit allows for.
+    FixedShares(const Clock &clock, const std::string &name, bool areAllSending)
+        : m_clock(clock), m_gate(clock, stableHash(name)), m_name(name),
+          m_areAllSending(areAllSending)
     {
         m_gate.upstreamLimits().addUpstream(LimitFleet::kUpstream);
     }
@@ -36,7 +37,7 @@
             return true;
         const LimitShare share = shareOfLimit(*limit, true);
         const std::size_t nodes = m_others.size() + 1;
-        const std::size_t senders = m_isEven ? nodes : std::min(nodes, share.senders);
+        const std::size_t senders = m_areAllSending ? nodes : std::min(nodes, share.senders);
         const std::size_t rank
             = rendezvousRank(stableHash(LimitFleet::kUpstream), m_name, m_others);
         if (rank >= senders)
@@ -56,21 +57,21 @@
     const Clock &m_clock;
     LimitGate m_gate;
     const std::string m_name;
-    const bool m_isEven;
+    const bool m_areAllSending;
     std::vector<std::string> m_others;
     std::optional<TimePoint> m_last;
 };
 
-struct Way
+struct Policy
 {
     const char *name;
     LimitFleet::MakePolicy make;
 };
 
-struct Figures
+struct Result
 {
-    double busiest = 0; // of what is borne
-    double used = 0;
+    double maxInFourSeconds = 0; // of what is borne
+    double utilization = 0;
 };
 
 enum class Pattern { Even, OneNode, QuarterOfNodes, TwoFrozen, Cut };
@@ -95,7 +96,7 @@
     return "";
 }
 
-void strike(LimitFleet &fleet, Pattern pattern)
+void applyPattern(LimitFleet &fleet, Pattern pattern)
 {
     const std::size_t nodes = fleet.nodes.size();
     for (std::size_t n = 0; n < nodes; ++n) {
@@ -113,32 +114,33 @@
         fleet.updateLiveNodes();
 }
 
-Figures measure(const Way &way, std::size_t nodes, double perSecond, Pattern pattern)
+Result measure(const Policy &policy, std::size_t nodes, double perSecond, Pattern pattern)
 {
-    LimitFleet fleet(nodes, perSecond, way.make);
+    LimitFleet fleet(nodes, perSecond, policy.make);
     fleet.updateLiveNodes();
     const TimePoint named = fleet.clock.now();
-    fleet.play(6s);
-    strike(fleet, pattern);
-    fleet.play(6s);
+    fleet.run(6s);
+    applyPattern(fleet, pattern);
+    fleet.run(6s);
     const TimePoint settled = fleet.clock.now();
-    fleet.play(perSecond < 1.0 ? 60s : 20s);
-    const double borne = 1.5 * perSecond * 4.0 + 5.0;
-    return {static_cast<double>(fleet.busiest(named + 3s)) / borne, fleet.used(settled)};
+    fleet.run(perSecond < 1.0 ? 60s : 20s);
+    const double capacity = 1.5 * perSecond * 4.0 + 5.0;
+    return {static_cast<double>(fleet.maxInFourSeconds(named + 3s)) / capacity,
+            fleet.utilization(settled)};
 }
 
 } // namespace
 
 int main()
 {
-    const auto fixed = [](bool isEven) {
-        return [isEven](const Clock &clock, const std::string &name) {
-            return std::make_unique<FixedParts>(clock, name, isEven);
+    const auto fixed = [](bool areAllSending) {
+        return [areAllSending](const Clock &clock, const std::string &name) {
+            return std::make_unique<FixedShares>(clock, name, areAllSending);
         };
     };
-    const Way kPolicies[]{{"even", fixed(true)},
-                          {"few of all", fixed(false)},
-                          {"few with requests", LimitFleet::gatePolicy}};
+    const Policy kPolicies[]{{"even", fixed(true)},
+                             {"few of all", fixed(false)},
+                             {"few with requests", LimitFleet::gatePolicy}};
     std::cout << std::fixed << std::setprecision(2) << "| pattern | nodes | limit a second | "
               << kPolicies[0].name << " | " << kPolicies[1].name << " | " << kPolicies[2].name
               << " |\n|---|---|---|---|---|---|\n";
@@ -146,9 +148,10 @@
         for (const std::size_t nodes : {8U, 79U, 300U}) {
             for (const double perSecond : {0.3, 3.2, 30.0}) {
                 std::cout << "| " << nameOf(pattern) << " | " << nodes << " | " << perSecond;
-                for (const Way &it : kPolicies) {
-                    const Figures figures = measure(it, nodes, perSecond, pattern);
-                    std::cout << " | " << figures.busiest << " / " << figures.used << std::flush;
+                for (const Policy &it : kPolicies) {
+                    const Result result = measure(it, nodes, perSecond, pattern);
+                    std::cout << " | " << result.maxInFourSeconds << " / " << result.utilization
+                              << std::flush;
                 }
                 std::cout << " |\n";
             }
--- a/include/fordwood/allowance_allocator.hpp
+++ b/include/fordwood/allowance_allocator.hpp
@@ -53,7 +53,7 @@
     void setPools(const std::map<std::string, std::size_t> &pools);
 
     // Answers at once. An unknown team gets nothing.
-    Allowance allocate(const AllowanceRequest &ask);
+    Allowance allocate(const AllowanceRequest &request);
 
     // The sum of a team's allowances that have not run out.
     std::size_t granted(const std::string &team) const;
--- a/include/fordwood/limit_gate.hpp
+++ b/include/fordwood/limit_gate.hpp
@@ -45,9 +45,9 @@
 
     // What a peer has told, and what peers should hear: of this node alone, where relays tell it
     // on, or also of the others that it has heard of.
-    std::vector<LimitChange> applyUpdates(const std::vector<LimitUpdate> &words);
-    std::vector<LimitUpdate> ownUpdates() const;
-    std::vector<LimitUpdate> allUpdates() const;
+    std::vector<LimitChange> applyUpdates(const std::vector<LimitGossip> &updates);
+    std::vector<LimitGossip> ownUpdates() const;
+    std::vector<LimitGossip> allUpdates() const;
 
     // Whether a request that waits here may go to the upstream now; always to one without a limit.
     bool maySend(const std::string &instanceId);
--- a/include/fordwood/limit_senders.hpp
+++ b/include/fordwood/limit_senders.hpp
@@ -55,7 +55,8 @@
     void recordDemand(std::uint64_t upstream);
 
     // The nodes that a peer names for an upstream.
-    void applyAnnouncements(std::uint64_t upstream, const std::vector<SenderAnnouncement> &words);
+    void applyAnnouncements(std::uint64_t upstream,
+                            const std::vector<SenderAnnouncement> &announcements);
 
     // This node's place among at most so many senders; nothing: it is none of them, or has not said
     // for long enough that it has requests, so that others may still count without it.
@@ -67,7 +68,7 @@
     // The first so many in the order of the upstream, this node among them: for those who hear of
     // all nodes by this one.
     std::vector<SenderAnnouncement> firstAnnouncements(std::uint64_t upstream,
-                                                       std::size_t most) const;
+                                                       std::size_t max) const;
 
     void forget(std::uint64_t upstream) { m_upstreams.erase(upstream); }
 
@@ -95,7 +96,7 @@
         return m_clock.now() - receivedAt < age;
     }
     std::uint64_t millisecondsOf(TimePoint time) const;
-    void applyAnnouncement(Demand &demand, const SenderAnnouncement &word);
+    void applyAnnouncement(Demand &demand, const SenderAnnouncement &announcement);
 
     const Clock &m_clock;
     const std::uint64_t m_self;
--- a/include/fordwood/permit_scheduler.hpp
+++ b/include/fordwood/permit_scheduler.hpp
@@ -90,7 +90,7 @@
     void setPaused(const std::string &upstream, bool isPaused);
 
     // Handles one ask; the answer may come now or with a later call to takeAnswers().
-    void request(const PermitRequest &ask);
+    void request(const PermitRequest &request);
 
     // Ends a running permit. `cost` is what the request really used, or zero if unknown; an empty
     // `upstream` stands for any.
@@ -132,7 +132,7 @@
     };
     struct Waiting
     {
-        PermitRequest ask;
+        PermitRequest request;
         TimePoint since;
         Duration prefill; // to compute its prompt, as believed when it came
     };
@@ -151,14 +151,14 @@
         std::map<std::pair<HolderId, std::uint64_t>, Permit> running;
     };
 
-    void grant(UpstreamState &state, const PermitRequest &ask, Duration waited);
-    void deny(const PermitRequest &ask, Reason reason);
+    void grant(UpstreamState &state, const PermitRequest &request, Duration waited);
+    void deny(const PermitRequest &request, Reason reason);
     void denyAllWaiting(UpstreamState &state, Reason reason);
     void grantWaiting(UpstreamState &state);
     void dropWaiting(UpstreamState &state, FairQueue::EntryId id);
     void releaseFrom(UpstreamState &state, HolderId holder, std::uint64_t permitId, double cost);
-    bool canGrantNow(const UpstreamState &state, const PermitRequest &ask) const;
-    Duration expectedWait(const UpstreamState &state, const PermitRequest &ask) const;
+    bool canGrantNow(const UpstreamState &state, const PermitRequest &request) const;
+    Duration expectedWait(const UpstreamState &state, const PermitRequest &request) const;
     std::chrono::milliseconds retryAdvice(const UpstreamState *state) const;
     double share(const std::string &team) const;
 
--- a/include/fordwood/team_admission.hpp
+++ b/include/fordwood/team_admission.hpp
@@ -60,7 +60,7 @@
         TimePoint until;
     };
 
-    void ask(const std::string &team);
+    void requestAllowance(const std::string &team);
     void processWaiting(const std::string &team);
     template <typename Matches>
     void abandonRequests(Matches matches);
--- a/include/fordwood/upstream_limits.hpp
+++ b/include/fordwood/upstream_limits.hpp
@@ -16,7 +16,7 @@
 namespace fordwood {
 
 // What nodes tell each other of one upstream's limit.
-struct LimitUpdate
+struct LimitGossip
 {
     std::uint64_t upstream = 0; // its life, by the stable hash of its instance id
     std::uint64_t version = 0; // of what is believed of it; the highest one holds
@@ -25,7 +25,7 @@
     std::vector<SenderAnnouncement>
         senders; // nodes that have requests for it; none once it is lifted
 
-    bool operator==(const LimitUpdate &) const = default;
+    bool operator==(const LimitGossip &) const = default;
 };
 
 // What a node believes of one upstream's limit has changed.
@@ -64,7 +64,7 @@
                                         std::optional<double> perSecond, TimePoint sent);
 
     // What a peer has told. Words about upstreams that this node does not know are passed over.
-    std::vector<LimitChange> applyUpdates(const std::vector<LimitUpdate> &words);
+    std::vector<LimitChange> applyUpdates(const std::vector<LimitGossip> &updates);
 
     // Requests a second that the upstream takes from all nodes together; nothing: any number.
     std::optional<double> perSecond(const std::string &instanceId) const;
@@ -72,7 +72,7 @@
     std::optional<double> perSecond(std::uint64_t upstream) const;
 
     // What peers should hear: limits that stand, and of late lifted ones. Without senders.
-    std::vector<LimitUpdate> updates() const;
+    std::vector<LimitGossip> updates() const;
 
     // Upstreams that name a limit now, for the metrics.
     std::size_t limitedUpstreams() const { return m_limited; }
--- a/src/core/allowance_allocator.cpp
+++ b/src/core/allowance_allocator.cpp
@@ -10,24 +10,24 @@
 {
     std::erase_if(m_pools, [&](const auto &it) { return pools.count(it.first) == 0; });
     for (const auto &[team, size] : pools) {
-        const auto [it, fresh] = m_pools.try_emplace(team);
+        const auto [it, isNew] = m_pools.try_emplace(team);
         it->second.size = size;
-        if (fresh)
+        if (isNew)
             it->second.closedUntil = m_clock.now() + m_limits.life;
     }
 }
 
-Allowance AllowanceAllocator::allocate(const AllowanceRequest &ask)
+Allowance AllowanceAllocator::allocate(const AllowanceRequest &request)
 {
-    const auto known = m_pools.find(ask.team);
+    const auto known = m_pools.find(request.team);
     if (known == m_pools.end())
         return {0, m_limits.life};
     Pool &pool = known->second;
-    Holder &holder = pool.holders[ask.holder];
+    Holder &holder = pool.holders[request.holder];
     pool.committed -= committedTo(holder);
     dropExpired(holder);
-    holder.used = ask.used;
-    holder.wanted = ask.wanted;
+    holder.used = request.used;
+    holder.wanted = request.wanted;
     // Also a wish that gets nothing is remembered as long: it makes the others' parts smaller.
     holder.grants.push_back({0, m_clock.now() + m_limits.life});
     pool.committed += committedTo(holder);
@@ -35,8 +35,8 @@
         sweep(pool);
     const std::size_t others = pool.committed - committedTo(holder);
     const std::size_t free = pool.size - std::min(pool.size, others);
-    const bool closed = m_clock.now() < pool.closedUntil;
-    const std::size_t amount = closed ? 0 : std::min({ask.wanted, free, pool.equalShareSize});
+    const bool isClosed = m_clock.now() < pool.closedUntil;
+    const std::size_t amount = isClosed ? 0 : std::min({request.wanted, free, pool.equalShareSize});
     holder.grants.back().amount = amount;
     pool.committed = others + committedTo(holder);
     return {amount, m_limits.life};
@@ -97,17 +97,17 @@
 // others.
 std::size_t AllowanceAllocator::equalShare(const Pool &pool)
 {
-    std::vector<std::size_t> wishes;
+    std::vector<std::size_t> demands;
     for (const auto &[id, it] : pool.holders)
-        wishes.push_back(it.wanted);
-    std::sort(wishes.begin(), wishes.end());
+        demands.push_back(it.wanted);
+    std::sort(demands.begin(), demands.end());
     std::size_t left = pool.size;
-    for (std::size_t it = 0; it < wishes.size(); ++it) {
-        const std::size_t sharers = wishes.size() - it;
+    for (std::size_t it = 0; it < demands.size(); ++it) {
+        const std::size_t sharers = demands.size() - it;
         const std::size_t equalShareSize = (left + sharers - 1) / sharers;
-        if (wishes[it] > left / sharers)
+        if (demands[it] > left / sharers)
             return equalShareSize;
-        left -= wishes[it];
+        left -= demands[it];
     }
     return std::numeric_limits<std::size_t>::max();
 }
--- a/src/core/cold_gate.cpp
+++ b/src/core/cold_gate.cpp
@@ -72,8 +72,8 @@
 // the rest is for what they do not know.
 std::size_t ColdGate::totalQuota(double requestsPerSecond) const
 {
-    const double borne = requestsPerSecond * m_limits.overshoot + m_limits.slack;
-    const double total = std::min(requestsPerSecond, kShareOfEachSide * borne);
+    const double capacity = requestsPerSecond * m_limits.overshoot + m_limits.slack;
+    const double total = std::min(requestsPerSecond, kShareOfEachSide * capacity);
     return std::max<std::size_t>(1, static_cast<std::size_t>(total));
 }
 
@@ -93,14 +93,14 @@
     }
     const std::size_t nodes = m_nodes ? m_nodes->size() + 1 : 1;
     const std::size_t senders = std::min({m_limits.senders, total, nodes});
-    const auto partOf = [&](std::size_t rank) -> std::size_t {
+    const auto quotaOf = [&](std::size_t rank) -> std::size_t {
         if (rank >= senders)
             return 0;
         return total / senders + (rank < total % senders ? 1 : 0);
     };
     const bool isSettled = m_clock.now() - m_nodesChangedAt >= m_limits.window;
-    const std::size_t part = partOf(upstream.rank);
-    return isSettled ? part : std::min(part, partOf(upstream.previousRank));
+    const std::size_t quota = quotaOf(upstream.rank);
+    return isSettled ? quota : std::min(quota, quotaOf(upstream.previousRank));
 }
 
 bool ColdGate::maySend(const std::string &instanceId, double requestsPerSecond)
--- a/src/core/limit_gate.cpp
+++ b/src/core/limit_gate.cpp
@@ -63,32 +63,32 @@
     return !m_nodeLossTime || m_clock.now() - *m_nodeLossTime >= kPartitionSuspectedFor;
 }
 
-std::vector<LimitChange> LimitGate::applyUpdates(const std::vector<LimitUpdate> &words)
+std::vector<LimitChange> LimitGate::applyUpdates(const std::vector<LimitGossip> &updates)
 {
-    std::vector<LimitChange> changes = m_upstreamLimits.applyUpdates(words);
-    for (const LimitUpdate &it : words) {
+    std::vector<LimitChange> changes = m_upstreamLimits.applyUpdates(updates);
+    for (const LimitGossip &it : updates) {
         if (m_upstreamLimits.perSecond(it.upstream))
             m_senders.applyAnnouncements(it.upstream, it.senders);
     }
     return changes;
 }
 
-std::vector<LimitUpdate> LimitGate::ownUpdates() const
+std::vector<LimitGossip> LimitGate::ownUpdates() const
 {
-    std::vector<LimitUpdate> words = m_upstreamLimits.updates();
-    for (LimitUpdate &it : words)
+    std::vector<LimitGossip> updates = m_upstreamLimits.updates();
+    for (LimitGossip &it : updates)
         it.senders = m_senders.ownAnnouncement(it.upstream);
-    return words;
+    return updates;
 }
 
-std::vector<LimitUpdate> LimitGate::allUpdates() const
+std::vector<LimitGossip> LimitGate::allUpdates() const
 {
-    std::vector<LimitUpdate> words = m_upstreamLimits.updates();
-    for (LimitUpdate &it : words) {
+    std::vector<LimitGossip> updates = m_upstreamLimits.updates();
+    for (LimitGossip &it : updates) {
         if (const auto division = share(it.upstream))
             it.senders = m_senders.firstAnnouncements(it.upstream, division->senders);
     }
-    return words;
+    return updates;
 }
 
 std::optional<LimitShare> LimitGate::share(std::uint64_t upstream) const
--- a/src/core/limit_senders.cpp
+++ b/src/core/limit_senders.cpp
@@ -57,28 +57,28 @@
     demand.last = m_clock.now();
 }
 
-void LimitSenders::applyAnnouncement(Demand &demand, const SenderAnnouncement &word)
+void LimitSenders::applyAnnouncement(Demand &demand, const SenderAnnouncement &announcement)
 {
-    if (word.node == m_self) {
+    if (announcement.node == m_self) {
         // A word of before a pause tells nothing of now.
-        if (demand.since && word.sequence >= millisecondsOf(*demand.since))
+        if (demand.since && announcement.sequence >= millisecondsOf(*demand.since))
             demand.lastNamed = m_clock.now();
         return;
     }
-    const auto [known, isNew] = demand.others.try_emplace(word.node);
-    if (isNew || word.sequence > known->second.sequence)
-        known->second = {word.sequence, m_clock.now()};
+    const auto [known, isNew] = demand.others.try_emplace(announcement.node);
+    if (isNew || announcement.sequence > known->second.sequence)
+        known->second = {announcement.sequence, m_clock.now()};
 }
 
 void LimitSenders::applyAnnouncements(std::uint64_t upstream,
-                                      const std::vector<SenderAnnouncement> &words)
+                                      const std::vector<SenderAnnouncement> &announcements)
 {
-    if (words.empty())
+    if (announcements.empty())
         return;
     Demand &demand = m_upstreams[upstream];
     std::erase_if(demand.others,
                   [this](const auto &it) { return !isWithin(it.second.receivedAt, kRememberFor); });
-    for (const SenderAnnouncement &it : words)
+    for (const SenderAnnouncement &it : announcements)
         applyAnnouncement(demand, it);
 }
 
@@ -121,22 +121,22 @@
 }
 
 std::vector<SenderAnnouncement> LimitSenders::firstAnnouncements(std::uint64_t upstream,
-                                                                 std::size_t most) const
+                                                                 std::size_t max) const
 {
-    std::vector<SenderAnnouncement> words = ownAnnouncement(upstream);
+    std::vector<SenderAnnouncement> announcements = ownAnnouncement(upstream);
     const auto it = m_upstreams.find(upstream);
     if (it == m_upstreams.end())
-        return words;
+        return announcements;
     for (const auto &[node, heard] : it->second.others) {
         if (isWithin(heard.receivedAt, kForwardFor))
-            words.push_back({node, heard.sequence});
+            announcements.push_back({node, heard.sequence});
     }
-    std::sort(words.begin(), words.end(),
+    std::sort(announcements.begin(), announcements.end(),
               [upstream](const SenderAnnouncement &a, const SenderAnnouncement &b) {
                   return rendezvousWeight(upstream, a.node) > rendezvousWeight(upstream, b.node);
               });
-    words.resize(std::min(words.size(), most));
-    return words;
+    announcements.resize(std::min(announcements.size(), max));
+    return announcements;
 }
 
 } // namespace fordwood
--- a/src/core/limit_share.cpp
+++ b/src/core/limit_share.cpp
@@ -31,11 +31,11 @@
 
 LimitShare shareOfLimit(double perSecond, bool isFleetComplete)
 {
-    const double borne = kOvershoot * perSecond * kCapacityWindowSeconds + kSlack;
-    double senders = borne - kCountedSeconds * perSecond - kSpareSender;
+    const double capacity = kOvershoot * perSecond * kCapacityWindowSeconds + kSlack;
+    double senders = capacity - kCountedSeconds * perSecond - kSpareSender;
     double rate = perSecond;
     if (!isFleetComplete) {
-        const double half = borne / 2.0;
+        const double half = capacity / 2.0;
         senders = std::max(kMinSenders, half - kCountedSeconds * kRateShareOfEachSide * perSecond);
         senders = static_cast<double>(static_cast<std::size_t>(std::min(senders, kMaxSenders)));
         rate = std::min(perSecond, (half - senders) / kCountedSeconds);
--- a/src/core/permit_scheduler.cpp
+++ b/src/core/permit_scheduler.cpp
@@ -52,30 +52,30 @@
     grantWaiting(it->second);
 }
 
-void PermitScheduler::request(const PermitRequest &ask)
+void PermitScheduler::request(const PermitRequest &request)
 {
-    const auto it = m_states.find(ask.upstream);
+    const auto it = m_states.find(request.upstream);
     if (it == m_states.end())
-        return deny(ask, Reason::NotOwner);
+        return deny(request, Reason::NotOwner);
     UpstreamState &state = it->second;
     if (state.upstream.leaving)
-        return deny(ask, Reason::UpstreamLeaving);
-    if (state.queue.empty() && canGrantNow(state, ask)) {
-        state.queue.charge(ask.team, share(ask.team), ask.cost);
-        return grant(state, ask, Duration::zero());
+        return deny(request, Reason::UpstreamLeaving);
+    if (state.queue.empty() && canGrantNow(state, request)) {
+        state.queue.charge(request.team, share(request.team), request.cost);
+        return grant(state, request, Duration::zero());
     }
-    if (ask.wait <= Duration::zero())
-        return deny(ask, Reason::UpstreamBusy);
-    if (state.queue.waiting(ask.team) >= m_limits.queuePerTeam)
-        return deny(ask, Reason::QueueFull);
-    if (expectedWait(state, ask) + state.meanHold > ask.wait)
-        return deny(ask, Reason::DeadlineTooNear);
+    if (request.wait <= Duration::zero())
+        return deny(request, Reason::UpstreamBusy);
+    if (state.queue.waiting(request.team) >= m_limits.queuePerTeam)
+        return deny(request, Reason::QueueFull);
+    if (expectedWait(state, request) + state.meanHold > request.wait)
+        return deny(request, Reason::DeadlineTooNear);
     const FairQueue::EntryId id = m_nextEntry++;
-    const Duration prefill = state.prefill.timeFor(ask.prompt);
-    state.waiting.emplace(id, Waiting{ask, m_clock.now(), prefill});
-    state.byRequest.emplace(std::pair(ask.holder, ask.requestId), id);
+    const Duration prefill = state.prefill.timeFor(request.prompt);
+    state.waiting.emplace(id, Waiting{request, m_clock.now(), prefill});
+    state.byRequest.emplace(std::pair(request.holder, request.requestId), id);
     state.waitingPrefill += prefill;
-    state.queue.push({id, ask.team, share(ask.team), ask.cost, ask.priority});
+    state.queue.push({id, request.team, share(request.team), request.cost, request.priority});
 }
 
 void PermitScheduler::release(HolderId holder, std::uint64_t permitId, const std::string &upstream,
@@ -139,7 +139,7 @@
     for (auto &[name, state] : m_states) {
         std::vector<FairQueue::EntryId> gone;
         for (const auto &[id, it] : state.waiting) {
-            if (it.ask.holder == holder)
+            if (it.request.holder == holder)
                 gone.push_back(id);
         }
         for (const FairQueue::EntryId id : gone)
@@ -155,12 +155,12 @@
     for (auto &[name, state] : m_states) {
         std::vector<FairQueue::EntryId> late;
         for (const auto &[id, it] : state.waiting) {
-            if (it.since + it.ask.wait <= now)
+            if (it.since + it.request.wait <= now)
                 late.push_back(id);
         }
         std::sort(late.begin(), late.end());
         for (const FairQueue::EntryId id : late) {
-            deny(state.waiting.at(id).ask, Reason::DeadlineTooNear);
+            deny(state.waiting.at(id).request, Reason::DeadlineTooNear);
             dropWaiting(state, id);
         }
         grantWaiting(state);
@@ -190,15 +190,15 @@
     return it == m_states.end() ? 0 : it->second.queue.size();
 }
 
-void PermitScheduler::grant(UpstreamState &state, const PermitRequest &ask, Duration waited)
+void PermitScheduler::grant(UpstreamState &state, const PermitRequest &request, Duration waited)
 {
     const std::uint64_t id = m_nextPermit++;
-    state.prefill.give(ask.prompt, m_clock.now());
-    state.running.emplace(std::pair(ask.holder, id),
-                          Permit{ask.holder, ask.team, ask.cost, m_clock.now()});
+    state.prefill.give(request.prompt, m_clock.now());
+    state.running.emplace(std::pair(request.holder, id),
+                          Permit{request.holder, request.team, request.cost, m_clock.now()});
     PermitAnswer answer;
-    answer.holder = ask.holder;
-    answer.requestId = ask.requestId;
+    answer.holder = request.holder;
+    answer.requestId = request.requestId;
     answer.granted = true;
     answer.permitId = id;
     answer.waited = waited;
@@ -206,18 +206,18 @@
     m_answers.push_back(answer);
 }
 
-void PermitScheduler::deny(const PermitRequest &ask, Reason reason)
+void PermitScheduler::deny(const PermitRequest &request, Reason reason)
 {
-    const auto it = m_states.find(ask.upstream);
+    const auto it = m_states.find(request.upstream);
     PermitAnswer answer;
-    answer.holder = ask.holder;
-    answer.requestId = ask.requestId;
+    answer.holder = request.holder;
+    answer.requestId = request.requestId;
     answer.reason = reason;
     answer.retryAfter = retryAdvice(it == m_states.end() ? nullptr : &it->second);
     if (it != m_states.end())
         // What is computed here is counted twice: others wait for it as well.
         answer.firstTokenIn
-            = expectedWait(it->second, ask) + it->second.prefill.timeFor(ask.prompt) * 2;
+            = expectedWait(it->second, request) + it->second.prefill.timeFor(request.prompt) * 2;
     m_answers.push_back(answer);
 }
 
@@ -228,7 +228,7 @@
         ids.push_back(id);
     std::sort(ids.begin(), ids.end());
     for (const FairQueue::EntryId id : ids) {
-        deny(state.waiting.at(id).ask, reason);
+        deny(state.waiting.at(id).request, reason);
         dropWaiting(state, id);
     }
 }
@@ -243,15 +243,15 @@
         if (!entry)
             return;
         const Waiting waiting = state.waiting.at(entry->id);
-        if (waiting.since + waiting.ask.wait - m_clock.now() < state.meanHold) {
+        if (waiting.since + waiting.request.wait - m_clock.now() < state.meanHold) {
             // Too late to finish: it must not take the place of one that can.
-            deny(waiting.ask, Reason::DeadlineTooNear);
+            deny(waiting.request, Reason::DeadlineTooNear);
             dropWaiting(state, entry->id);
             continue;
         }
         state.queue.pop();
         dropWaiting(state, entry->id);
-        grant(state, waiting.ask, m_clock.now() - waiting.since);
+        grant(state, waiting.request, m_clock.now() - waiting.since);
     }
 }
 
@@ -260,7 +260,7 @@
     const auto it = state.waiting.find(id);
     if (it == state.waiting.end())
         return;
-    state.byRequest.erase({it->second.ask.holder, it->second.ask.requestId});
+    state.byRequest.erase({it->second.request.holder, it->second.request.requestId});
     state.waitingPrefill -= it->second.prefill; // what was added, whatever is believed by now
     state.queue.remove(id);
     state.waiting.erase(it);
@@ -268,23 +268,25 @@
 
 // Whether a request may go to the upstream at once. One whose context is kept there waits as long
 // as it would take to compute it elsewhere; any other goes where less is to be computed.
-bool PermitScheduler::canGrantNow(const UpstreamState &state, const PermitRequest &ask) const
+bool PermitScheduler::canGrantNow(const UpstreamState &state, const PermitRequest &request) const
 {
     const TimePoint now = m_clock.now();
     if (state.isPaused || now < state.pausedUntil || state.running.size() >= state.upstream.slots)
         return false;
-    const Duration most = state.prefill.isWarm(ask.prompt)
-                              ? std::max(m_limits.maxBacklog, state.prefill.coldTimeFor(ask.prompt))
-                              : m_limits.maxBacklog;
+    const Duration most
+        = state.prefill.isWarm(request.prompt)
+              ? std::max(m_limits.maxBacklog, state.prefill.coldTimeFor(request.prompt))
+              : m_limits.maxBacklog;
     return state.prefill.backlog(now) <= most;
 }
 
 // How long an ask would wait, from the mean time that permits are held and the team's part of the
 // places among the teams that wait.
-Duration PermitScheduler::expectedWait(const UpstreamState &state, const PermitRequest &ask) const
+Duration PermitScheduler::expectedWait(const UpstreamState &state,
+                                       const PermitRequest &request) const
 {
-    const std::size_t ahead = state.queue.waiting(ask.team);
-    const double own = share(ask.team);
+    const std::size_t ahead = state.queue.waiting(request.team);
+    const double own = share(request.team);
     const double active = state.queue.activeShare() + (ahead == 0 ? own : 0.0);
     const double rounds = static_cast<double>(ahead + 1) * active / own
                           / static_cast<double>(std::max<std::size_t>(1, state.upstream.slots));
--- a/src/core/quarantine_gate.cpp
+++ b/src/core/quarantine_gate.cpp
@@ -34,8 +34,8 @@
 
 void QuarantineGate::onUnanswered(const RequestFingerprint &request, const std::string &instanceId)
 {
-    const auto ended = m_ended.find(instanceId);
-    if (ended != m_ended.end() && m_clock.now() - ended->second < kEndDetectedWithin) {
+    const auto endedAt = m_ended.find(instanceId);
+    if (endedAt != m_ended.end() && m_clock.now() - endedAt->second < kEndDetectedWithin) {
         onDisconnect(request, instanceId);
         return;
     }
--- a/src/core/team_admission.cpp
+++ b/src/core/team_admission.cpp
@@ -28,7 +28,7 @@
         return m_listener.onRefused(call);
     m_waiting[team].push_back(call);
     if (!m_gate.isRequestPending(team))
-        ask(team);
+        requestAllowance(team);
 }
 
 void TeamAdmission::leave(const std::string &team)
@@ -66,13 +66,13 @@
     const TimePoint now = m_clock.now();
     abandonRequests([&](const PendingRequest &it) { return it.until <= now; });
     for (const std::string &team : m_gate.dueForRenewal())
-        ask(team);
+        requestAllowance(team);
 }
 
-void TeamAdmission::ask(const std::string &team)
+void TeamAdmission::requestAllowance(const std::string &team)
 {
     const auto waiting = m_waiting.find(team);
-    const AllowanceRequest ask
+    const AllowanceRequest request
         = m_gate.startRequest(team, waiting == m_waiting.end() ? 0 : waiting->second.size());
     const Member *owner = m_view->teamOwner(team);
     if (owner == nullptr) {
@@ -80,7 +80,7 @@
         return processWaiting(team);
     }
     m_pendingRequests[team] = {owner->name, m_clock.now() + m_ownerTimeout};
-    m_actions.emplace_back(AskAllowance{owner->name, owner->controlAddress, ask});
+    m_actions.emplace_back(AskAllowance{owner->name, owner->controlAddress, request});
 }
 
 // Goes on without the answers to the open asks that match.
@@ -115,7 +115,7 @@
             m_listener.onRefused(it);
     }
     if (m_waiting.count(team) != 0)
-        ask(team);
+        requestAllowance(team);
 }
 
 } // namespace fordwood
--- a/src/core/upstream_limits.cpp
+++ b/src/core/upstream_limits.cpp
@@ -48,9 +48,9 @@
 // What is believed of the upstream, to be changed; null: it is not in service.
 UpstreamLimits::LimitState *UpstreamLimits::state(std::uint64_t upstream)
 {
-    const auto known = m_states.find(upstream);
-    if (known != m_states.end())
-        return &known->second;
+    const auto current = m_states.find(upstream);
+    if (current != m_states.end())
+        return &current->second;
     const auto it = m_inService.find(upstream);
     if (it == m_inService.end())
         return nullptr;
@@ -93,42 +93,42 @@
     const std::uint64_t upstream = stableHash(instanceId);
     if (!named && !m_states.contains(upstream))
         return std::nullopt; // as ever
-    LimitState *known = state(upstream);
-    if (known == nullptr)
+    LimitState *current = state(upstream);
+    if (current == nullptr)
         return std::nullopt;
-    if (named == known->perSecond) {
-        known->confirmedAt = m_clock.now();
+    if (named == current->perSecond) {
+        current->confirmedAt = m_clock.now();
         return std::nullopt;
     }
-    if (!mayChange(*known, named, sent))
+    if (!mayChange(*current, named, sent))
         return std::nullopt;
-    return change(*known, known->version + 1, named, m_clock.now());
+    return change(*current, current->version + 1, named, m_clock.now());
 }
 
-std::vector<LimitChange> UpstreamLimits::applyUpdates(const std::vector<LimitUpdate> &words)
+std::vector<LimitChange> UpstreamLimits::applyUpdates(const std::vector<LimitGossip> &updates)
 {
     std::vector<LimitChange> changes;
     const TimePoint now = m_clock.now();
-    for (const LimitUpdate &it : words) {
+    for (const LimitGossip &it : updates) {
         LimitState *found = state(it.upstream);
         if (found == nullptr)
             continue;
-        LimitState &known = *found;
+        LimitState &current = *found;
         const std::optional<double> named
             = effectiveLimit(it.perSecond > 0.0 ? std::optional(it.perSecond) : std::nullopt);
         // Two nodes may have read different answers at the same time: the stricter one holds until
         // the next answer.
-        const bool isStricter = it.version == known.version && named
-                                && (!known.perSecond || *named < *known.perSecond);
-        if (it.version < known.version)
-            known.announceUntil
+        const bool isStricter = it.version == current.version && named
+                                && (!current.perSecond || *named < *current.perSecond);
+        if (it.version < current.version)
+            current.announceUntil
                 = now + kAnnounceLiftedFor; // who says so has missed what came after
-        if (it.version <= known.version && !isStricter)
+        if (it.version <= current.version && !isStricter)
             continue;
-        const bool isSame = named == known.perSecond;
-        LimitChange made = change(known, it.version, named, now - it.age);
+        const bool isSame = named == current.perSecond;
+        LimitChange changed = change(current, it.version, named, now - it.age);
         if (!isSame)
-            changes.push_back(std::move(made));
+            changes.push_back(std::move(changed));
     }
     return changes;
 }
@@ -144,16 +144,17 @@
     return it == m_states.end() ? std::nullopt : it->second.perSecond;
 }
 
-std::vector<LimitUpdate> UpstreamLimits::updates() const
+std::vector<LimitGossip> UpstreamLimits::updates() const
 {
-    std::vector<LimitUpdate> words;
+    std::vector<LimitGossip> updates;
     const TimePoint now = m_clock.now();
     for (const auto &[hash, it] : m_states) {
         const bool isLifted = it.version > 0 && !it.perSecond && now < it.announceUntil;
         if (it.perSecond || isLifted)
-            words.push_back({hash, it.version, it.perSecond.value_or(0.0), now - it.answered, {}});
+            updates.push_back(
+                {hash, it.version, it.perSecond.value_or(0.0), now - it.answered, {}});
     }
-    return words;
+    return updates;
 }
 
 } // namespace fordwood
--- a/src/node/control_duty.cpp
+++ b/src/node/control_duty.cpp
@@ -479,7 +479,7 @@
 
 // Those that have just changed are told at once, the others now and then, since messages go out
 // more often than a limit needs.
-std::vector<LimitUpdate> ControlDuty::limitsForPeers()
+std::vector<LimitGossip> ControlDuty::limitsForPeers()
 {
     const TimePoint now = m_clock.now();
     if (!m_lastOwn.isUrgent && now < m_nextLimits)
--- a/src/node/control_duty.hpp
+++ b/src/node/control_duty.hpp
@@ -100,7 +100,7 @@
     void takeOwnRequestNews(const std::vector<QuarantineUpdate> &news);
     bool mayGossipAgain() const;
     Gossip ownMessage() const;
-    std::vector<LimitUpdate> limitsForPeers();
+    std::vector<LimitGossip> limitsForPeers();
     void gossip();
     RelayRole::Peers relayPeers() const;
     void tick();
@@ -161,7 +161,7 @@
     DrainReports m_drainReports;
     LoadBook m_loads;
     OwnLoads m_lastOwn;
-    MessageRounds<LimitUpdate> m_limitRounds;
+    MessageRounds<LimitGossip> m_limitRounds;
     UpdateQueue m_waiting; // updates that did not fit
     bool m_hasConfiguration = false;
     bool m_isStopping = false;
--- a/src/node/fleet_update.hpp
+++ b/src/node/fleet_update.hpp
@@ -131,7 +131,7 @@
 struct LimitsHeard
 {
     std::string peer;
-    std::vector<LimitUpdate> words;
+    std::vector<LimitGossip> words;
 };
 
 // A peer knows an upstream to be draining, by its answers.
@@ -155,8 +155,8 @@
 // it is a relay.
 struct LimitNews
 {
-    std::vector<LimitUpdate> own;
-    std::vector<LimitUpdate> all;
+    std::vector<LimitGossip> own;
+    std::vector<LimitGossip> all;
 };
 
 // What the thread that serves requests tells the control thread: its own load, now and then.
--- a/src/node/peer_messages.cpp
+++ b/src/node/peer_messages.cpp
@@ -93,10 +93,10 @@
 }
 
 // Four numbers of each limit, and two of each sender.
-Json encodeLimits(const std::vector<LimitUpdate> &words)
+Json encodeLimits(const std::vector<LimitGossip> &words)
 {
     Json list = Json::array();
-    for (const LimitUpdate &it : words) {
+    for (const LimitGossip &it : words) {
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(it.age);
         Json senders = Json::array();
         for (const SenderAnnouncement &sender : it.senders) {
@@ -108,12 +108,12 @@
     return list;
 }
 
-std::vector<LimitUpdate> decodeLimits(const Json &list)
+std::vector<LimitGossip> decodeLimits(const Json &list)
 {
     constexpr std::int64_t kOldest = 3'600'000; // milliseconds; only for the log
-    std::vector<LimitUpdate> words;
+    std::vector<LimitGossip> words;
     for (const Json &row : list) {
-        LimitUpdate it;
+        LimitGossip it;
         it.upstream = row.at(0).get<std::uint64_t>();
         it.version = row.at(1).get<std::uint64_t>();
         it.perSecond = row.at(2).get<double>();
--- a/src/node/peer_messages.hpp
+++ b/src/node/peer_messages.hpp
@@ -94,7 +94,7 @@
     // A node that starts learns it from its peers.
     NamedWeights weightsNamed;
     std::vector<QuarantineUpdate> requestNews; // of requests that end upstreams
-    std::vector<LimitUpdate> limits; // that upstreams name; ages in whole milliseconds
+    std::vector<LimitGossip> limits; // that upstreams name; ages in whole milliseconds
     std::vector<std::string> draining; // upstreams that say so in their answers
 };
 
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -51,14 +51,14 @@
     }
 }
 
-void LimitFleet::play(Duration time)
+void LimitFleet::run(Duration time)
 {
     constexpr Duration kStep = 10ms;
     for (Duration passed{}; passed < time; passed += kStep) {
         clock.advance(kStep);
         deliver();
-        if (clock.now() >= m_nextTold)
-            tell();
+        if (clock.now() >= m_nextExchange)
+            exchangeUpdates();
         // Which node's callers are quickest differs from moment to moment.
         const std::size_t first = m_random() % nodes.size();
         for (std::size_t n = 0; n < nodes.size(); ++n)
@@ -66,12 +66,12 @@
     }
 }
 
-std::size_t LimitFleet::busiest(TimePoint from) const
+std::size_t LimitFleet::maxInFourSeconds(TimePoint from) const
 {
     return busiestWindow(arrivals, 4s, from);
 }
 
-double LimitFleet::used(TimePoint from) const
+double LimitFleet::utilization(TimePoint from) const
 {
     const auto n = std::count_if(arrivals.begin(), arrivals.end(),
                                  [from](TimePoint it) { return it >= from; });
@@ -96,9 +96,9 @@
 
 // As relays do it: two on each side hear of all nodes there, and tell them, some hundred
 // milliseconds late.
-void LimitFleet::tell()
+void LimitFleet::exchangeUpdates()
 {
-    m_nextTold = clock.now() + 200ms;
+    m_nextExchange = clock.now() + 200ms;
     std::map<int, std::vector<std::size_t>> relays; // by side
     for (std::size_t n = 0; n < nodes.size(); ++n) {
         if (!nodes[n].isFrozen && relays[nodes[n].side].size() < 2)
@@ -109,18 +109,18 @@
             if (n == relay)
                 continue;
             if (!nodes[n].isFrozen)
-                tell(relay, nodes[n].gate().ownUpdates());
-            tell(n, nodes[relay].gate().allUpdates());
+                exchangeUpdates(relay, nodes[n].gate().ownUpdates());
+            exchangeUpdates(n, nodes[relay].gate().allUpdates());
         }
     }
 }
 
-void LimitFleet::tell(std::size_t to, std::vector<LimitUpdate> words)
+void LimitFleet::exchangeUpdates(std::size_t to, std::vector<LimitGossip> updates)
 {
     const bool isLost = m_random() % 30 == 0;
-    const Duration way = 100ms + 10ms * (m_random() % 20);
+    const Duration latency = 100ms + 10ms * (m_random() % 20);
     if (!isLost)
-        m_messages.push_back({clock.now() + way, to, std::move(words)});
+        m_messages.push_back({clock.now() + latency, to, std::move(updates)});
 }
 
 // What reaches a node that stands still lies there until it goes on.
@@ -131,7 +131,7 @@
             return true;
         if (clock.now() < it.when || nodes[it.to].isFrozen)
             return false;
-        nodes[it.to].gate().applyUpdates(it.words);
+        nodes[it.to].gate().applyUpdates(it.updates);
         return true;
     });
     std::erase_if(m_answers, [this](const Answer &it) {
--- a/tests/support/limit_fleet.hpp
+++ b/tests/support/limit_fleet.hpp
@@ -83,13 +83,13 @@
     // Each node hears which nodes of its side live.
     void updateLiveNodes();
 
-    void play(Duration time);
+    void run(Duration time);
 
     // The most arrivals in any four seconds from then on.
-    std::size_t busiest(TimePoint from) const;
+    std::size_t maxInFourSeconds(TimePoint from) const;
 
     // The part of what the upstream takes that arrives from then on.
-    double used(TimePoint from) const;
+    double utilization(TimePoint from) const;
 
     static constexpr const char *kUpstream = "u";
 
@@ -104,7 +104,7 @@
     {
         TimePoint when{};
         std::size_t to = 0;
-        std::vector<LimitUpdate> words;
+        std::vector<LimitGossip> updates;
     };
 
     // An answer that is on its way back.
@@ -117,14 +117,14 @@
     };
 
     void send(Node &node);
-    void tell();
-    void tell(std::size_t to, std::vector<LimitUpdate> words);
+    void exchangeUpdates();
+    void exchangeUpdates(std::size_t to, std::vector<LimitGossip> updates);
     void deliver();
 
     MakePolicy m_make;
     std::vector<Message> m_messages;
     std::vector<Answer> m_answers;
-    TimePoint m_nextTold{};
+    TimePoint m_nextExchange{};
     std::mt19937 m_random{11}; // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time
 };
 
--- a/tests/unit/cold_gate_test.cpp
+++ b/tests/unit/cold_gate_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr double kRate = 14.0;
-constexpr std::size_t kBorne = 26; // in a second: 1.5 x 14 + 5
+constexpr std::size_t kCapacity = 26; // in a second: 1.5 x 14 + 5
 
 ColdGate::Limits limits()
 {
@@ -52,7 +52,7 @@
     const std::vector<std::string> &names() const { return m_names; }
 
     // Each of `nodes` hears that these are the ones that live.
-    void tell(const std::vector<std::string> &nodes)
+    void setLiveNodes(const std::vector<std::string> &nodes)
     {
         for (const std::string &it : nodes) {
             std::vector<std::string> others = nodes;
@@ -61,7 +61,7 @@
         }
     }
 
-    void play(Duration time)
+    void run(Duration time)
     {
         constexpr Duration kStep = 10ms;
         for (Duration passed{}; passed < time; passed += kStep) {
@@ -109,9 +109,9 @@
         CAPTURE(nodes);
         Fleet fleet(nodes);
         fleet.clock.advance(2s);
-        fleet.tell(fleet.names());
-        fleet.play(10s);
-        CHECK(fleet.busiestSecond() <= kBorne);
+        fleet.setLiveNodes(fleet.names());
+        fleet.run(10s);
+        CHECK(fleet.busiestSecond() <= kCapacity);
         CHECK(fleet.arrivals() >= 90); // of 140 at the stated rate
     }
 }
@@ -123,17 +123,17 @@
         CAPTURE(nodes);
         Fleet fleet(nodes);
         fleet.clock.advance(2s);
-        fleet.tell(fleet.names());
-        fleet.play(3s);
+        fleet.setLiveNodes(fleet.names());
+        fleet.run(3s);
         const auto half = fleet.names().begin() + static_cast<std::ptrdiff_t>(nodes / 2);
         const std::vector<std::string> one(fleet.names().begin(), half);
         const std::vector<std::string> other(half, fleet.names().end());
-        fleet.tell(one);
-        fleet.tell(other);
-        fleet.play(5s);
-        fleet.tell(fleet.names());
-        fleet.play(3s);
-        CHECK(fleet.busiestSecond() <= kBorne);
+        fleet.setLiveNodes(one);
+        fleet.setLiveNodes(other);
+        fleet.run(5s);
+        fleet.setLiveNodes(fleet.names());
+        fleet.run(3s);
+        CHECK(fleet.busiestSecond() <= kCapacity);
     }
 }
 
@@ -143,30 +143,30 @@
 {
     Fleet fleet(79);
     fleet.clock.advance(2s);
-    fleet.tell(fleet.names());
-    fleet.play(2s);
+    fleet.setLiveNodes(fleet.names());
+    fleet.run(2s);
     SUBCASE("one after the other")
     {
         for (std::size_t n = 0; n < 40; ++n) {
             fleet.stopFirst();
             fleet.start("new-" + std::to_string(n));
-            fleet.tell(fleet.names());
-            fleet.play(200ms);
+            fleet.setLiveNodes(fleet.names());
+            fleet.run(200ms);
         }
     }
     SUBCASE("all at once, within a second")
     {
         while (!fleet.names().empty())
             fleet.stopFirst();
-        fleet.play(500ms);
+        fleet.run(500ms);
         for (std::size_t n = 0; n < 79; ++n) {
             fleet.start("new-" + std::to_string(n));
-            fleet.tell(fleet.names());
+            fleet.setLiveNodes(fleet.names());
         }
     }
     const std::size_t before = fleet.arrivals();
-    fleet.play(5s);
-    CHECK(fleet.busiestSecond() <= kBorne);
+    fleet.run(5s);
+    CHECK(fleet.busiestSecond() <= kCapacity);
     CHECK(fleet.arrivals() > before + 20); // it is used again
 }
 
--- a/tests/unit/key_registry_test.cpp
+++ b/tests/unit/key_registry_test.cpp
@@ -21,7 +21,7 @@
             clock.wallNow() + std::chrono::duration_cast<std::chrono::milliseconds>(offset)};
 }
 
-struct Bench
+struct Fixture
 {
     ManualClock clock;
     KeyRegistry registry{kSelf, clock, KeyRegistry::Limits{}};
@@ -54,53 +54,54 @@
 
 TEST_CASE("keys: a key runs once; sent again it gets the answer that was kept [keys][at-most-once]")
 {
-    Bench bench;
-    bench.setChains({bench.tenure(kSelf, -10s, 10s)});
-    const IdempotencyKey key = keyAt(bench.clock, 0s);
-    CHECK(bench.registry.claim(1, key).decision == Decision::Run);
-    const ClaimAnswer early = bench.registry.claim(2, key);
+    Fixture fixture;
+    fixture.setChains({fixture.tenure(kSelf, -10s, 10s)});
+    const IdempotencyKey key = keyAt(fixture.clock, 0s);
+    CHECK(fixture.registry.claim(1, key).decision == Decision::Run);
+    const ClaimAnswer early = fixture.registry.claim(2, key);
     CHECK(early.decision == Decision::Refuse);
     CHECK(early.state == RunState::MayHaveRun);
-    bench.registry.finish(1, key, RunState::Ran, {200, "text/plain", "done"});
-    const ClaimAnswer late = bench.registry.claim(2, key);
+    fixture.registry.finish(1, key, RunState::Ran, {200, "text/plain", "done"});
+    const ClaimAnswer late = fixture.registry.claim(2, key);
     CHECK(late.decision == Decision::Answer);
     CHECK(late.answer.body == "done");
     // The same key of another team is another key.
-    CHECK(bench.registry.claim(3, keyAt(bench.clock, 0s, "k", "u")).decision == Decision::Run);
+    CHECK(fixture.registry.claim(3, keyAt(fixture.clock, 0s, "k", "u")).decision == Decision::Run);
 }
 
 TEST_CASE("keys: what did not run may be claimed again, what may have run may not [keys]")
 {
-    Bench bench;
-    bench.setChains({bench.tenure(kSelf, -10s, 10s)});
-    const IdempotencyKey key = keyAt(bench.clock, 0s);
-    bench.registry.claim(1, key);
-    bench.registry.finish(1, key, RunState::NotRun, {});
-    CHECK(bench.registry.claim(2, key).decision == Decision::Run);
-    bench.registry.dropClaimant(2); // it dies in the middle
-    const ClaimAnswer answer = bench.registry.claim(3, key);
+    Fixture fixture;
+    fixture.setChains({fixture.tenure(kSelf, -10s, 10s)});
+    const IdempotencyKey key = keyAt(fixture.clock, 0s);
+    fixture.registry.claim(1, key);
+    fixture.registry.finish(1, key, RunState::NotRun, {});
+    CHECK(fixture.registry.claim(2, key).decision == Decision::Run);
+    fixture.registry.dropClaimant(2); // it dies in the middle
+    const ClaimAnswer answer = fixture.registry.claim(3, key);
     CHECK(answer.decision == Decision::Refuse);
     CHECK(answer.state == RunState::MayHaveRun);
     // A late word of the dead claimant changes nothing.
-    bench.registry.finish(2, key, RunState::NotRun, {});
-    CHECK(bench.registry.claim(3, key).decision == Decision::Refuse);
+    fixture.registry.finish(2, key, RunState::NotRun, {});
+    CHECK(fixture.registry.claim(3, key).decision == Decision::Refuse);
 }
 
 TEST_CASE("keys: outside its own tenure a node runs nothing and says not-run of nothing [keys]")
 {
-    Bench bench;
-    bench.setChains({bench.tenure(kOther, -20s, -5s), bench.tenure(kSelf, -5s, 10s)});
-    bench.registry.setLiveMembers({{"a", 1}, {"b", 1}});
-    const ClaimAnswer before = bench.registry.claim(1, keyAt(bench.clock, -6s));
+    Fixture fixture;
+    fixture.setChains({fixture.tenure(kOther, -20s, -5s), fixture.tenure(kSelf, -5s, 10s)});
+    fixture.registry.setLiveMembers({{"a", 1}, {"b", 1}});
+    const ClaimAnswer before = fixture.registry.claim(1, keyAt(fixture.clock, -6s));
     CHECK(before.decision == Decision::Redirect);
     CHECK(before.holder == "b");
     // The other process was started again: it has forgotten.
-    bench.registry.setLiveMembers({{"a", 1}, {"b", 2}});
-    CHECK(bench.registry.claim(1, keyAt(bench.clock, -6s)).reason == Reason::KeyHolderGone);
-    CHECK(bench.registry.claim(1, keyAt(bench.clock, 11s)).reason == Reason::KeyTooNew);
-    CHECK(bench.registry.claim(1, keyAt(bench.clock, -30s)).reason == Reason::KeyTooOld);
+    fixture.registry.setLiveMembers({{"a", 1}, {"b", 2}});
+    CHECK(fixture.registry.claim(1, keyAt(fixture.clock, -6s)).reason == Reason::KeyHolderGone);
+    CHECK(fixture.registry.claim(1, keyAt(fixture.clock, 11s)).reason == Reason::KeyTooNew);
+    CHECK(fixture.registry.claim(1, keyAt(fixture.clock, -30s)).reason == Reason::KeyTooOld);
     for (const Duration offset : {Duration(-30s), Duration(-6s), Duration(11s)})
-        CHECK(bench.registry.claim(1, keyAt(bench.clock, offset)).state == RunState::MayHaveRun);
+        CHECK(fixture.registry.claim(1, keyAt(fixture.clock, offset)).state
+              == RunState::MayHaveRun);
 }
 
 TEST_CASE("keys: a key that may have been forgotten is not run again [keys][window]")
--- a/tests/unit/limit_gate_test.cpp
+++ b/tests/unit/limit_gate_test.cpp
@@ -36,9 +36,10 @@
             fleet.updateLiveNodes();
             const TimePoint named = fleet.clock.now();
             // Long enough for a few requests at the least rate.
-            fleet.play(perSecond < 1.0 ? 30s : 15s);
-            CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
-            CHECK(fleet.used(named + kEnforcedAfter) >= 0.8);
+            fleet.run(perSecond < 1.0 ? 30s : 15s);
+            CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter)
+                  <= capacityInFourSeconds(perSecond));
+            CHECK(fleet.utilization(named + kEnforcedAfter) >= 0.8);
         }
     }
 }
@@ -55,17 +56,17 @@
             for (std::size_t n = busy; n < nodes; ++n)
                 fleet.nodes[n].hasCallers = false;
             const TimePoint named = fleet.clock.now();
-            fleet.play(20s);
-            CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
-            CHECK(fleet.used(named + kEnforcedAfter) >= 0.8);
+            fleet.run(20s);
+            CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
+            CHECK(fleet.utilization(named + kEnforcedAfter) >= 0.8);
             // They move to other nodes.
             for (std::size_t n = 0; n < nodes; ++n)
                 fleet.nodes[n].hasCallers = n >= nodes - busy;
-            fleet.play(6s);
+            fleet.run(6s);
             const TimePoint moved = fleet.clock.now();
-            fleet.play(15s);
-            CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
-            CHECK(fleet.used(moved) >= 0.8);
+            fleet.run(15s);
+            CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
+            CHECK(fleet.utilization(moved) >= 0.8);
         }
     }
 }
@@ -79,22 +80,23 @@
         LimitFleet fleet(8, perSecond);
         fleet.updateLiveNodes();
         const TimePoint named = fleet.clock.now();
-        fleet.play(8s);
+        fleet.run(8s);
         for (const std::size_t n : {0U, 3U})
             fleet.nodes[n].isFrozen = true;
-        fleet.play(1s);
+        fleet.run(1s);
         fleet.updateLiveNodes();
-        fleet.play(4s);
+        fleet.run(4s);
         const TimePoint told = fleet.clock.now();
-        fleet.play(10s);
-        CHECK(fleet.used(told) >= 0.55); // two in three at least: they may be cut off and alive
+        fleet.run(10s);
+        CHECK(fleet.utilization(told)
+              >= 0.55); // two in three at least: they may be cut off and alive
         for (const std::size_t n : {0U, 3U})
             fleet.nodes[n].isFrozen = false;
         fleet.updateLiveNodes();
         const TimePoint awake = fleet.clock.now();
-        fleet.play(perSecond < 1.0 ? 30s : 12s);
-        CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
-        CHECK(fleet.used(awake) >= 0.7);
+        fleet.run(perSecond < 1.0 ? 30s : 12s);
+        CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
+        CHECK(fleet.utilization(awake) >= 0.7);
     }
 }
 
@@ -109,19 +111,20 @@
             LimitFleet fleet(nodes, perSecond);
             fleet.updateLiveNodes();
             const TimePoint named = fleet.clock.now();
-            fleet.play(8s);
+            fleet.run(8s);
             for (std::size_t n = 0; n < nodes / 2; ++n)
                 fleet.nodes[n].side = 1;
-            fleet.play(1s);
+            fleet.run(1s);
             fleet.updateLiveNodes();
             const TimePoint cut = fleet.clock.now();
-            fleet.play(15s);
-            CHECK(fleet.used(cut) >= 0.8);
+            fleet.run(15s);
+            CHECK(fleet.utilization(cut) >= 0.8);
             for (LimitFleet::Node &it : fleet.nodes)
                 it.side = 0;
             fleet.updateLiveNodes();
-            fleet.play(8s);
-            CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
+            fleet.run(8s);
+            CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter)
+                  <= capacityInFourSeconds(perSecond));
         }
     }
 }
@@ -133,20 +136,20 @@
     LimitFleet fleet(8, kRate);
     fleet.updateLiveNodes();
     const TimePoint named = fleet.clock.now();
-    fleet.play(5s);
+    fleet.run(5s);
     SUBCASE("one after the other")
     {
         for (std::size_t n = 0; n < 16; ++n) {
             fleet.nodes.pop_front();
             fleet.updateLiveNodes();
-            fleet.play(500ms);
+            fleet.run(500ms);
             fleet.start("new-" + std::to_string(n));
             fleet.updateLiveNodes();
-            fleet.play(1s);
+            fleet.run(1s);
         }
-        CHECK(fleet.used(named + 5s) >= 0.4);
-        fleet.play(10s);
-        CHECK(fleet.busiest(named + kEnforcedAfter) <= capacityInFourSeconds(kRate));
+        CHECK(fleet.utilization(named + 5s) >= 0.4);
+        fleet.run(10s);
+        CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(kRate));
     }
     SUBCASE("all but one at once")
     {
@@ -156,9 +159,9 @@
         for (std::size_t n = 0; n < 7; ++n)
             fleet.start("new-" + std::to_string(n));
         fleet.updateLiveNodes();
-        fleet.play(15s);
-        CHECK(fleet.busiest(named + 5s + kEnforcedAfter) <= capacityInFourSeconds(kRate));
-        CHECK(fleet.used(named + 5s + kEnforcedAfter) >= 0.6);
+        fleet.run(15s);
+        CHECK(fleet.maxInFourSeconds(named + 5s + kEnforcedAfter) <= capacityInFourSeconds(kRate));
+        CHECK(fleet.utilization(named + 5s + kEnforcedAfter) >= 0.6);
     }
 }
 
@@ -169,17 +172,17 @@
         CAPTURE(nodes);
         LimitFleet fleet(nodes, 10.0);
         fleet.updateLiveNodes();
-        fleet.play(8s);
+        fleet.run(8s);
         fleet.limit = 1.0;
         const TimePoint lowered = fleet.clock.now();
-        fleet.play(12s);
-        CHECK(fleet.busiest(lowered + kEnforcedAfter) <= capacityInFourSeconds(1.0));
-        CHECK(fleet.used(lowered + kEnforcedAfter) >= 0.8);
+        fleet.run(12s);
+        CHECK(fleet.maxInFourSeconds(lowered + kEnforcedAfter) <= capacityInFourSeconds(1.0));
+        CHECK(fleet.utilization(lowered + kEnforcedAfter) >= 0.8);
         for (std::size_t n = 2; n < nodes; ++n)
             fleet.nodes[n].hasCallers = false;
         fleet.limit.reset();
         // Their parts grow once the others have ceased to send, and then an answer shows it.
-        fleet.play(12s);
+        fleet.run(12s);
         for (LimitFleet::Node &it : fleet.nodes)
             CHECK_FALSE(it.gate().upstreamLimits().perSecond("u"));
     }
@@ -189,7 +192,7 @@
 {
     LimitFleet fleet(3, 1.0);
     fleet.updateLiveNodes();
-    fleet.play(5s);
+    fleet.run(5s);
     LimitGate &gate = fleet.nodes.front().gate();
     CHECK_FALSE((gate.maySend("u") && gate.maySend("u") && gate.ownRate("u") > 1.0));
     REQUIRE(gate.ownRate("u"));
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -19,12 +19,12 @@
 
 namespace {
 
-const RequestFingerprint kFatal{1, 2};
+const RequestFingerprint kPoison{1, 2};
 const RequestFingerprint kOther{3, 4};
 
-QuarantineUpdate ended(std::uint64_t life, const RequestFingerprint &request = kFatal)
+QuarantineUpdate failure(std::uint64_t instance, const RequestFingerprint &request = kPoison)
 {
-    return {request, life};
+    return {request, instance};
 }
 
 // Nodes that tell each other everything at once.
@@ -32,13 +32,13 @@
 {
     Nodes() : gates{QuarantineGate(clock), QuarantineGate(clock), QuarantineGate(clock)} { }
 
-    void tellEachOther()
+    void exchangeUpdates()
     {
         for (QuarantineGate &from : gates) {
-            const auto news = from.takeUpdates();
+            const auto updates = from.takeUpdates();
             for (QuarantineGate &to : gates) {
                 if (&to != &from)
-                    to.applyUpdates(news);
+                    to.applyUpdates(updates);
             }
         }
     }
@@ -54,12 +54,12 @@
     ManualClock clock;
     Quarantine one(clock);
     Quarantine other(clock);
-    for (const std::uint64_t life : {7U, 8U, 7U, 9U})
-        one.apply(ended(life));
-    for (const std::uint64_t life : {9U, 7U, 8U, 7U})
-        other.apply(ended(life));
-    CHECK(one.isHeld(kFatal));
-    CHECK(other.isHeld(kFatal));
+    for (const std::uint64_t instance : {7U, 8U, 7U, 9U})
+        one.apply(failure(instance));
+    for (const std::uint64_t instance : {9U, 7U, 8U, 7U})
+        other.apply(failure(instance));
+    CHECK(one.isHeld(kPoison));
+    CHECK(other.isHeld(kPoison));
     CHECK_FALSE(one.isHeld(kOther));
     CHECK(one.heldRequests() == 1);
 }
@@ -68,38 +68,38 @@
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    CHECK(quarantine.apply(ended(7)));
+    CHECK(quarantine.apply(failure(7)));
     for (int n = 0; n < 10; ++n)
-        CHECK_FALSE(quarantine.apply(ended(7)));
-    CHECK(quarantine.isSuspect(kFatal));
-    CHECK_FALSE(quarantine.isHeld(kFatal));
+        CHECK_FALSE(quarantine.apply(failure(7)));
+    CHECK(quarantine.isSuspect(kPoison));
+    CHECK_FALSE(quarantine.isHeld(kPoison));
 }
 
 TEST_CASE("quarantine: a request that an upstream answers is not to blame, before and after")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.apply(ended(life));
-    CHECK(quarantine.isHeld(kFatal));
-    CHECK(quarantine.apply({kFatal, {}}));
-    CHECK_FALSE(quarantine.isHeld(kFatal));
-    for (std::uint64_t life = 4; life <= 9; ++life)
-        CHECK_FALSE(quarantine.apply(ended(life)));
-    CHECK_FALSE(quarantine.isHeld(kFatal));
+    for (std::uint64_t instance = 1; instance <= 3; ++instance)
+        quarantine.apply(failure(instance));
+    CHECK(quarantine.isHeld(kPoison));
+    CHECK(quarantine.apply({kPoison, {}}));
+    CHECK_FALSE(quarantine.isHeld(kPoison));
+    for (std::uint64_t instance = 4; instance <= 9; ++instance)
+        CHECK_FALSE(quarantine.apply(failure(instance)));
+    CHECK_FALSE(quarantine.isHeld(kPoison));
 }
 
 TEST_CASE("quarantine: after the hold a request may be tried, and one more end holds it again")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.apply(ended(life));
-    CHECK(quarantine.heldFor(kFatal) == 10min);
+    for (std::uint64_t instance = 1; instance <= 3; ++instance)
+        quarantine.apply(failure(instance));
+    CHECK(quarantine.heldFor(kPoison) == 10min);
     clock.advance(10min);
-    CHECK_FALSE(quarantine.isHeld(kFatal));
-    quarantine.apply(ended(4));
-    CHECK(quarantine.isHeld(kFatal));
+    CHECK_FALSE(quarantine.isHeld(kPoison));
+    quarantine.apply(failure(4));
+    CHECK(quarantine.isHeld(kPoison));
     clock.advance(1h);
     quarantine.tick();
     CHECK(quarantine.isEmpty());
@@ -109,13 +109,13 @@
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.apply(ended(life));
+    for (std::uint64_t instance = 1; instance <= 3; ++instance)
+        quarantine.apply(failure(instance));
     for (std::uint64_t n = 0; n < 5'000; ++n) {
         clock.advance(1ms);
-        quarantine.apply(ended(1, {n, n + 10}));
+        quarantine.apply(failure(1, {n, n + 10}));
     }
-    CHECK(quarantine.isHeld(kFatal));
+    CHECK(quarantine.isHeld(kPoison));
     CHECK_FALSE(quarantine.isSuspect({0, 10}));
     CHECK(quarantine.isSuspect({4'999, 5'009}));
 }
@@ -124,10 +124,10 @@
 {
     Nodes nodes;
     for (std::size_t n = 0; n < nodes.gates.size(); ++n)
-        nodes.gates[n].onDisconnect(kFatal, "i-" + std::to_string(n));
-    nodes.tellEachOther();
+        nodes.gates[n].onDisconnect(kPoison, "i-" + std::to_string(n));
+    nodes.exchangeUpdates();
     for (const QuarantineGate &it : nodes.gates)
-        CHECK(it.isHeld(kFatal));
+        CHECK(it.isHeld(kPoison));
 }
 
 TEST_CASE("quarantine: a page that was answered a moment ago is not held when upstreams end one "
@@ -139,8 +139,8 @@
         nodes.clock.advance(500ms);
         for (QuarantineGate &it : nodes.gates)
             it.onDisconnect(kOther, "i-" + std::to_string(n));
-        nodes.tellEachOther();
-        nodes.tellEachOther(); // the answer goes back to those that told of an end
+        nodes.exchangeUpdates();
+        nodes.exchangeUpdates(); // the answer goes back to those that told of an end
     }
     for (const QuarantineGate &it : nodes.gates)
         CHECK_FALSE(it.isHeld(kOther));
@@ -150,11 +150,11 @@
 {
     ManualClock clock;
     QuarantineGate gate(clock);
-    gate.onAnswer(kFatal);
+    gate.onAnswer(kPoison);
     clock.advance(1min);
     for (int n = 0; n < 3; ++n)
-        gate.onDisconnect(kFatal, "i-" + std::to_string(n));
-    CHECK(gate.isHeld(kFatal));
+        gate.onDisconnect(kPoison, "i-" + std::to_string(n));
+    CHECK(gate.isHeld(kPoison));
 }
 
 TEST_CASE("quarantine: an upstream that loses power under a request counts once it is gone")
@@ -164,15 +164,15 @@
     // Its connections stay silent. The first caller leaves before the record runs out, the last
     // one after it.
     for (const char *it : {"i-1", "i-2"}) {
-        gate.onUnanswered(kFatal, it);
+        gate.onUnanswered(kPoison, it);
         clock.advance(4s);
         gate.onUpstreamEnded(it);
     }
     gate.onUpstreamEnded("i-3");
     clock.advance(1s);
-    CHECK_FALSE(gate.isHeld(kFatal));
-    gate.onUnanswered(kFatal, "i-3");
-    CHECK(gate.isHeld(kFatal));
+    CHECK_FALSE(gate.isHeld(kPoison));
+    gate.onUnanswered(kPoison, "i-3");
+    CHECK(gate.isHeld(kPoison));
 }
 
 TEST_CASE("quarantine: a caller that left long before an upstream ended has nothing to do with it")
@@ -180,19 +180,19 @@
     ManualClock clock;
     QuarantineGate gate(clock);
     for (const char *it : {"i-1", "i-2", "i-3"}) {
-        gate.onUnanswered(kFatal, it);
+        gate.onUnanswered(kPoison, it);
         clock.advance(10s);
         gate.tick();
         gate.onUpstreamEnded(it);
     }
-    CHECK_FALSE(gate.isHeld(kFatal));
+    CHECK_FALSE(gate.isHeld(kPoison));
 }
 
 TEST_CASE("quarantine: news are told again for peers that miss some messages, then no more")
 {
     ManualClock clock;
     NewsSpreader spreader(clock);
-    spreader.add(ended(7));
+    spreader.add(failure(7));
     CHECK(spreader.hasNew());
     int told = 0;
     for (int n = 0; n < 200; ++n) {
@@ -208,7 +208,7 @@
     ManualClock clock;
     NewsSpreader spreader(clock);
     for (std::uint64_t n = 0; n < 1'000; ++n)
-        spreader.add(ended(n));
+        spreader.add(failure(n));
     std::size_t messages = 0;
     while (spreader.hasNew() && messages < 100) {
         CHECK(spreader.next().size() <= 200);
@@ -234,17 +234,17 @@
     {
         const TimePoint end = m_clock.now() + 20s;
         while (m_clock.now() < end) {
-            arrive(m_random() % 33 == 0 ? kFatal : RequestFingerprint{m_random() % 100, 10});
+            arrive(m_random() % 33 == 0 ? kPoison : RequestFingerprint{m_random() % 100, 10});
             m_clock.advance(kBetweenRequests);
             finishRuns();
             if (m_clock.now() >= m_nextRound)
-                tellEachOther();
+                exchangeUpdates();
         }
     }
 
-    std::size_t ends = 0;
-    std::size_t fatalSentOnceKnown = 0; // a round of messages after the third end, or later
-    std::size_t fatalRefused = 0;
+    std::size_t crashes = 0;
+    std::size_t poisonSentOnceKnown = 0; // a round of messages after the third end, or later
+    std::size_t poisonRefused = 0;
     std::size_t othersRefused = 0;
     std::size_t othersAnswered = 0;
 
@@ -252,11 +252,11 @@
     static constexpr Duration kBetweenRequests = 5ms;
     static constexpr Duration kRunTime = 30ms;
     static constexpr Duration kRound = 100ms;
-    static constexpr Duration kDown = 3s;
+    static constexpr Duration kRestartTime = 3s;
 
     struct Engine
     {
-        std::uint64_t life = 0;
+        std::uint64_t instance = 0;
         TimePoint upFrom{};
     };
 
@@ -270,7 +270,7 @@
 
     std::string idOf(std::size_t engine) const
     {
-        return std::to_string(engine) + "-" + std::to_string(m_engines[engine].life);
+        return std::to_string(engine) + "-" + std::to_string(m_engines[engine].instance);
     }
 
     // Nothing: all are down.
@@ -289,7 +289,7 @@
     {
         const std::size_t node = m_random() % m_gates.size();
         if (m_gates[node].isHeld(request)) {
-            (request == kFatal ? fatalRefused : othersRefused) += 1;
+            (request == kPoison ? poisonRefused : othersRefused) += 1;
             return;
         }
         const std::optional<std::size_t> engine = pickEngine();
@@ -297,8 +297,8 @@
             othersRefused += 1;
             return;
         }
-        if (request == kFatal && m_knownFrom && m_clock.now() >= *m_knownFrom)
-            fatalSentOnceKnown += 1;
+        if (request == kPoison && m_knownFrom && m_clock.now() >= *m_knownFrom)
+            poisonSentOnceKnown += 1;
         m_runs.push_back({request, node, *engine, m_clock.now() + kRunTime});
     }
 
@@ -307,9 +307,9 @@
         while (!m_runs.empty() && m_runs.front().until <= m_clock.now()) {
             const Run run = m_runs.front();
             m_runs.pop_front();
-            if (run.request == kFatal) {
+            if (run.request == kPoison) {
                 m_gates[run.node].onDisconnect(run.request, idOf(run.engine));
-                endEngine(run.engine);
+                crashEngine(run.engine);
             } else {
                 m_gates[run.node].onAnswer(run.request);
                 othersAnswered += 1;
@@ -318,28 +318,28 @@
     }
 
     // All that runs there breaks off at the same moment.
-    void endEngine(std::size_t engine)
+    void crashEngine(std::size_t engine)
     {
         for (const Run &it : m_runs) {
             if (it.engine == engine)
                 m_gates[it.node].onDisconnect(it.request, idOf(engine));
         }
         std::erase_if(m_runs, [engine](const Run &it) { return it.engine == engine; });
-        m_engines[engine].life += 1;
-        m_engines[engine].upFrom = m_clock.now() + kDown;
-        ends += 1;
-        if (ends == 3)
+        m_engines[engine].instance += 1;
+        m_engines[engine].upFrom = m_clock.now() + kRestartTime;
+        crashes += 1;
+        if (crashes == 3)
             m_knownFrom = m_clock.now() + kRound;
     }
 
-    void tellEachOther()
+    void exchangeUpdates()
     {
         m_nextRound = m_clock.now() + kRound;
         for (QuarantineGate &from : m_gates) {
-            const auto news = from.takeUpdates();
+            const auto updates = from.takeUpdates();
             for (QuarantineGate &to : m_gates) {
                 if (&to != &from)
-                    to.applyUpdates(news);
+                    to.applyUpdates(updates);
             }
         }
     }
@@ -362,10 +362,10 @@
         CAPTURE(seed);
         FleetUnderPoisonRequests fleet(seed);
         fleet.run();
-        CHECK(fleet.ends >= 3);
-        CHECK(fleet.ends <= 6);
-        CHECK(fleet.fatalSentOnceKnown == 0);
-        CHECK(fleet.fatalRefused > 50);
+        CHECK(fleet.crashes >= 3);
+        CHECK(fleet.crashes <= 6);
+        CHECK(fleet.poisonSentOnceKnown == 0);
+        CHECK(fleet.poisonRefused > 50);
         CHECK(fleet.othersRefused == 0);
         CHECK(fleet.othersAnswered > 3'700);
     }
