--- a/include/fordwood/allowance_allocator.hpp
+++ b/include/fordwood/allowance_allocator.hpp
@@ -12,50 +12,50 @@
 
 namespace fordwood {
 
-// A node's wish for a part of a team's ceiling.
+// A node's request for a share of a team's ceiling.
 struct AllowanceRequest
 {
-    std::uint64_t holder = 0; // names the node's connection
-    std::uint64_t requestId = 0; // comes back with the answer
+    std::uint64_t holder = 0; // identifies the node's connection
+    std::uint64_t requestId = 0; // repeated in the answer
     std::string team;
-    std::size_t used = 0; // of the team's requests that run on the node beyond its base part
-    std::size_t wanted = 0; // that it would like to run beyond its base part
+    std::size_t used = 0; // requests of the team that run on the node beyond its base share
+    std::size_t wanted = 0; // requests that the node wants to run beyond its base share
 };
 
-// What a node may run of a team's requests beyond its base part, and for how long.
+// The number of a team's requests that a node may run beyond its base share, and for how long.
 struct Allowance
 {
     std::size_t amount = 0;
-    Duration life{0}; // from the moment at which the node asked
+    Duration life{0}; // counted from the time of the node's request
 };
 
-// Divides the ceilings of teams among nodes, for the teams that this node owns. An allowance runs
-// out by itself, at its holder never later than here, since the holder counts from its ask. The sum
-// of the allowances of a team that have not run out never passes the team's pool, whatever is lost,
-// repeated or late; a pool that has shrunk is kept to as the old allowances run out. When nodes
-// want more than there is, each gets an equal part, and what one does not want goes to the others.
-// No I/O and no threads.
+// Divides the ceilings of teams among nodes, for the teams that this node owns. An allowance
+// expires by itself, at its holder never later than here, because the holder counts from the time
+// of its request. The sum of a team's unexpired allowances never exceeds the team's pool, even if
+// messages are lost, repeated or late; a reduced pool takes effect as older allowances expire. When
+// nodes want more than the pool holds, each gets an equal share, and what a node does not want goes
+// to the others. No I/O and no threads.
 class AllowanceAllocator
 {
 public:
     struct Limits
     {
         Duration life = std::chrono::seconds(3);
-        // A team that many nodes use is gone through as a whole only so often.
+        // Minimum interval between sweeps over all holders of a team with many holders.
         Duration sweepEvery = std::chrono::milliseconds(100);
-        std::size_t alwaysSweepUpTo = 16; // with so many or fewer it is done at each ask
+        std::size_t alwaysSweepUpTo = 16; // with this many holders or fewer, every request sweeps
     };
 
     AllowanceAllocator(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    // Replaces the pools, by team. A team that is new to this book gets nothing for the life of an
-    // allowance: its last owner may have given all of it away just now.
+    // Replaces the pools, by team. A new team gets nothing for the lifetime of an allowance,
+    // because its previous owner may have just granted the whole pool.
     void setPools(const std::map<std::string, std::size_t> &pools);
 
-    // Answers at once. An unknown team gets nothing.
+    // Answers immediately. An unknown team gets nothing.
     Allowance allocate(const AllowanceRequest &request);
 
-    // The sum of a team's allowances that have not run out.
+    // The sum of a team's unexpired allowances.
     std::size_t granted(const std::string &team) const;
 
     std::size_t teams() const { return m_pools.size(); }
@@ -68,7 +68,7 @@
     };
     struct Holder
     {
-        std::vector<Grant> grants; // the newest last; all that have not run out count
+        std::vector<Grant> grants; // newest last; all unexpired grants count
         std::size_t used = 0;
         std::size_t wanted = 0;
     };
@@ -77,8 +77,8 @@
         std::size_t size = 0;
         TimePoint closedUntil{};
         std::map<std::uint64_t, Holder> holders;
-        std::size_t committed = 0; // over all holders; never less than what has not run out
-        std::size_t equalShareSize = 0; // equal part, as of the last sweep
+        std::size_t committed = 0; // over all holders; at least the sum of unexpired grants
+        std::size_t equalShareSize = 0; // per holder, as of the last sweep
         TimePoint nextSweep{};
     };
 
--- a/include/fordwood/ceiling_gate.hpp
+++ b/include/fordwood/ceiling_gate.hpp
@@ -12,42 +12,43 @@
 
 namespace fordwood {
 
-// The node's side of team ceilings: counts the requests that run here and says whether one more may
-// begin. A node needs nobody's leave for its base part of a ceiling; beyond it, it needs an
-// allowance from the team's owner. So teams far from their ceilings cost no message, and an owner
-// that is gone leaves every node its base part. No I/O and no threads.
+// Enforces team ceilings on one node: counts the running requests of each team and decides whether
+// another may start. A node may use its base share of a ceiling without asking; beyond it, it needs
+// an allowance from the team's owner. So teams far below their ceilings cost no messages, and the
+// loss of an owner leaves every node its base share. No I/O and no threads.
 class CeilingGate
 {
 public:
     struct Limits
     {
-        Duration retryDelay = std::chrono::milliseconds(200); // after less than was wanted
+        Duration retryDelay
+            = std::chrono::milliseconds(200); // after an allowance smaller than requested
     };
 
     CeilingGate(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    // Replaces the base parts, by team. Teams that are not named have no ceiling.
+    // Replaces the base shares, by team. Teams that are not listed have no ceiling.
     void setBases(const std::map<std::string, std::size_t> &bases);
 
-    // True when a request of the team may begin; it is counted until leave().
+    // Returns true if a request of the team may start; it counts as running until leave().
     bool enter(const std::string &team);
     void leave(const std::string &team);
 
-    // Whether asking the owner could let one more request of the team begin: not while the answer
-    // to an earlier ask is new.
+    // Whether a request to the owner could help. False for a short time after the owner granted
+    // less than requested or did not answer.
     bool mayRequest(const std::string &team) const;
 
-    // What to ask the owner for, when `waiting` requests would like to begin. The answer goes to
-    // onAnswer(). One ask of a team is open at a time.
+    // Builds the request to the owner when `waiting` calls of the team want to start. The answer
+    // goes to onAnswer(). At most one request per team is pending.
     AllowanceRequest startRequest(const std::string &team, std::size_t waiting);
     bool isRequestPending(const std::string &team) const;
 
-    // The owner has answered the open ask; an answer to an earlier one is passed over, since it
-    // runs out earlier. Or it will not answer.
+    // onAnswer(): the owner has answered. An answer to an earlier request than the pending one is
+    // ignored, because its allowance expires earlier. onNoAnswer(): the owner will not answer.
     void onAnswer(const std::string &team, std::uint64_t requestId, const Allowance &allowance);
     void onNoAnswer(const std::string &team);
 
-    // Teams whose allowance is in use and past half its life: they should be asked for again.
+    // Teams that use their allowance and are past half its lifetime, so that it should be renewed.
     std::vector<std::string> dueForRenewal() const;
 
     std::size_t running(const std::string &team) const;
@@ -58,13 +59,13 @@
         bool limited = false;
         std::size_t base = 0;
         std::size_t running = 0;
-        std::size_t amount = 0; // of the allowance
-        TimePoint expiresAt{}; // end of the allowance
+        std::size_t amount = 0; // beyond the base share
+        TimePoint expiresAt{}; // of the allowance
         TimePoint renewAt{};
         TimePoint requestedAt{};
         TimePoint retryAt{};
-        std::size_t wanted = 0; // with the open ask
-        std::uint64_t requestId = 0; // of the open ask
+        std::size_t wanted = 0; // by the pending request
+        std::uint64_t requestId = 0; // of the pending request
         bool isPending = false;
     };
 
--- a/include/fordwood/cold_gate.hpp
+++ b/include/fordwood/cold_gate.hpp
@@ -14,87 +14,87 @@
 
 namespace fordwood {
 
-// Which upstreams are cold, and how many requests this node may send to each of them.
-//
-// The load pattern that it answers: an upstream that has just started is empty, so that every node
-// prefers it at the same moment, while it bears only a few requests a second and falls over beyond
-// that. The bound holds over all nodes together, which cannot ask each other for each request: for
-// each cold upstream a few nodes, the same ones by every node's reckoning, may send to it and
-// divide its rate among them; the others pass it over. With 79 nodes a cold upstream got up to 31
-// requests in a second without the gate, where 26 were allowed.
+// Tracks which upstreams are cold, and limits how many requests this node sends to them. A newly
+// started upstream has no load, so every node prefers it at the same moment, although it can serve
+// only a few requests per second at first and fails beyond that. The bound applies to all nodes
+// together, but nodes cannot coordinate each request. Instead a few nodes per cold upstream, chosen
+// the same way by every node, may send to it and divide its rate; the others skip it. With 79 nodes
+// and without the gate a cold upstream got up to 31 requests in a second, where 26 were allowed.
 class ColdGate
 {
 public:
     struct Limits
     {
-        // What an upstream bears in any one second: so many times its stated rate, and so many
-        // requests more.
+        // The capacity of a cold upstream in any one second is its configured rate times
+        // `overshoot`, plus `slack` requests.
         double overshoot = 1.0;
         double slack = 0.0;
-        // Nodes that may send to one cold upstream. One may be gone, and its part of the rate
-        // unused until the others know; with many, each part is too small to be used in time.
+        // Number of nodes that may send to one cold upstream. One may die, and its share is unused
+        // until the others notice; with many senders, each share is too small to be used in time.
         std::size_t senders = 4;
-        // Over which sends are counted: a second, and what one request may take longer on its way
-        // than another.
+        // The window over which sends are counted: one second, plus the variation in latency
+        // between two requests.
         Duration window = std::chrono::milliseconds(1'100);
     };
 
-    // `self`: this node's name.
+    // `self`: the name of this node.
     ColdGate(const Clock &clock, Limits limits, const std::string &self);
 
-    // The other nodes that are known to live, by name.
+    // The names of the other live nodes.
     void setNodes(const std::vector<std::string> &others);
 
-    // The upstream stays cold for so long; zero: it is warm.
+    // The upstream is cold for `remaining`; zero: it is warm.
     void setCold(const std::string &instanceId, Duration remaining);
 
-    // The upstream may have started again without having said so yet: it is taken as cold for so
-    // long at least.
+    // The upstream may have restarted without having reported it yet. It counts as cold for at
+    // least `coldStart`.
     void suspectRestart(const std::string &instanceId, Duration coldStart);
 
     void forget(const std::string &instanceId) { m_upstreams.erase(instanceId); }
 
     bool isCold(const std::string &instanceId) const;
 
-    // Whether this node may send a request now; always for an upstream that is not cold.
-    // `requestsPerSecond`: what the upstream is stated to bear while it is cold; zero: any number.
+    // Whether this node may send a request now; always true for an upstream that is not cold.
+    // `requestsPerSecond`: the configured rate of a cold upstream; zero: unlimited.
     bool maySend(const std::string &instanceId, double requestsPerSecond);
 
-    // A request goes to the upstream.
+    // Records that a request is sent to the upstream.
     void recordSend(const std::string &instanceId);
 
-    // Upstreams that are cold now, for the metrics.
+    // The number of cold upstreams, for the metrics.
     std::size_t coldUpstreams() const;
 
 private:
-    using NodeHashes = std::vector<std::uint64_t>; // of names
+    using NodeHashes = std::vector<std::uint64_t>; // hashes of node names
 
     struct Upstream
     {
         TimePoint coldUntil{};
         TimePoint suspectUntil{};
         std::deque<TimePoint> sends; // within the window
-        // The change of the nodes for which the next two hold; zero: not judged yet.
+        // The version of the node list for which `rank` and `previousRank` were computed; zero: not
+        // computed yet.
         std::uint64_t rankedForVersion = 0;
         std::size_t rank = 0; // among the nodes that may send to it
-        std::size_t previousRank = 0; // by the nodes before the last change
+        std::size_t previousRank = 0; // in the node list before the last change
     };
 
     bool isCold(const Upstream &upstream) const;
     std::size_t totalQuota(double requestsPerSecond) const;
-    // How many of the others come before this node in the order of the upstream's senders.
+    // The number of other nodes that precede this node in the upstream's rendezvous order.
     std::size_t rankAmong(const std::optional<NodeHashes> &others, std::uint64_t upstream) const;
-    // What this node may send in a window.
+    // Requests that this node may send within a window, out of `total` for all nodes.
     std::size_t ownQuota(Upstream &upstream, const std::string &instanceId, std::size_t total);
 
     const Clock &m_clock;
     const Limits m_limits;
     const std::uint64_t m_self;
-    std::optional<NodeHashes> m_nodes; // the others; nothing: not told yet
-    std::optional<NodeHashes> m_previousNodes; // a window ago at least
+    std::optional<NodeHashes> m_nodes; // the other nodes; empty: not received yet
+    std::optional<NodeHashes> m_previousNodes; // the list that was valid at least one window ago
     TimePoint m_nodesChangedAt;
-    std::uint64_t m_nodesVersion = 1; // of the nodes
-    std::map<std::string, Upstream> m_upstreams; // by instance id; those that were ever cold
+    std::uint64_t m_nodesVersion = 1; // incremented with each change of the node list
+    std::map<std::string, Upstream>
+        m_upstreams; // by instance id; only upstreams that have been cold
 };
 
 } // namespace fordwood
--- a/include/fordwood/limit_gate.hpp
+++ b/include/fordwood/limit_gate.hpp
@@ -16,49 +16,50 @@
 
 namespace fordwood {
 
-// How many requests this node may send to upstreams that name a limit for all nodes together.
-//
-// The load pattern that it answers: callers keep all nodes busy, so that each of them has a request
-// for an overloaded upstream at any moment, while the upstream takes two or three a second from
-// all. Without it eight nodes sent 43 requests in four seconds to one that bears 22. The nodes that
-// have requests for an upstream divide its limit: each of the first few may send one request in so
-// many seconds. None is saved up by a node that waits, stands still or has just come.
+// Decides how many requests this node may send to upstreams that advertise a rate limit for all
+// nodes together. The nodes that have requests for an upstream divide its limit: each of the first
+// few senders may send one request per fixed interval. A node that waits, is paused or has just
+// started accumulates no credit. Without this gate, callers that keep all nodes busy overload the
+// upstream: eight nodes sent 43 requests within four seconds to an upstream with a capacity of 22.
 class LimitGate
 {
 public:
-    // `self`: this life of this node, another number than any other's.
+    // `self`: a number unique to this run of this node.
     LimitGate(const Clock &clock, std::uint64_t self);
 
-    // What is believed of the limits; the upstreams that are in service are to be made known to it.
+    // The limits of the upstreams. Upstreams in service must be registered here with addUpstream().
     UpstreamLimits &upstreamLimits() { return m_upstreamLimits; }
     const UpstreamLimits &upstreamLimits() const { return m_upstreamLimits; }
 
-    // The upstream's life is over.
+    // Drops all state of an upstream instance that has ended.
     void forget(const std::string &instanceId);
 
-    // How many nodes live, this one included.
+    // The number of live nodes, including this one.
     void setLiveNodeCount(std::size_t n);
 
-    // In a fleet whose nodes tell each other nothing of limits: the others, by name. Each of them
-    // is taken to have requests, and to have heard of a limit by its own answers.
+    // For a fleet whose nodes do not exchange limits: the names of the other nodes. Each of them is
+    // assumed to have requests for every limited upstream, and to learn the limits from its own
+    // responses.
     void setNonGossipingPeers(const std::vector<std::string> &others);
 
-    // What a peer has told, and what peers should hear: of this node alone, where relays tell it
-    // on, or also of the others that it has heard of.
+    // applyUpdates() merges limits received from a peer. ownUpdates() is what this node sends where
+    // relays forward it, with this node as the only sender; allUpdates() also contains the other
+    // senders that this node has heard from.
     std::vector<LimitChange> applyUpdates(const std::vector<LimitGossip> &updates);
     std::vector<LimitGossip> ownUpdates() const;
     std::vector<LimitGossip> allUpdates() const;
 
-    // Whether a request that waits here may go to the upstream now; always to one without a limit.
+    // Whether a waiting request may go to the upstream now; always true without a limit. The call
+    // also records that this node has a request for the upstream.
     bool maySend(const std::string &instanceId);
 
-    // A request goes to the upstream.
+    // Records that a request is sent to the upstream.
     void recordSend(const std::string &instanceId);
 
-    // Requests a second that this node may send; nothing: any number.
+    // Requests per second that this node may send; empty without a limit.
     std::optional<double> ownRate(const std::string &instanceId) const;
 
-    // Requests a second that all nodes together may send; nothing: any number.
+    // Requests per second that all nodes together may send; empty without a limit.
     std::optional<double> totalRate(const std::string &instanceId) const;
 
 private:
@@ -68,12 +69,12 @@
     const Clock &m_clock;
     UpstreamLimits m_upstreamLimits;
     LimitSenders m_senders;
-    // When the next request may go is counted from here: the last one, or when this node's turn
-    // among the senders began.
+    // The start of the interval before the next request: the last send, or the time from which this
+    // node counts as a sender.
     std::map<std::uint64_t, TimePoint> m_lastSends; // by the hash of the instance id
     std::size_t m_liveNodes = 1;
-    std::size_t m_nodesBeforeLoss = 1; // before nodes fell silent
-    std::optional<TimePoint> m_nodeLossTime; // when the last of them did
+    std::size_t m_nodesBeforeLoss = 1; // before the most recent loss of nodes
+    std::optional<TimePoint> m_nodeLossTime; // when a node was last lost
 };
 
 } // namespace fordwood
--- a/include/fordwood/limit_senders.hpp
+++ b/include/fordwood/limit_senders.hpp
@@ -13,67 +13,65 @@
 
 namespace fordwood {
 
-// A node that has requests for an upstream, as nodes tell each other.
+// Announces that a node has requests for an upstream.
 struct SenderAnnouncement
 {
-    std::uint64_t node = 0; // this life of the node
-    std::uint64_t sequence = 0; // grows with each time that the node says so
+    std::uint64_t node = 0; // identifies one run of the node
+    std::uint64_t sequence = 0; // increases with each announcement of the node
 
     bool operator==(const SenderAnnouncement &) const = default;
 };
 
-// Which nodes have requests for each upstream that takes only so many, and which of them may send:
-// the first few in the upstream's rendezvous order, the same ones by every node's reckoning.
-//
-// The load pattern that it answers: callers come to some nodes and not to others, and where they
-// come changes. With senders chosen among all nodes, those without callers leave their part of the
-// rate unused. A node sends only while a peer names it among the first: what it does not hear of
-// itself, others may not know either, so that neither a list that was cut short nor a cut between
-// the nodes makes everyone the first.
+// Tracks which nodes have requests for each rate-limited upstream, and selects the few that may
+// send: the first in the upstream's rendezvous order, so that all nodes select the same ones. Only
+// nodes with requests are candidates, since callers may use only some of the nodes, and which ones
+// changes over time; senders selected among all nodes would leave the rate of nodes without callers
+// unused. A node sends only while a peer includes it among the first. Otherwise a truncated list or
+// a partition could make every node consider itself the first.
 class LimitSenders
 {
 public:
-    // `self`: this life of this node, another number than any other's.
+    // `self`: a number unique to this run of this node.
     LimitSenders(const Clock &clock, std::uint64_t self) : m_clock(clock), m_self(self) { }
 
-    // Where this node stands among the senders to one upstream.
+    // The rank of this node among the senders to one upstream.
     struct Place
     {
         std::size_t rank = 0; // from zero
         std::size_t senders = 1;
     };
 
-    // Whether no other node lives, as far as this one knows: then nobody has to name it.
+    // Whether this node knows of no other live node. Then no peer has to name it.
     void setAlone(bool isAlone) { m_isAlone = isAlone; }
 
-    // In a fleet whose nodes do not tell each other who has requests: these have some at all times,
-    // beside this node. Lives, by number.
+    // For a fleet whose nodes do not exchange announcements: the ids of the other nodes, which are
+    // assumed to have requests at all times.
     void setFixedSenders(std::vector<std::uint64_t> others) { m_fixedSenders = std::move(others); }
 
-    // This node has a request that the upstream could take. Upstreams are named by the hash of
-    // their instance id.
+    // Records that this node has a request for the upstream. Upstreams are identified by the hash
+    // of their instance id.
     void recordDemand(std::uint64_t upstream);
 
-    // The nodes that a peer names for an upstream.
+    // Merges the senders that a peer announces for an upstream.
     void applyAnnouncements(std::uint64_t upstream,
                             const std::vector<SenderAnnouncement> &announcements);
 
-    // This node's place among at most so many senders; nothing: it is none of them, or has not said
-    // for long enough that it has requests, so that others may still count without it.
+    // This node's rank among at most `maxSenders` senders. Empty if it is not one of them, or has
+    // not announced its requests for long enough for the other nodes to take it into account.
     std::optional<Place> place(std::uint64_t upstream, std::size_t maxSenders) const;
 
-    // Whether this node has requests for the upstream, as its peers should hear.
+    // This node's announcement for its peers; empty if it has no requests for the upstream.
     std::vector<SenderAnnouncement> ownAnnouncement(std::uint64_t upstream) const;
 
-    // The first so many in the order of the upstream, this node among them: for those who hear of
-    // all nodes by this one.
+    // The first `max` senders in the upstream's order, including this node. A relay forwards them
+    // to nodes that receive announcements only through it.
     std::vector<SenderAnnouncement> firstAnnouncements(std::uint64_t upstream,
                                                        std::size_t max) const;
 
     void forget(std::uint64_t upstream) { m_upstreams.erase(upstream); }
 
 private:
-    // The newest word of another node.
+    // The latest announcement of another node.
     struct PeerAnnouncement
     {
         std::uint64_t sequence = 0;
@@ -82,9 +80,9 @@
 
     struct Demand
     {
-        std::optional<TimePoint> since; // this node has had requests without a longer pause
+        std::optional<TimePoint> since; // start of this node's current run of requests
         TimePoint last{};
-        std::optional<TimePoint> lastNamed; // when a peer last named this node
+        std::optional<TimePoint> lastNamed; // when a peer last listed this node
         std::map<std::uint64_t, PeerAnnouncement> others; // by node
     };
 
--- a/include/fordwood/limit_share.hpp
+++ b/include/fordwood/limit_share.hpp
@@ -6,22 +6,21 @@
 
 namespace fordwood {
 
-// How nodes divide what an overloaded upstream takes: so many of them send to it, each the same
-// part of so many requests a second.
+// How the limit of an overloaded upstream is divided: each of `senders` nodes sends an equal share
+// of `perSecond`.
 struct LimitShare
 {
     std::size_t senders = 0;
-    double perSecond = 0.0; // of all of them together
+    double perSecond = 0.0; // for all senders together
 
     bool operator==(const LimitShare &) const = default;
 };
 
-// The division of a limit of `perSecond` requests a second. An upstream bears one and a half times
-// its limit and five requests more in any four seconds. Each sender may have one request on its
-// way when the others stop counting it, so that there are more senders the more the upstream takes.
-// `isFleetComplete`: no node has fallen silent of late. Otherwise those that are silent may be
-// cut off, and divide the limit among themselves as well: each side then keeps to half of what the
-// upstream bears.
+// Divides a limit of `perSecond` requests per second. An upstream tolerates 1.5 times its limit
+// plus five requests in any four seconds. Each sender may have one request in flight when the
+// others stop counting it, so a higher limit allows more senders. `isFleetComplete`: no node has
+// disappeared recently. Otherwise the missing nodes may be partitioned off and divide the limit
+// among themselves as well, so each side uses at most half of the capacity.
 LimitShare shareOfLimit(double perSecond, bool isFleetComplete);
 
 } // namespace fordwood
--- a/include/fordwood/limit_text.hpp
+++ b/include/fordwood/limit_text.hpp
@@ -8,18 +8,17 @@
 
 namespace fordwood {
 
-// What one answer says of the limit of its upstream.
+// The rate limit that one response of an upstream advertises.
 struct ParsedLimit
 {
-    std::optional<double> perSecond; // requests a second, from zero up; nothing: none that is read
-    bool isUnreadable = false; // it names something that is no such number
+    std::optional<double> perSecond; // requests per second, at least zero; empty: no valid limit
+    bool isUnreadable = false; // a limit field is not a valid number
 };
 
-// A decimal number; nothing for what is no number from zero up, or one too large to be held.
+// Parses a decimal number. Empty for negative numbers, values out of range and anything else.
 std::optional<double> parseNonNegative(std::string_view text);
 
-// Takes in one field of an answer. One that is there twice names both limits: the smaller one
-// holds.
+// Parses one header field. If the field occurs more than once, the smallest valid limit applies.
 inline void addLimitField(std::string_view text, ParsedLimit &parsed)
 {
     const auto rate = parseNonNegative(text);
--- a/include/fordwood/send_gate.hpp
+++ b/include/fordwood/send_gate.hpp
@@ -12,38 +12,39 @@
 
 namespace fordwood {
 
-// Whether this node may send a request to an upstream that takes only so many from all nodes
-// together, because it is cold, because it names a limit, or both (then the smaller rate holds), or
-// that wants none for now. One question for all that sends: first sends, repeats, and streams that
-// go on elsewhere.
+// Decides whether this node may send a request to an upstream that accepts a limited rate from all
+// nodes together, because it is cold, because it advertises a limit, or both (then the smaller rate
+// applies), or that has asked for a backoff. All senders use it: first attempts, retries and
+// resumed streams.
 class SendGate
 {
 public:
-    // `self`: this node's name; `life`: a number for this life of it, another one than any other's.
+    // `self`: the name of this node; `life`: a number unique to this run of this node.
     SendGate(const Clock &clock, ColdGate::Limits limits, const std::string &self,
              std::uint64_t life)
         : m_cold(clock, limits, self), m_limits(clock, life), m_backoffs(clock)
     { }
 
-    // Whether a request may go to the upstream now. `coldPerSecond`: what it is stated to take
-    // while it is cold; zero: any number.
+    // Whether a request may be sent to the upstream now. `coldPerSecond`: the configured rate of a
+    // cold upstream; zero: unlimited.
     bool maySend(const std::string &instanceId, double coldPerSecond)
     {
         if (m_backoffs.isBackingOff(instanceId))
             return false;
-        // Both are asked, as asking also says that there is a request.
+        // Both gates are called, because LimitGate::maySend() also records that this node has a
+        // request.
         const bool isWithinLimit = m_limits.maySend(instanceId);
         return m_cold.maySend(instanceId, coldPerSecond) && isWithinLimit;
     }
 
-    // A request goes to the upstream.
+    // Records that a request is sent to the upstream.
     void recordSend(const std::string &instanceId)
     {
         m_cold.recordSend(instanceId);
         m_limits.recordSend(instanceId);
     }
 
-    // Whether the upstream takes only so many requests, for either reason.
+    // Whether the upstream's rate is limited, for either reason.
     bool isRateLimited(const std::string &instanceId) const
     {
         return m_cold.isCold(instanceId) || isLimited(instanceId);
@@ -54,7 +55,7 @@
         return m_limits.upstreamLimits().perSecond(instanceId).has_value();
     }
 
-    // The upstream's life is over.
+    // Drops all state of an upstream instance that has ended.
     void forget(const std::string &instanceId)
     {
         m_cold.forget(instanceId);
--- a/include/fordwood/team_admission.hpp
+++ b/include/fordwood/team_admission.hpp
@@ -14,43 +14,43 @@
 
 namespace fordwood {
 
-// Lets calls begin as far as the ceilings of their teams allow. A call above the node's own part
-// waits for the answer of its team's owner, or until that owner is silent for too long. Asks go out
-// as actions; what becomes of a call is told to the listener. No I/O and no threads.
+// Admits calls as far as the ceilings of their teams allow. A call beyond the node's base share
+// waits for the answer of its team's owner, or until the owner times out. Requests to owners are
+// emitted as actions; the outcome of each call goes to the listener. No I/O and no threads.
 class TeamAdmission
 {
 public:
-    // Hears of each call that came in by admit(), once; possibly before admit() returns.
+    // Receives the outcome of each admit() once, possibly before admit() returns.
     class Listener
     {
     public:
         virtual ~Listener() = default;
-        virtual void onAdmitted(CallId call) = 0; // it counts until leave()
-        virtual void onRefused(CallId call) = 0; // its team runs as much as it may
+        virtual void onAdmitted(CallId call) = 0; // it counts as running until leave()
+        virtual void onRefused(CallId call) = 0; // its team has reached its ceiling
     };
 
-    // `ownerTimeout`: how long an owner may take to answer. Actions are added to `actions`.
+    // `ownerTimeout`: how long an owner may take to answer. Actions are appended to `actions`.
     TeamAdmission(const Clock &clock, Duration ownerTimeout, Listener &listener,
                   std::vector<Action> &actions);
 
     void setView(std::shared_ptr<const FleetView> view);
 
-    // A call of a team would like to begin.
+    // Asks to start a call of the team.
     void admit(CallId call, const std::string &team);
 
-    // A call that had entered has ended.
+    // An admitted call has ended.
     void leave(const std::string &team);
 
-    // A call that still waits will not begin any more; unknown calls are passed over.
+    // A waiting call will not start any more; unknown calls are ignored.
     void withdraw(CallId call, const std::string &team);
 
-    // The owner of a team has answered an ask.
+    // The owner of a team has answered a request.
     void onAnswer(const std::string &team, std::uint64_t requestId, const Allowance &allowance);
 
-    // An owner is gone, and with it the asks that are open there.
+    // The connection to an owner is lost, and with it the requests pending there.
     void ownerLost(const std::string &owner);
 
-    // Gives up asks that no one answers, and renews allowances in use.
+    // Gives up requests that have timed out, and renews allowances in use.
     void tick();
 
 private:
--- a/src/core/allowance_allocator.cpp
+++ b/src/core/allowance_allocator.cpp
@@ -28,7 +28,8 @@
     dropExpired(holder);
     holder.used = request.used;
     holder.wanted = request.wanted;
-    // Also a wish that gets nothing is remembered as long: it makes the others' parts smaller.
+    // A request that gets nothing is remembered for the same time, because it reduces the shares of
+    // the others.
     holder.grants.push_back({0, m_clock.now() + m_limits.life});
     pool.committed += committedTo(holder);
     if (pool.holders.size() <= m_limits.alwaysSweepUpTo || m_clock.now() >= pool.nextSweep)
@@ -56,7 +57,7 @@
     return sum;
 }
 
-// Drops what has run out, and finds the sum and the equal part anew.
+// Drops expired grants, and recomputes the committed sum and the equal share.
 void AllowanceAllocator::sweep(Pool &pool) const
 {
     pool.nextSweep = m_clock.now() + m_limits.sweepEvery;
@@ -93,8 +94,8 @@
     return most;
 }
 
-// What each holder may have if the pool is divided equally, and what some do not want goes to the
-// others.
+// The share of each holder if the pool is divided equally and the unwanted part of a share goes to
+// the others.
 std::size_t AllowanceAllocator::equalShare(const Pool &pool)
 {
     std::vector<std::size_t> demands;
--- a/src/core/ceiling_gate.cpp
+++ b/src/core/ceiling_gate.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A part of what is in use is asked for on top, so that not every request needs an ask.
+// A quarter of the allowance in use is requested on top, so that not every call needs a request to
+// the owner.
 constexpr std::size_t kHeadroomDivisor = 4;
 
 } // namespace
@@ -77,7 +78,7 @@
     Team &team = it->second;
     team.isPending = false;
     team.amount = allowance.amount;
-    // Counted from the ask, so that it ends here before it ends at the owner.
+    // Counted from the request, so that the allowance expires here before it expires at the owner.
     team.expiresAt = team.requestedAt + allowance.life;
     team.renewAt = team.requestedAt + allowance.life / 2;
     if (allowance.amount < team.wanted)
--- a/src/core/cold_gate.cpp
+++ b/src/core/cold_gate.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Two parts of a fleet that cannot hear each other may each choose nodes of their own: either part
-// uses half of what the upstream bears.
+// The two sides of a partition may each choose their own senders, so each side uses half of the
+// upstream's capacity.
 constexpr double kShareOfEachSide = 0.5;
 
 constexpr std::size_t kNotASender = SIZE_MAX;
@@ -25,8 +25,8 @@
 void ColdGate::setNodes(const std::vector<std::string> &others)
 {
     const TimePoint now = m_clock.now();
-    // While changes follow each other closely, the nodes before all of them stay the ones to agree
-    // with: a node that was chosen then may have sent a moment ago.
+    // While changes arrive in quick succession, the list from before all of them remains the
+    // previous one, because a node that was selected by it may have sent a moment ago.
     if (now - m_nodesChangedAt >= m_limits.window)
         m_previousNodes = std::move(m_nodes);
     NodeHashes &nodes = m_nodes.emplace();
@@ -68,8 +68,8 @@
                       [this](const auto &it) { return isCold(it.second); }));
 }
 
-// What all nodes that agree with each other may send in a window. Never more than the stated rate:
-// the rest is for what they do not know.
+// Requests that all nodes with the same view may send within a window. Never more than the
+// configured rate; the rest of the capacity is a reserve for nodes with another view.
 std::size_t ColdGate::totalQuota(double requestsPerSecond) const
 {
     const double capacity = requestsPerSecond * m_limits.overshoot + m_limits.slack;
--- a/src/core/limit_gate.cpp
+++ b/src/core/limit_gate.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-// Nodes that fell silent may be cut off and alive for so long: failure domains lose each other for
-// longer than that once in a while, but a fleet that has shrunk must not lose a third of a limit
-// for good.
+// A node that has disappeared may still be running on the other side of a partition. Partitions
+// between failure domains occasionally last longer than this, but a fleet that has really shrunk
+// must not lose a third of the limit permanently.
 constexpr Duration kPartitionSuspectedFor = std::chrono::minutes(5);
 
-// In which the upstream takes so many requests.
+// The time that the given number of requests takes at the rate of the share.
 Duration timeFor(std::size_t requests, const LimitShare &share)
 {
     const std::chrono::duration<double> time(static_cast<double>(requests) / share.perSecond);
@@ -112,7 +112,7 @@
     if (!place)
         return false;
     const TimePoint now = m_clock.now();
-    // Those who begin at the same time take their first turns one after the other.
+    // Staggers the first sends of nodes that become senders at the same time.
     const Duration sinceTurn = timeFor(place->senders - place->rank, *division);
     const auto last = m_lastSends.try_emplace(upstream, now - sinceTurn).first;
     return now - last->second >= timeFor(place->senders, *division);
--- a/src/core/limit_senders.cpp
+++ b/src/core/limit_senders.cpp
@@ -10,23 +10,25 @@
 
 namespace {
 
-// A node that has had no request for so long has none: callers of a busy service come sooner.
+// A node without a request for this long has no demand: callers of a busy service send more often.
 constexpr Duration kDemandTimeout = std::chrono::seconds(2);
 
-// A node says that it has requests for so long before it sends: longer than its word takes to reach
-// all others through two relays, one of which may miss a message.
+// A node announces its requests for this long before it sends: longer than an announcement takes to
+// reach all nodes through two relays, one of which may miss a message.
 constexpr Duration kAnnounceBeforeSending = std::chrono::milliseconds(1'500);
 
-// A node that no peer has named for so long is cut off, or counted no more. Some messages may be
-// lost, and a relay may be replaced.
+// A node that no peer has listed for this long is partitioned off or no longer counted. The time
+// allows for a few lost messages and for the replacement of a relay.
 constexpr Duration kNamedTimeout = std::chrono::seconds(1);
 
-// A node that has said nothing new for so long is counted no more: longer than a pause after which
-// it ceases to send, so that nobody has its part before it has stopped.
+// A node without a new announcement for this long is no longer counted. This is longer than the
+// time after which a paused node stops sending, so that its share is reassigned only after it has
+// stopped.
 constexpr Duration kSenderTimeout = std::chrono::seconds(3);
 
-// A word is passed on for less than it counts, and remembered for longer than it can still be on
-// its way: what comes back through others neither prolongs it nor is taken for a new one.
+// An announcement is forwarded for less time than it counts, and remembered for longer than a copy
+// can be in transit. A copy that returns through other nodes then neither extends it nor is taken
+// for a new one.
 constexpr Duration kForwardFor = std::chrono::seconds(2);
 constexpr Duration kRememberFor = std::chrono::minutes(1);
 
@@ -51,7 +53,7 @@
 void LimitSenders::recordDemand(std::uint64_t upstream)
 {
     Demand &demand = m_upstreams[upstream];
-    // After a pause, or a time in which this process stood still, the others count without it.
+    // After a pause in requests, or of this process, the other nodes no longer count this node.
     if (!hasDemand(demand))
         demand.since = m_clock.now();
     demand.last = m_clock.now();
@@ -60,7 +62,7 @@
 void LimitSenders::applyAnnouncement(Demand &demand, const SenderAnnouncement &announcement)
 {
     if (announcement.node == m_self) {
-        // A word of before a pause tells nothing of now.
+        // An announcement from before the pause does not show that this node is counted now.
         if (demand.since && announcement.sequence >= millisecondsOf(*demand.since))
             demand.lastNamed = m_clock.now();
         return;
--- a/src/core/limit_share.cpp
+++ b/src/core/limit_share.cpp
@@ -7,24 +7,25 @@
 
 namespace {
 
-// What an overloaded upstream bears beyond its limit, as the platform states it: in some four
-// seconds, so many times the limit, and so many requests more.
+// The capacity of an overloaded upstream as the platform specifies it: in any four seconds,
+// kOvershoot times its limit plus kSlack requests.
 constexpr double kCapacityWindowSeconds = 4.0;
 constexpr double kOvershoot = 1.5;
 constexpr double kSlack = 5.0;
 
-// Requests that are sent within this may arrive within four seconds: connections come up late, and
-// lost packets are sent again.
+// Requests sent within this time may arrive within four seconds, because connections can be
+// established late and lost packets are retransmitted.
 constexpr double kCountedSeconds = kCapacityWindowSeconds + 0.4;
 
-// For a sender that others have just ceased to count.
+// Reserve for a sender that the others have just stopped counting.
 constexpr double kSpareSender = 1.0;
 
-// The part of the limit for which a side of a cut makes room first; the rest goes to more senders.
+// The fraction of the limit that one side of a partition reserves first; the rest allows more
+// senders.
 constexpr double kRateShareOfEachSide = 0.6;
-constexpr double kMinSenders = 2.0; // one may be gone
+constexpr double kMinSenders = 2.0; // one may have died
 
-// So many are told of in messages; with more, each has a part that it hardly uses.
+// Messages list this many senders; with more of them, each share would be too small to be used.
 constexpr double kMaxSenders = 64.0;
 
 } // namespace
--- a/src/core/team_admission.cpp
+++ b/src/core/team_admission.cpp
@@ -18,8 +18,8 @@
     m_gate.setBases(m_view->ceilingBases());
 }
 
-// A call that finds no place waits for the answer of its team's owner, unless that has just said
-// that there is no more.
+// A call beyond the ceiling waits for the answer of its team's owner, unless the owner has just
+// granted less than requested.
 void TeamAdmission::admit(CallId call, const std::string &team)
 {
     if (m_gate.enter(team))
@@ -51,7 +51,7 @@
 {
     m_gate.onAnswer(team, requestId, allowance);
     if (m_gate.isRequestPending(team))
-        return; // it was the answer to an earlier ask
+        return; // the answer to an earlier request
     m_pendingRequests.erase(team);
     processWaiting(team);
 }
@@ -83,7 +83,7 @@
     m_actions.emplace_back(AskAllowance{owner->name, owner->controlAddress, request});
 }
 
-// Goes on without the answers to the open asks that match.
+// Processes the waiting calls of all matching pending requests without an answer.
 template <typename Matches>
 void TeamAdmission::abandonRequests(Matches matches)
 {
@@ -99,8 +99,9 @@
     }
 }
 
-// Lets waiting calls of a team begin as far as its ceiling allows. The others ask again if the
-// owner gave all that was asked for before they came, and are refused if it did not.
+// Admits waiting calls of a team as far as its ceiling allows. If the owner granted all that was
+// requested before the remaining calls arrived, they make another request; otherwise they are
+// refused.
 void TeamAdmission::processWaiting(const std::string &team)
 {
     const auto waiting = m_waiting.extract(team);
