--- a/include/fordwood/backoff_text.hpp
+++ b/include/fordwood/backoff_text.hpp
@@ -9,14 +9,15 @@
 
 namespace fordwood {
 
-// How long an upstream that rejects a request wants nothing more from this node.
+// The backoff that an upstream requests with a rejection.
 struct ParsedBackoff
 {
-    std::optional<Duration> length; // nothing: it does not say, or nothing that can be read
+    std::optional<Duration> length; // empty: no valid value
     bool isUnreadable = false;
 };
 
-// Takes in one field of an answer: seconds, with fractions. Of several the longest one holds.
+// Parses one header field: seconds, with fractions. If the field occurs more than once, the longest
+// backoff applies.
 void addBackoffField(std::string_view text, ParsedBackoff &parsed);
 
 } // namespace fordwood
--- a/include/fordwood/fair_queue.hpp
+++ b/include/fordwood/fair_queue.hpp
@@ -11,10 +11,10 @@
 
 namespace fordwood {
 
-// Start-time fair queueing over teams. Each entry carries a cost; over time every team with waiting
-// entries gets cost in proportion to its share. Work-conserving: an idle team's part goes to the
-// others, and an idle team saves up nothing. Within a team the higher priority goes first, then the
-// older entry. Not thread-safe.
+// Start-time fair queueing over teams. Each entry has a cost; over time every team with waiting
+// entries is served cost in proportion to its share. Work-conserving: the share of an idle team
+// goes to the others, and an idle team accumulates no credit. Within a team higher priority goes
+// first, then the older entry. Not thread-safe.
 class FairQueue
 {
 public:
@@ -30,28 +30,28 @@
         int priority = 0;
     };
 
-    // Adds an entry; ids must be unique among the waiting ones.
+    // Adds an entry; ids must be unique among the waiting entries.
     void push(const Entry &entry);
 
-    // Takes out the entry whose team is furthest behind its share.
+    // Removes and returns the entry whose team is furthest behind its share.
     std::optional<Entry> pop();
 
-    // The entry that pop() would take.
+    // The entry that pop() would return.
     std::optional<Entry> next() const;
 
     // The sum of the shares of the teams that have waiting entries.
     double activeShare() const { return m_activeShare; }
 
-    // Takes out an entry that no longer waits. False when there is none of that id.
+    // Removes an entry that no longer waits. Returns false if there is no entry with that id.
     bool remove(EntryId id);
 
-    // Counts cost that a team used without waiting, so that it is charged all the same.
+    // Charges a team for cost that it used without queueing.
     void charge(const std::string &team, double share, double cost);
 
     std::size_t size() const { return m_entries.size(); }
     bool empty() const { return m_entries.empty(); }
 
-    // How many entries of one team wait.
+    // The number of waiting entries of a team.
     std::size_t waiting(const std::string &team) const;
 
 private:
--- a/include/fordwood/key_claims.hpp
+++ b/include/fordwood/key_claims.hpp
@@ -14,40 +14,40 @@
 
 namespace fordwood {
 
-// The idempotency keys of the calls on one entry node: a call with a key may run once the holder of
-// the key has granted the claim, and the holder hears how it ended. No I/O and no threads.
+// The idempotency keys of the calls on one entry node. A call with a key may run once the holder of
+// the key has granted the claim, and the outcome is reported to the holder. No I/O and no threads.
 class KeyClaims
 {
 public:
-    // `holderTimeout`: how long a holder may take to answer. Actions are added to `actions`.
+    // `holderTimeout`: how long a holder may take to answer. Actions are appended to `actions`.
     KeyClaims(const Clock &clock, Duration holderTimeout, std::vector<Action> &actions);
 
-    // Asks a member whether the key of the call may run.
+    // Asks a member whether the call with this key may run.
     void open(CallId call, const IdempotencyKey &key, const Member &holder);
 
-    // The call that an answer is for, whose claim is then no longer open. Empty when the claim was
-    // dropped since; the holder knows.
+    // Closes the pending claim that was answered and returns its call. Empty if the claim was
+    // dropped meanwhile; the holder has been notified then.
     std::optional<CallId> onAnswer(std::uint64_t claimId);
 
-    // The holder has let the call run.
+    // The holder has granted the claim.
     void grant(CallId call);
     bool isGranted(CallId call) const;
 
-    // Another member holds the key: whether the call may ask that one. Counted, so that two members
-    // that name each other are not asked for ever.
+    // Whether the call may follow a redirection to another holder. Redirections are counted, so
+    // that two members that redirect to each other are not asked forever.
     bool mayRedirect(CallId call);
 
-    // Whether the holder has left the call's open claim unanswered for too long.
+    // Whether the call's pending claim has timed out.
     bool isOverdue(CallId call) const;
 
-    // Calls with an open claim at a holder.
+    // Calls with a pending claim at a holder.
     std::vector<CallId> openAt(const std::string &holder) const;
 
-    // The call has ended, and the holder of its key is told how. A claim that is still open is
-    // given up: should the holder have granted it, the key is free again.
+    // The call has ended, and its outcome is reported to the holder of its key. A pending claim is
+    // given up: if the holder granted it meanwhile, the key is freed again.
     void finish(CallId call, RunState state, StoredAnswer answer);
 
-    // The call has ended in a way that the holder knows of.
+    // Drops a claim whose outcome the holder already has.
     void forget(CallId call);
 
 private:
@@ -55,8 +55,8 @@
     {
         IdempotencyKey key;
         std::string holder;
-        std::uint64_t pendingId = 0; // zero: answered
-        TimePoint until{}; // of the open claim
+        std::uint64_t pendingId = 0; // zero: none pending
+        TimePoint until{}; // timeout of the pending claim
         int redirections = 0;
         bool granted = false;
     };
--- a/include/fordwood/key_registry.hpp
+++ b/include/fordwood/key_registry.hpp
@@ -15,7 +15,7 @@
 
 namespace fordwood {
 
-// Names the connection of an entry node that runs keyed requests.
+// Identifies the connection of an entry node that runs calls with idempotency keys.
 using ClaimantId = std::uint64_t;
 
 // An idempotency key of a team, with the issue time that it carries.
@@ -26,10 +26,10 @@
     WallTime issued{};
 };
 
-// Reads the issue time of a version 7 UUID; empty when the text is none.
+// Parses the issue time of a version 7 UUID; empty for any other text.
 std::optional<WallTime> issueTimeOf(const std::string &uuid);
 
-// An answer that is kept for callers who send the same key again.
+// A response that is stored for callers that repeat the key.
 struct StoredAnswer
 {
     int status = 0;
@@ -37,23 +37,23 @@
     std::string body;
 };
 
-// What becomes of a claim.
+// The decision on a claim.
 struct ClaimAnswer
 {
     enum class Decision : std::uint8_t {
         Run, // the claimant may run the request, once
-        Answer, // it has run, and this is its answer
+        Answer, // it has run; `answer` is the stored response
         Refuse, // with the reason and the state
         Redirect, // another node holds the tenure
     };
     Decision decision = Decision::Refuse;
     Reason reason = Reason::Internal;
     RunState state = RunState::MayHaveRun;
-    std::string holder; // of a redirection
+    std::string holder; // for Redirect
     StoredAnswer answer;
 };
 
-// A key and what is known of it, handed to another process.
+// A key and its outcome, transferred to another process.
 struct HandedKey
 {
     IdempotencyKey key;
@@ -61,53 +61,55 @@
     std::optional<StoredAnswer> answer;
 };
 
-// All that a process knows of its keys, for its successors.
+// All keys of a process, for its successors.
 struct HandedKeys
 {
     std::vector<HandedKey> keys;
-    WallTime floor{}; // keys issued before this may have been forgotten
+    WallTime floor{}; // keys issued earlier may have been dropped
 };
 
-// The keys that one process has let run, in the tenures that it holds. Decides for each keyed
-// request whether it may run: never twice, and "not run" is only said where that is certain. No I/O
-// and no threads.
+// The idempotency keys that one process has granted, in the tenures that it holds. Decides for each
+// claim whether the call may run: never twice. "Not run" is reported only where it is certain. No
+// I/O and no threads.
 class KeyRegistry
 {
 public:
     struct Limits
     {
-        std::size_t maxKeys = 100'000; // some 42 MB
+        std::size_t maxKeys = 100'000; // about 42 MB
         std::size_t maxAnswerBytes = 16u << 20;
         Duration window = std::chrono::minutes(10);
     };
 
     KeyRegistry(KeyHolder self, const Clock &clock, Limits limits);
 
-    // Learns the chain of a partition, as it stands in the platform. Older knowledge is kept where
-    // the new chain ends earlier.
+    // Updates the tenure chain of a partition from the platform. A chain that ends before the known
+    // one is ignored.
     void setChain(std::uint32_t partition, const TenureChain &chain);
 
-    // Whether a process is still there to be asked; set by the node's view of the members.
+    // Replaces the boot numbers of the live members, from the node's view; used to check whether
+    // another holder can still be asked.
     void setLiveMembers(std::map<std::string, std::uint64_t> bootByNode);
 
-    // A request with a key wants to run.
+    // A call with a key asks to run.
     ClaimAnswer claim(ClaimantId claimant, const IdempotencyKey &key);
 
-    // A claimed request has ended. NotRun frees the key, so that it may be sent again.
+    // A granted call has ended. NotRun frees the key, so that it may be claimed again.
     void finish(ClaimantId claimant, const IdempotencyKey &key, RunState state,
                 StoredAnswer answer);
 
-    // A claimant is gone: what it was running may have run.
+    // The connection of a claimant is lost: its running calls may have run.
     void dropClaimant(ClaimantId claimant);
 
-    // Lets no further key run here, for good, and gives what is known of all keys. What still runs
-    // is handed on as one that may have run.
+    // Stops granting keys permanently, and returns all keys. Calls that still run are exported as
+    // calls that may have run.
     HandedKeys close();
 
-    // Takes what another process knew. Must come before the tenures that go with it.
+    // Imports the keys of another process. Must be called before the tenures that go with them take
+    // effect.
     void importKeys(const HandedKeys &handed);
 
-    // Forgets keys older than the window.
+    // Drops keys older than the window.
     void tick();
 
     std::size_t keys() const { return m_entries.size(); }
@@ -142,8 +144,8 @@
     bool m_closed = false;
 };
 
-// Divides what a planned stop hands over among the successors, by index; -1 takes what nobody can.
-// Every successor of a partition gets the floor, also where no key goes to it.
+// Groups the keys of a planned stop by successor index; -1 is the group without a successor. Every
+// successor of a partition gets the floor, even if it gets no key.
 std::map<int, HandedKeys>
 groupBySuccessor(const HandedKeys &handed,
                  const std::function<int(std::uint32_t partition)> &successorOf);
--- a/include/fordwood/mechanisms.hpp
+++ b/include/fordwood/mechanisms.hpp
@@ -4,25 +4,25 @@
 
 namespace fordwood {
 
-// Parts of the decisions that can be switched off one by one, so that an operator can measure what
-// each is worth under the load of the own fleet. Every promise holds without them.
+// Optional routing and messaging mechanisms, each of which can be switched off so that an operator
+// can measure its effect under real load. No guarantee of the system depends on them.
 struct Mechanisms
 {
-    bool contextStores = true; // context is saved to stores and fetched from them
-    bool smallFirstParts = true; // small parts of long contexts are saved too
-    bool computingInstead = true; // context is computed where its store is too busy
-    bool readAgainWeight = true; // context that an engine has is rarely computed elsewhere
-    bool toldContexts = true; // peers tell which engines got long contexts
-    // Engines set apart for short prompts. Off: their number follows the context that was seen, so
-    // that a fleet that starts sends all short prompts to a few engines (first token of the first
-    // seven seconds, median of 10 VMs: 232 ms with it, 84 ms without).
+    bool contextStores = true; // context is saved to stores and loaded from them
+    bool smallFirstParts = true; // also save small prefixes of long contexts
+    bool computingInstead = true; // compute context whose store is too busy
+    bool readAgainWeight = true; // avoid recomputing elsewhere a context that an engine has
+    bool toldContexts = true; // peers announce which engines received long contexts
+    // Dedicates some engines to short prompts. Off by default: their number follows the observed
+    // context, so a starting fleet sends all short prompts to a few engines (median time to first
+    // token in the first seven seconds with 10 VMs: 232 ms with it, 84 ms without).
     bool shortEngines = false;
-    bool shortFirst = true; // short prompts go first at every engine
-    bool earlyRefusals = true; // long prompts that would be late are refused at once
-    bool relays = true; // in a large fleet two nodes of a failure domain follow the stores
-    bool passingOn = true; // in a large fleet messages cross to a failure domain once
-    bool fewCandidates = true; // in a large fleet a node considers a random part of the engines
-    bool loadSums = true; // in a large fleet relays sum up what the nodes have sent to upstreams
+    bool shortFirst = true; // short prompts first at every engine
+    bool earlyRefusals = true; // refuse long prompts at once that would miss their deadline
+    bool relays = true; // in a large fleet two nodes per failure domain watch the stores
+    bool passingOn = true; // in a large fleet a message is sent to each failure domain once
+    bool fewCandidates = true; // in a large fleet a node considers a random subset of engines
+    bool loadSums = true; // in a large fleet relays aggregate the load that nodes send
 };
 
 } // namespace fordwood
--- a/include/fordwood/permit_scheduler.hpp
+++ b/include/fordwood/permit_scheduler.hpp
@@ -15,10 +15,11 @@
 
 namespace fordwood {
 
-// Names one entry node's connection to the owner; permits die with the connection that holds them.
+// Identifies one entry node's connection to the owner; permits end with the connection that holds
+// them.
 using HolderId = std::uint64_t;
 
-// A wish to send one request to one upstream.
+// A request to send one call to one upstream.
 struct PermitRequest
 {
     HolderId holder = 0;
@@ -27,98 +28,97 @@
     std::string team;
     double cost = 1.0; // expected uncached prefill tokens plus generated tokens
     int priority = 0; // higher goes first within the team
-    Duration wait{0}; // how long the request may queue; zero: answer at once
+    Duration wait{0}; // longest time in the queue; zero: answer at once
     PromptSize prompt = {}; // of a completion
 };
 
-// The owner's answer: a permit, or a denial with its reason. Denials always mean "not run".
+// The owner's answer: a permit, or a denial with its reason. A denied call has not run.
 struct PermitAnswer
 {
     HolderId holder = 0;
     std::uint64_t requestId = 0;
     bool granted = false;
     std::uint64_t permitId = 0;
-    Duration waited{0}; // between the ask's arrival and the grant
+    Duration waited{0}; // between arrival of the request and the grant
     Duration sendWithin{0}; // counted from the grant
     Reason reason = Reason::Internal;
     std::chrono::milliseconds retryAfter{0};
-    // With a denial for want of a place: when the first token could come, about, and with it what
-    // it costs the others. For comparing upstreams.
+    // For a denial for lack of a slot: the estimated time to the first token, including the delay
+    // that the prompt causes for others. Used to compare upstreams.
     Duration firstTokenIn{0};
 };
 
-// What the owner needs to know about an upstream.
+// The properties of an upstream that its owner schedules by.
 struct OwnedUpstream
 {
     std::string name;
-    std::size_t slots = 1; // requests that the upstream runs at once
+    std::size_t slots = 1; // requests that the upstream runs concurrently
     bool leaving = false;
     double prefillTokensPerSecond = 10'000;
     std::size_t cacheTokens = 100'000;
 };
 
-// The limits that an owner keeps to.
+// The limits that an owner enforces.
 struct PermitLimits
 {
     Duration sendWithin = std::chrono::seconds(2); // life of an unused permit
-    std::size_t queuePerTeam = 256; // waiting asks per team and upstream
-    // Prompts are given to an engine while it has less than this to compute; the others wait here,
-    // where teams get their shares.
+    std::size_t queuePerTeam = 256; // waiting requests per team and upstream
+    // A prompt is sent to an engine only while the engine's backlog of computation is below this;
+    // the others wait in the fair queue, where teams get their shares.
     Duration maxBacklog = std::chrono::milliseconds(250);
 };
 
-// Decides who may send to the upstreams that this node owns: as many running requests per upstream
-// as it has slots, and weighted fair queueing over teams when there are more. Events in, answers
-// out; no I/O and no threads. An ask that could not be granted early enough to finish before its
-// deadline is denied at once: a place given to a request that dies in the middle is lost for all.
-// Two books that both think they own an upstream admit too much for a moment and break nothing
-// else.
+// Schedules permits for the upstreams that this node owns: as many running calls per upstream as it
+// has slots, with weighted fair queueing over teams when there are more. Events in, answers out; no
+// I/O and no threads. A request that could not be granted early enough to finish before its
+// deadline is denied at once, because a slot given to a call that is aborted midway is wasted. Two
+// schedulers that both own an upstream for a moment admit too many calls, and have no other effect.
 class PermitScheduler
 {
 public:
     explicit PermitScheduler(const Clock &clock, PermitLimits limits = {});
 
-    // Replaces the set of owned upstreams. Waiting asks of upstreams that are gone or leaving are
-    // denied; running permits are kept until released.
+    // Replaces the set of owned upstreams. Waiting requests for upstreams that are gone or leaving
+    // are denied; running permits are kept until released.
     void setUpstreams(const std::vector<OwnedUpstream> &upstreams);
 
     // Replaces the shares of the teams; a team without an entry has share 1.
     void setShares(std::map<std::string, double> shares);
 
-    // Stops grants for an upstream for the moment, as while it loads weights: asks that may wait
-    // do.
+    // Stops or resumes grants for an upstream, for example while it loads weights. Requests that
+    // may wait are queued.
     void setPaused(const std::string &upstream, bool isPaused);
 
-    // Handles one ask; the answer may come now or with a later call to takeAnswers().
+    // Handles one request; the answer may come now or with a later call to takeAnswers().
     void request(const PermitRequest &request);
 
-    // Ends a running permit. `cost` is what the request really used, or zero if unknown; an empty
-    // `upstream` stands for any.
+    // Ends a running permit. `cost` is the actual cost of the call, or zero if unknown; an empty
+    // `upstream` matches any.
     void release(HolderId holder, std::uint64_t permitId, const std::string &upstream, double cost);
 
-    // Ends a permit whose upstream was full all the same, of runs that came without a permit: the
-    // next grants of the upstream wait a moment.
+    // Ends a permit whose upstream rejected the call because it was full, for example with calls
+    // sent without a permit. Further grants for the upstream pause for a moment.
     void onPushback(HolderId holder, std::uint64_t permitId, const std::string &upstream);
 
-    // Ends a waiting ask whose caller has gone; a permit granted meanwhile must be released.
+    // Ends a waiting request whose caller has gone; a permit granted meanwhile must be released.
     void withdraw(HolderId holder, std::uint64_t requestId, const std::string &upstream);
 
-    // Records a permit that the holder got from an earlier owner and still uses.
+    // Records a permit that an earlier owner granted to the holder and that is still in use.
     void adoptPermit(HolderId holder, std::uint64_t permitId, const std::string &upstream,
                      const std::string &team);
 
-    // Forgets a holder whose connection is gone: its permits are free, its asks are dropped.
+    // Removes a holder whose connection is lost: its permits are freed, its requests are dropped.
     void dropHolder(HolderId holder);
 
-    // Denies the asks that have waited as long as they may.
+    // Denies requests that have waited for their maximum time.
     void tick();
 
-    // Answers since the last call, in the order they were decided.
+    // Answers since the last call, in the order of the decisions.
     std::vector<PermitAnswer> takeAnswers();
 
     std::size_t running(const std::string &upstream) const;
     std::size_t waiting(const std::string &upstream) const;
-    // True while any ask waits, so that tick() has work.
+    // True while any request waits, so that tick() has work.
     bool hasWaiting() const;
     std::size_t owned() const { return m_states.size(); }
 
@@ -134,9 +134,9 @@
     {
         PermitRequest request;
         TimePoint since;
-        Duration prefill; // to compute its prompt, as believed when it came
+        Duration prefill; // to compute its prompt, as estimated at arrival
     };
-    // All that concerns one upstream.
+    // The scheduling state of one upstream.
     struct UpstreamState
     {
         OwnedUpstream upstream;
@@ -144,7 +144,7 @@
         TimePoint pausedUntil{};
         bool isPaused = false;
         PrefillLine prefill;
-        Duration waitingPrefill{0}; // of all waiting asks
+        Duration waitingPrefill{0}; // of all waiting requests
         Duration meanHold{0}; // of a permit, from grant to release
         std::unordered_map<FairQueue::EntryId, Waiting> waiting;
         std::map<std::pair<HolderId, std::uint64_t>, FairQueue::EntryId> byRequest;
--- a/include/fordwood/permits_in_use.hpp
+++ b/include/fordwood/permits_in_use.hpp
@@ -13,40 +13,40 @@
 
 namespace fordwood {
 
-// The permits under which the calls of one entry node run, each with the owner that must hear of
-// its end. Owners change and die while permits are in use: the next owner is told of them, so that
-// it does not grant the same place again. No I/O and no threads.
+// The permits that the calls of one entry node hold, each with the owner that must be notified of
+// its end. When the owner of an upstream changes or dies while permits are in use, the next owner
+// is told about them, so that it does not grant the same slots again. No I/O and no threads.
 class PermitsInUse
 {
 public:
-    // Actions are added to `actions`.
+    // Actions are appended to `actions`.
     explicit PermitsInUse(std::vector<Action> &actions) : m_actions(actions) { }
 
-    // Replaces the view of the fleet; owners that are new hear of the permits at their upstreams.
+    // Replaces the view of the fleet. Permits are transferred to the new owners of their upstreams.
     void setView(std::shared_ptr<const FleetView> view);
 
-    // The call runs under a permit that an owner granted.
+    // The call holds a permit that an owner granted.
     void addGranted(const CallRequest &call, const std::string &owner, std::uint64_t permitId,
                     const std::string &upstream);
 
-    // The call is sent without asking, since places are not short.
+    // The call is sent without a permit, because its upstream has free slots.
     void addDirect(const CallRequest &call, const std::string &upstream);
 
-    // The call takes one of the few places that a node may use while no owner answers. False when
-    // they are all in use.
+    // The call takes one of the few slots that a node may use while no owner answers. Returns false
+    // if all of them are in use.
     bool tryTakeLocal(const CallRequest &call, const UpstreamConfig &upstream);
 
     bool isDirect(CallId call) const;
 
-    // The call's permit is in use no more; without one, nothing happens. `cost`: what it used, or
-    // zero if unknown; `pushedBack`: the upstream was full all the same.
+    // Releases the call's permit, if it has one. `cost`: the actual cost of the call, or zero if
+    // unknown; `pushedBack`: the upstream rejected the call because it was full.
     void release(CallId call, double cost, bool pushedBack = false);
 
-    // The connection to an owner is gone, and its permits with it.
+    // The connection to an owner is lost, and its permits with it.
     void ownerLost(const std::string &owner);
 
-    // An owner is about to be asked. One that had been lost may be another process, which knows of
-    // nothing: it is told of the permits in use.
+    // Called before a request to an owner. If the connection to it was lost, a new process may
+    // answer, which has no record of the permits in use; they are announced to it.
     void announceHeldPermits(const Member &owner);
 
 private:
@@ -54,8 +54,8 @@
     {
         std::string team;
         std::string upstream;
-        std::string owner; // empty: nobody needs to hear of it
-        std::uint64_t permitId = 0; // zero: none was granted
+        std::string owner; // empty: no owner to notify
+        std::uint64_t permitId = 0; // zero: not granted by an owner
         bool isDirect = false;
     };
 
@@ -68,7 +68,7 @@
     std::shared_ptr<const FleetView> m_view;
     std::map<CallId, PermitInUse> m_permits;
     std::map<std::string, std::size_t> m_localSlotsInUse; // by upstream
-    std::set<std::string> m_lostOwners; // that have not been asked since
+    std::set<std::string> m_lostOwners; // without a request since the loss
 };
 
 } // namespace fordwood
--- a/include/fordwood/quarantine.hpp
+++ b/include/fordwood/quarantine.hpp
@@ -13,69 +13,70 @@
 
 namespace fordwood {
 
-// What nodes tell each other of one request.
+// Reports one event of a request, as nodes exchange it.
 struct QuarantineUpdate
 {
     RequestFingerprint request;
-    // The life of an upstream, by hash, that broke off while the request was there. Nothing: an
-    // upstream has answered the request whole.
+    // The hash of the upstream instance that disconnected while it ran the request. Empty: an
+    // upstream has completed the request.
     std::optional<std::uint64_t> failedInstance;
 
     bool operator==(const QuarantineUpdate &) const = default;
 };
 
-// Which requests end the upstreams that run them, by the word of all nodes. News may come in any
-// order and more than once: all nodes that have heard the same know the same.
-//
-// The load pattern that it answers: one request comes again and again, at any node and under a new
-// id each time, and each upstream that begins to run it ends, with all that runs beside it. In a
-// fleet that has 18 engines at a time 19 ended so, twelve of them within eight seconds.
+// Detects poison requests, which crash the upstreams that run them, from the reports of all nodes.
+// Reports may arrive in any order and more than once: nodes that have received the same reports
+// reach the same result. A poison request is sent again and again, to any node and under a new id
+// each time, and each upstream that starts to run it ends, with all other requests running there.
+// In a fleet of 18 engines such a request ended 19 engines, twelve of them within eight seconds.
 class Quarantine
 {
 public:
     struct Limits
     {
-        // Upstreams that have ended under a request before it is held. Many requests are beside one
-        // that ends an upstream, and some are tried again beside the next; beside a third hardly
-        // any is.
+        // The number of upstream instances that end while running a request before it is held. Many
+        // innocent requests run beside a poison request, and some are retried beside it on a second
+        // upstream; hardly any runs beside it on a third.
         std::size_t failuresToHold = 3;
-        // How long a request is held after the last end. Then it may be tried: one more end holds
-        // it again.
+        // How long a request is held after the last failure. Then it may be tried again; one more
+        // failure holds it again.
         Duration holdFor = std::chrono::minutes(10);
-        // When what was known of a request is forgotten, after the last news of it.
+        // When the record of a request is dropped, counted from the last report on it.
         Duration forgetAfter = std::chrono::hours(1);
-        // How long an answer speaks for a request: then other weights may be in force, or another
-        // version of a service.
+        // How long a successful response clears a request. Later, other weights or another version
+        // of the service may be in use.
         Duration answerValidFor = std::chrono::minutes(1);
-        // Lives that are told apart under one request; further ones prolong its hold.
+        // Failed instances that are recorded per request; further ones only extend the hold.
         std::size_t maxInstances = 32;
-        // Requests that are remembered; beyond it those of the oldest news that are not held go.
+        // Recorded requests; beyond this number the entries with the oldest reports that are not
+        // held are dropped.
         std::size_t maxRequests = 2'048;
     };
 
     explicit Quarantine(const Clock &clock) : Quarantine(clock, Limits{}) { }
     Quarantine(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    // False: it was known before, or an answer has shown that the request is not to blame.
+    // Returns false if the report was known before, or a successful response has cleared the
+    // request.
     bool apply(const QuarantineUpdate &update);
 
-    // Whether upstreams have ended under the request, and none has answered it.
+    // Whether upstreams have ended while running the request, and none has completed it.
     bool isSuspect(const RequestFingerprint &request) const;
 
-    // Whether the request may go to no upstream.
+    // Whether the request must not be sent to any upstream.
     bool isHeld(const RequestFingerprint &request) const;
 
-    // How much longer it is held; zero: it is not.
+    // The remaining hold time; zero: not held.
     Duration heldFor(const RequestFingerprint &request) const;
 
-    // The lives that ended under the request.
+    // The upstream instances that ended while running the request.
     std::vector<std::uint64_t> failedInstancesOf(const RequestFingerprint &request) const;
 
-    // Whether anything is remembered, and what is held now.
+    // isEmpty(): no request is recorded. heldRequests(): the number of requests held now.
     bool isEmpty() const { return m_entries.empty(); }
     std::size_t heldRequests() const;
 
-    // Forgets what is old.
+    // Drops old entries.
     void tick();
 
 private:
--- a/include/fordwood/quarantine_gate.hpp
+++ b/include/fordwood/quarantine_gate.hpp
@@ -14,8 +14,8 @@
 
 namespace fordwood {
 
-// Holds requests that end upstreams, on one node: what this node's own sends show, and what it has
-// heard from the others. What the others should hear is taken from it as news.
+// Holds poison requests on one node, from the outcomes of its own requests and from the reports of
+// other nodes. New reports for the other nodes are collected in takeUpdates().
 class QuarantineGate
 {
 public:
@@ -23,24 +23,24 @@
         : m_clock(clock), m_quarantine(clock), m_answers(clock)
     { }
 
-    // The upstream broke its connection while the request was there.
+    // The upstream closed its connection while running the request.
     void onDisconnect(const RequestFingerprint &request, const std::string &instanceId);
 
-    // A send ended without a word of the upstream: the caller left, or the time was up. It counts
-    // as broken off if the upstream turns out to have ended at about that time, since one that
-    // loses power breaks no connection.
+    // A request ended without a response because the caller left or the deadline passed. It counts
+    // as a failure if the upstream turns out to have ended at about that time, because an upstream
+    // that loses power does not close its connections.
     void onUnanswered(const RequestFingerprint &request, const std::string &instanceId);
 
-    // The upstream is gone, and had not said that it would leave.
+    // The upstream has ended without having announced that it would leave.
     void onUpstreamEnded(const std::string &instanceId);
 
-    // An upstream has answered the request whole and with success.
+    // An upstream has completed the request successfully.
     void onAnswer(const RequestFingerprint &request);
 
-    // What other nodes, or the platform's store, have told.
+    // Merges reports of other nodes or from the platform's store.
     void applyUpdates(const std::vector<QuarantineUpdate> &updates);
 
-    // Whether anything is known against any request; if not, none need be looked up.
+    // True if no request is recorded, so that no lookup is needed.
     bool isEmpty() const { return m_quarantine.isEmpty(); }
 
     bool isHeld(const RequestFingerprint &request) const { return m_quarantine.isHeld(request); }
@@ -50,10 +50,10 @@
     }
     std::size_t heldRequests() const { return m_quarantine.heldRequests(); }
 
-    // What other nodes should hear, once.
+    // Returns the new reports for the other nodes, each once.
     std::vector<QuarantineUpdate> takeUpdates();
 
-    // Regular work: forgets what is old.
+    // Periodic work: drops old entries.
     void tick();
 
 private:
@@ -69,8 +69,8 @@
     const Clock &m_clock;
     Quarantine m_quarantine;
     RecentAnswers m_answers;
-    std::deque<Unanswered> m_unanswered; // by time
-    std::map<std::string, TimePoint> m_ended; // upstreams, of late
+    std::deque<Unanswered> m_unanswered; // ordered by time
+    std::map<std::string, TimePoint> m_ended; // recently ended upstreams
     std::vector<QuarantineUpdate> m_updates;
 };
 
--- a/include/fordwood/request_fingerprint.hpp
+++ b/include/fordwood/request_fingerprint.hpp
@@ -10,7 +10,8 @@
 
 namespace fordwood {
 
-// What makes two requests the same to an upstream, whatever ids their callers gave them.
+// The content by which upstreams would treat two requests as the same, whatever ids the callers
+// assigned.
 struct RequestContent
 {
     std::string_view method;
@@ -20,8 +21,8 @@
     std::string_view body;
 };
 
-// A name for the content of a request, alike on every node: 128 bits, so that two requests of a
-// fleet do not share one by chance.
+// A hash of the content of a request, equal on every node: 128 bits, so that accidental collisions
+// within a fleet are practically impossible.
 struct RequestFingerprint
 {
     std::uint64_t high = 0;
@@ -36,7 +37,7 @@
     // 32 hexadecimal digits.
     std::string text() const;
 
-    // Nothing: the text is no fingerprint.
+    // Empty if the text is not a fingerprint.
     static std::optional<RequestFingerprint> parse(std::string_view text);
 };
 
--- a/include/fordwood/upstream_backoffs.hpp
+++ b/include/fordwood/upstream_backoffs.hpp
@@ -10,32 +10,31 @@
 
 namespace fordwood {
 
-// Which upstreams want nothing from this node for now.
-//
-// The load pattern that it answers: an upstream sheds load, rejects requests within milliseconds
-// and says when it takes some again. Its quick rejections make it look idle, so that without this
-// it gets more requests than before, each of which fails its caller or costs a retry.
+// Tracks the upstreams that have asked this node to back off. An upstream that sheds load rejects
+// requests within milliseconds and states when it accepts some again. Its fast rejections make it
+// look idle, so without this class it would get more requests than before, each of which fails or
+// costs a retry.
 class UpstreamBackoffs
 {
 public:
     explicit UpstreamBackoffs(const Clock &clock) : m_clock(clock) { }
 
-    // The upstream asks this node for a backoff from now on; ten minutes at most are kept to. Of
-    // several the one that ends last holds. Whether the end is another one now.
+    // The upstream asks this node to back off from now on, for at most ten minutes. Of several
+    // requests the one that ends last applies. Returns whether the end of the backoff has changed.
     bool addBackoff(const std::string &instanceId, Duration length);
 
     bool isBackingOff(const std::string &instanceId) const;
 
-    // Until requests may go there again; zero: now.
+    // The time until requests may be sent there again; zero: now.
     Duration remaining(const std::string &instanceId) const;
 
-    // The upstream's life is over.
+    // Drops all state of an upstream instance that has ended.
     void forget(const std::string &instanceId) { m_until.erase(instanceId); }
 
-    // Drops what is over.
+    // Drops expired backoffs.
     void tick();
 
-    // Upstreams that are kept, for the metrics.
+    // The number of recorded backoffs, for the metrics.
     std::size_t size() const { return m_until.size(); }
 
 private:
--- a/include/fordwood/upstream_limits.hpp
+++ b/include/fordwood/upstream_limits.hpp
@@ -15,78 +15,77 @@
 
 namespace fordwood {
 
-// What nodes tell each other of one upstream's limit.
+// The limit of one upstream, as nodes exchange it.
 struct LimitGossip
 {
-    std::uint64_t upstream = 0; // its life, by the stable hash of its instance id
-    std::uint64_t version = 0; // of what is believed of it; the highest one holds
-    double perSecond = 0.0; // requests a second; zero: the upstream names no limit any more
-    Duration age{}; // since the answer that brought it about was read
+    std::uint64_t upstream = 0; // stable hash of its instance id
+    std::uint64_t version = 0; // of the limit; the highest version wins
+    double perSecond = 0.0; // requests per second; zero: the limit has been lifted
+    Duration age{}; // since the response with this limit was read
     std::vector<SenderAnnouncement>
-        senders; // nodes that have requests for it; none once it is lifted
+        senders; // nodes with requests for the upstream; empty once the limit is lifted
 
     bool operator==(const LimitGossip &) const = default;
 };
 
-// What a node believes of one upstream's limit has changed.
+// A change of one upstream's limit as this node knows it.
 struct LimitChange
 {
     std::string instanceId;
-    std::optional<double> before; // requests a second; nothing: no limit
+    std::optional<double> before; // requests per second; empty: no limit
     std::optional<double> now;
     std::uint64_t version = 0;
-    Duration age{}; // since the answer that brought it about was read, by this node or a peer
+    Duration age{}; // since the response was read, by this node or a peer
 };
 
-// Which upstreams name a limit: the requests a second that they take from all nodes together.
-//
-// The load pattern that it answers: an overloaded upstream names its limit in its answers, so that
-// only nodes that send there are told, while the limit holds for the sum of what all nodes send;
-// and it lifts the limit in the same way, when most nodes send it nothing any more. So nodes tell
-// each other, and order what they hear by a version that each change raises: an older word that
-// arrives late, or that a node reads after standing still, never replaces a newer one.
+// Tracks the rate limits that upstreams advertise: the requests per second that an upstream accepts
+// from all nodes together. An overloaded upstream advertises its limit in its responses, so only
+// nodes that send to it learn the limit, although it applies to the sum over all nodes. It lifts
+// the limit in the same way, when most nodes have stopped sending to it. Therefore nodes exchange
+// the limits, ordered by a version that each change increments: an older update that arrives late,
+// or is read after a pause of the process, never replaces a newer one.
 class UpstreamLimits
 {
 public:
     explicit UpstreamLimits(const Clock &clock) : m_clock(clock) { }
 
-    // The upstream is in service: only of such ones is anything kept.
+    // Registers an upstream in service. Limits of other upstreams are ignored.
     void addUpstream(const std::string &instanceId);
 
-    // The upstream's life is over, and its limit with it.
+    // Drops an upstream instance that has ended, with its limit.
     void forget(const std::string &instanceId);
 
-    // An answer of the upstream to a request that was sent at `sent` names so many requests a
-    // second, or none. Answers overtake each other: what is believed changes only by an answer to a
-    // request that was sent after it came to be believed, and is eased only by one to a request
-    // that was sent after the last answer that bore it out.
+    // Handles a response to a request that was sent at `sent`, with the advertised limit, if any.
+    // Responses can overtake each other, so the limit changes only by a response to a request that
+    // was sent after the current limit became known, and is relaxed only by one to a request that
+    // was sent after the latest response that confirmed the limit.
     std::optional<LimitChange> onAnswer(const std::string &instanceId,
                                         std::optional<double> perSecond, TimePoint sent);
 
-    // What a peer has told. Words about upstreams that this node does not know are passed over.
+    // Merges limits received from a peer. Unknown upstreams are ignored.
     std::vector<LimitChange> applyUpdates(const std::vector<LimitGossip> &updates);
 
-    // Requests a second that the upstream takes from all nodes together; nothing: any number.
+    // Requests per second that the upstream accepts from all nodes together; empty: no limit.
     std::optional<double> perSecond(const std::string &instanceId) const;
 
     std::optional<double> perSecond(std::uint64_t upstream) const;
 
-    // What peers should hear: limits that stand, and of late lifted ones. Without senders.
+    // The updates to send to peers: current limits and recently lifted ones, without senders.
     std::vector<LimitGossip> updates() const;
 
-    // Upstreams that name a limit now, for the metrics.
+    // The number of upstreams with a limit, for the metrics.
     std::size_t limitedUpstreams() const { return m_limited; }
 
 private:
     struct LimitState
     {
         std::string instanceId;
-        std::uint64_t version = 0; // zero: nothing is believed yet
+        std::uint64_t version = 0; // zero: never had a limit
         std::optional<double> perSecond;
-        TimePoint changedAt{}; // when this node came to believe it
-        TimePoint confirmedAt{}; // the last answer that said the same, or `learnt`
-        TimePoint answered{}; // when the answer that brought it about was read, by any node
-        TimePoint announceUntil{}; // that it has been lifted
+        TimePoint changedAt{}; // when this node learned the current limit
+        TimePoint confirmedAt{}; // the last response with the same limit, or `changedAt`
+        TimePoint answered{}; // when the response with the current limit was read, by any node
+        TimePoint announceUntil{}; // end of the announcements that the limit is lifted
     };
 
     static bool mayChange(const LimitState &state, std::optional<double> perSecond, TimePoint sent);
@@ -95,8 +94,8 @@
                        TimePoint answered);
 
     const Clock &m_clock;
-    // By the hash of the instance id. Few of the upstreams in service ever name a limit: what is
-    // asked for each of them at each choice costs nothing while none does.
+    // By the hash of the instance id. Few upstreams ever advertise a limit: the lookups for each
+    // upstream at each routing decision cost nothing while there is none.
     std::unordered_map<std::uint64_t, std::string> m_inService;
     std::map<std::uint64_t, LimitState> m_states;
     std::size_t m_limited = 0;
--- a/include/fordwood/upstream_restarts.hpp
+++ b/include/fordwood/upstream_restarts.hpp
@@ -10,14 +10,15 @@
 
 namespace fordwood {
 
-// Tells the lives of upstreams apart that come back under their name without saying so: all that
-// breaks off at one within a moment broke off with the same life.
+// Distinguishes successive instances of upstreams that restart under the same name without
+// reporting it. All connections to an upstream that break within a moment broke with the same
+// instance.
 class UpstreamRestarts
 {
 public:
     explicit UpstreamRestarts(const Clock &clock) : m_clock(clock) { }
 
-    // The upstream has broken off. Returns a name for the life that has ended.
+    // A connection to the upstream broke. Returns a name for the instance that has ended.
     std::string onDisconnect(const std::string &upstream);
 
 private:
--- a/src/core/backoff_text.cpp
+++ b/src/core/backoff_text.cpp
@@ -9,7 +9,7 @@
 
 void addBackoffField(std::string_view text, ParsedBackoff &parsed)
 {
-    constexpr double kMostSeconds = 1e9; // what a duration holds without overflow
+    constexpr double kMostSeconds = 1e9; // fits into a Duration without overflow
     const auto seconds = parseNonNegative(text);
     if (!seconds) {
         parsed.isUnreadable = true;
--- a/src/core/fair_queue.cpp
+++ b/src/core/fair_queue.cpp
@@ -58,7 +58,8 @@
     entry.tag = std::max(entry.tag, m_virtualTime) + cost / std::max(share, 1e-9);
     if (active)
         m_active.emplace(entry.tag, team);
-    // Nobody waits, so nobody was kept from its share: all start again from the same point.
+    // Without waiting entries no team is behind its share, so all teams restart from the same
+    // virtual time.
     if (m_active.empty())
         m_virtualTime = std::max(m_virtualTime, entry.tag);
 }
--- a/src/core/key_claims.cpp
+++ b/src/core/key_claims.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int kMaxRedirections = 2; // our choice: one change of holders, and one more under way
+constexpr int kMaxRedirections = 2; // one change of holders, and another in progress
 
 } // namespace
 
--- a/src/core/key_registry.cpp
+++ b/src/core/key_registry.cpp
@@ -143,7 +143,7 @@
     for (const HandedKey &it : handed.keys) {
         const Id id{it.key.team, it.key.text};
         if (m_entries.count(id) != 0)
-            continue; // handed over twice
+            continue; // already imported
         const State state = it.state == RunState::Ran ? State::Ran : State::MayHaveRun;
         Entry entry{state, 0, it.key.issued, std::nullopt};
         if (it.answer && m_answerBytes + it.answer->body.size() <= m_limits.maxAnswerBytes) {
@@ -192,7 +192,7 @@
     return answer;
 }
 
-// Too many keys: the oldest go, and what is older than them is no longer judged.
+// Drops the oldest keys beyond the maximum, and raises the floor so that keys as old are refused.
 void KeyRegistry::forgetOldest()
 {
     while (m_entries.size() > m_limits.maxKeys) {
--- a/src/core/permit_scheduler.cpp
+++ b/src/core/permit_scheduler.cpp
@@ -215,7 +215,7 @@
     answer.reason = reason;
     answer.retryAfter = retryAdvice(it == m_states.end() ? nullptr : &it->second);
     if (it != m_states.end())
-        // What is computed here is counted twice: others wait for it as well.
+        // The prompt's own computation counts twice, because other calls wait for it as well.
         answer.firstTokenIn
             = expectedWait(it->second, request) + it->second.prefill.timeFor(request.prompt) * 2;
     m_answers.push_back(answer);
@@ -236,7 +236,7 @@
 void PermitScheduler::grantWaiting(UpstreamState &state)
 {
     if (state.isPaused || m_clock.now() < state.pausedUntil)
-        return; // tick() comes back to it
+        return; // tick() tries again
     while (!state.upstream.leaving && state.running.size() < state.upstream.slots
            && state.prefill.backlog(m_clock.now()) <= m_limits.maxBacklog) {
         const auto entry = state.queue.next();
@@ -244,7 +244,7 @@
             return;
         const Waiting waiting = state.waiting.at(entry->id);
         if (waiting.since + waiting.request.wait - m_clock.now() < state.meanHold) {
-            // Too late to finish: it must not take the place of one that can.
+            // Too late to finish, so the slot goes to a call that can.
             deny(waiting.request, Reason::DeadlineTooNear);
             dropWaiting(state, entry->id);
             continue;
@@ -261,13 +261,15 @@
     if (it == state.waiting.end())
         return;
     state.byRequest.erase({it->second.request.holder, it->second.request.requestId});
-    state.waitingPrefill -= it->second.prefill; // what was added, whatever is believed by now
+    state.waitingPrefill
+        -= it->second.prefill; // the amount that was added, even if the estimate has changed since
     state.queue.remove(id);
     state.waiting.erase(it);
 }
 
-// Whether a request may go to the upstream at once. One whose context is kept there waits as long
-// as it would take to compute it elsewhere; any other goes where less is to be computed.
+// Whether a request can be granted without waiting. A call whose context is cached at the upstream
+// accepts a backlog up to the time of computing the context elsewhere; any other goes where the
+// backlog is smaller.
 bool PermitScheduler::canGrantNow(const UpstreamState &state, const PermitRequest &request) const
 {
     const TimePoint now = m_clock.now();
@@ -280,8 +282,8 @@
     return state.prefill.backlog(now) <= most;
 }
 
-// How long an ask would wait, from the mean time that permits are held and the team's part of the
-// places among the teams that wait.
+// The estimated wait of a request, from the mean hold time of permits and the team's share among
+// the waiting teams.
 Duration PermitScheduler::expectedWait(const UpstreamState &state,
                                        const PermitRequest &request) const
 {
--- a/src/core/permits_in_use.cpp
+++ b/src/core/permits_in_use.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Marks permit ids that this node made itself, apart from those that owners give out.
+// Distinguishes permit ids that this node created from those that owners assign.
 constexpr std::uint64_t kTransferredPermitBit = 1ULL << 63;
 
 } // namespace
@@ -87,7 +87,7 @@
     }
 }
 
-// Who owns the upstream of a permit now; null when it has gone or there are no members.
+// The current owner of a permit's upstream; null if the upstream is gone or there are no members.
 const Member *PermitsInUse::ownerOf(const PermitInUse &permit) const
 {
     const auto &upstreams = m_view->configuration().upstreams;
@@ -95,7 +95,7 @@
     return it == upstreams.end() ? nullptr : m_view->owner(it->second);
 }
 
-// Moves a permit to another owner, or to the next process of the same one.
+// Transfers a permit to another owner, or to a new process of the same owner.
 void PermitsInUse::transferTo(CallId call, PermitInUse &permit, const Member &owner)
 {
     if (permit.permitId == 0)
@@ -115,7 +115,7 @@
     used -= used > 0 ? 1 : 0;
 }
 
-// The places of an upstream, divided among the nodes of its failure domain.
+// The slots of an upstream, divided among the nodes of its failure domain.
 std::size_t PermitsInUse::localSlots(const UpstreamConfig &upstream) const
 {
     const auto &members = m_view->members();
--- a/src/core/quarantine.cpp
+++ b/src/core/quarantine.cpp
@@ -40,7 +40,7 @@
     return isRecorded;
 }
 
-// Many go at once, so that a storm of ends does not look through all entries for each.
+// Drops many entries at once, so that a burst of failures does not scan all entries for each.
 void Quarantine::makeRoom()
 {
     constexpr std::size_t kDropDivisor = 4;
--- a/src/core/quarantine_gate.cpp
+++ b/src/core/quarantine_gate.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-// An upstream that falls silent is known to have ended once its record has run out, some four
+// An upstream that stops responding is known to have ended once its record expires, about four
 // seconds later.
 constexpr Duration kEndDetectedWithin = std::chrono::seconds(5);
 
-// Sends without an answer that are remembered for that time: many times what callers leave.
+// Requests without a response that are kept for that time: many times the number that callers
+// usually abandon.
 constexpr std::size_t kMaxUnanswered = 1'024;
 
 } // namespace
@@ -26,8 +27,8 @@
 
 void QuarantineGate::onDisconnect(const RequestFingerprint &request, const std::string &instanceId)
 {
-    // One that an upstream has answered of late was only there: pages that many ask for are under
-    // way wherever an upstream ends.
+    // A request that an upstream has completed recently only happened to run there: popular pages
+    // are in progress at any upstream that ends.
     if (!m_answers.contains(request))
         publish({request, stableHash(instanceId)});
 }
--- a/src/core/request_fingerprint.cpp
+++ b/src/core/request_fingerprint.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kHalfDigits = 16; // of one half
+constexpr std::size_t kHalfDigits = 16; // hexadecimal digits per 64 bits
 constexpr int kBase = 16;
 
 std::string formatHalf(std::uint64_t half)
@@ -57,7 +57,8 @@
     XXH3_128bits_reset(state.get());
     for (const std::string_view it :
          {content.method, content.host, content.target, content.team, content.body}) {
-        // The length goes first, so that bytes cannot move from one part into the next.
+        // Each part is preceded by its length, so that moving bytes between adjacent parts changes
+        // the hash.
         const std::uint64_t n = it.size();
         XXH3_128bits_update(state.get(), &n, sizeof n);
         XXH3_128bits_update(state.get(), it.data(), it.size());
--- a/src/core/upstream_backoffs.cpp
+++ b/src/core/upstream_backoffs.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// An upstream that confuses units must not be lost for days.
+// An upstream that sends a value in the wrong unit must not be skipped for days.
 constexpr Duration kMaxBackoff = std::chrono::minutes(10);
 
 } // namespace
--- a/src/core/upstream_limits.cpp
+++ b/src/core/upstream_limits.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// How long peers are told that a limit is lifted: longer than a node stands still or is cut off on
-// an ordinary day. One that comes back later says what it believes, and is told then.
+// How long peers are told that a limit is lifted: longer than usual pauses of a node and usual
+// partitions. A node that returns later announces its outdated limit, and is corrected then.
 constexpr Duration kAnnounceLiftedFor = std::chrono::seconds(30);
 
-// From here on a limit is none: no process serves so many callers a second.
+// A limit from this value on counts as none: no process serves as many calls per second.
 constexpr double kUnlimitedFrom = 10'000.0;
 
-// An upstream that names less, or zero, gets one request in ten seconds all the same: without an
-// answer now and then nobody would learn that it takes requests again.
+// An upstream with a lower limit, or zero, still gets one request in ten seconds: without an
+// occasional response no node would learn that it accepts requests again.
 constexpr double kMinLimit = 0.1;
 
 std::optional<double> effectiveLimit(std::optional<double> perSecond)
@@ -45,7 +45,7 @@
     m_states.erase(it);
 }
 
-// What is believed of the upstream, to be changed; null: it is not in service.
+// The state of an upstream, created if needed; null if the upstream is not in service.
 UpstreamLimits::LimitState *UpstreamLimits::state(std::uint64_t upstream)
 {
     const auto current = m_states.find(upstream);
@@ -92,7 +92,7 @@
         return std::nullopt;
     const std::uint64_t upstream = stableHash(instanceId);
     if (!named && !m_states.contains(upstream))
-        return std::nullopt; // as ever
+        return std::nullopt; // still no limit
     LimitState *current = state(upstream);
     if (current == nullptr)
         return std::nullopt;
@@ -116,13 +116,13 @@
         LimitState &current = *found;
         const std::optional<double> named
             = effectiveLimit(it.perSecond > 0.0 ? std::optional(it.perSecond) : std::nullopt);
-        // Two nodes may have read different answers at the same time: the stricter one holds until
-        // the next answer.
+        // Two nodes may have read different responses at the same time: the stricter limit applies
+        // until the next response.
         const bool isStricter = it.version == current.version && named
                                 && (!current.perSecond || *named < *current.perSecond);
         if (it.version < current.version)
             current.announceUntil
-                = now + kAnnounceLiftedFor; // who says so has missed what came after
+                = now + kAnnounceLiftedFor; // the sender has missed a later change
         if (it.version <= current.version && !isStricter)
             continue;
         const bool isSame = named == current.perSecond;
--- a/src/core/upstream_restarts.cpp
+++ b/src/core/upstream_restarts.cpp
@@ -5,7 +5,8 @@
 
 namespace {
 
-// Calls at an upstream that ends break off within milliseconds; no engine starts as fast as this.
+// The connections to an upstream that ends break within milliseconds; no engine restarts within
+// this time.
 constexpr Duration kSameFailureWithin = std::chrono::seconds(1);
 
 } // namespace
