--- a/bench/cold_bench.cpp
+++ b/bench/cold_bench.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
-// How nodes divide what a cold upstream bears, three ways, over a paused clock: the most requests
-// in any second as a part of what is borne (26 at 14 a second), and the part of the stated rate
-// that is used in the three seconds of a cold start while callers wait.
+// Compares three strategies for dividing the capacity of a cold upstream among nodes, in simulated
+// time. Prints the peak of requests in any second as a fraction of the capacity (26 at 14 per
+// second), and the fraction of the configured rate that is used during the three seconds of a cold
+// start while callers wait.
 #include <algorithm>
 #include <deque>
 #include <iomanip>
@@ -27,10 +28,10 @@
 constexpr double kRate = 14.0;
 constexpr double kOvershoot = 1.5;
 constexpr double kSlack = 5.0;
-constexpr double kCapacity = kRate * kOvershoot + kSlack; // in a second
+constexpr double kCapacity = kRate * kOvershoot + kSlack; // in any second
 constexpr Duration kColdFor = 3s;
 
-// How one node keeps to what the cold upstream bears.
+// A strategy by which one node respects the capacity of the cold upstream.
 class ColdPolicy
 {
 public:
@@ -39,7 +40,8 @@
     ColdPolicy &operator=(const ColdPolicy &) = delete;
     virtual ~ColdPolicy() = default;
 
-    // The nodes that are known, this one included; the upstream turns cold.
+    // setNodes() sets the names of the known nodes, including this one; turnCold() marks the
+    // upstream as cold.
     virtual void setNodes(const std::vector<std::string> &names) = 0;
     virtual void turnCold() = 0;
     virtual bool maySend() = 0;
@@ -66,7 +68,7 @@
     std::optional<TimePoint> m_last;
 };
 
-// The way of the product.
+// The production strategy, ColdGate.
 class FewSenders : public ColdPolicy
 {
 public:
@@ -97,15 +99,15 @@
     ColdGate m_gate;
 };
 
-// What the holder of the upstream's rate has left to give: one request at a time.
+// The token bucket of the node that grants requests to the upstream.
 struct TokenBucket
 {
     double tokens = 0.0;
     TimePoint filled{};
 };
 
-// One node, the first by rendezvous, gives out what the upstream bears, a request at a time; the
-// others ask it, and its word takes a message there and back through the nodes' threads.
+// One node, the first in rendezvous order, grants the capacity of the upstream one request at a
+// time. The other nodes ask it for each request, which takes a round trip.
 class TokenServer : public ColdPolicy
 {
 public:
@@ -130,7 +132,7 @@
         if (now - *m_requestedAt < kRoundTrip)
             return false;
         m_requestedAt.reset();
-        // Two holders, for a moment or in a cut, each give half of what is borne.
+        // During a partition or a change of nodes two of them may grant, each half of the capacity.
         const double rate = std::min(kRate, kCapacity / 2.0);
         TokenBucket &bucket = m_buckets[m_server];
         const std::chrono::duration<double> passed = now - bucket.filled;
@@ -157,7 +159,7 @@
 
 struct Result
 {
-    double peak = 0; // of what is borne
+    double peak = 0; // as a fraction of the capacity
     double utilization = 0;
 };
 
@@ -212,7 +214,7 @@
     case Pattern::OneDomain:
         return "callers in one failure domain of four";
     case Pattern::Cut:
-        return "half cut off from half";
+        return "partition into halves";
     }
     return "";
 }
@@ -222,7 +224,7 @@
 int main()
 {
     std::cout << std::fixed << std::setprecision(2)
-              << "| pattern | nodes | equal parts | few of all nodes | asked holder |\n"
+              << "| pattern | nodes | equal shares | few senders | token server |\n"
                  "|---|---|---|---|---|\n";
     for (const Pattern pattern : {Pattern::Everywhere, Pattern::OneDomain, Pattern::Cut}) {
         for (const std::size_t nodes : {3U, 8U, 79U, 295U}) {
--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
-// How nodes divide what an overloaded upstream takes, three ways, over a paused clock: the most
-// requests in any four seconds as a part of what it bears, and the part of its limit that is used
-// while callers wait. What answers and peers say is the same for all; the ways differ in who sends.
+// Compares three strategies for dividing the limit of an overloaded upstream among nodes, in
+// simulated time. Prints the peak of requests in any four seconds as a fraction of the capacity,
+// and the fraction of the limit that is used while callers wait. All strategies learn the limit in
+// the same way; they differ in which nodes send.
 #include <algorithm>
 #include <iomanip>
 #include <iostream>
@@ -17,12 +18,11 @@
 using support::LimitFleet;
 using support::LimitPolicy;
 
-// Senders without any word between the nodes: the first few of all nodes that live, each with the
-// same part.
+// Senders chosen without communication: the first few of all live nodes, each with the same share.
 class FixedShares : public LimitPolicy
 {
 public:
-    // `areAllSending`: all nodes send; else as many as the limit allows for.
+    // `areAllSending`: all nodes send; otherwise as many as the limit allows.
     FixedShares(const Clock &clock, const std::string &name, bool areAllSending)
         : m_clock(clock), m_gate(clock, stableHash(name)), m_name(name),
           m_areAllSending(areAllSending)
@@ -70,7 +70,7 @@
 
 struct Result
 {
-    double maxInFourSeconds = 0; // of what is borne
+    double maxInFourSeconds = 0; // as a fraction of the capacity
     double utilization = 0;
 };
 
@@ -89,9 +89,9 @@
     case Pattern::QuarterOfNodes:
         return "callers at a quarter of the nodes";
     case Pattern::TwoFrozen:
-        return "two nodes stand still, unnoticed";
+        return "two nodes paused, undetected";
     case Pattern::Cut:
-        return "half cut off from half";
+        return "partition into halves";
     }
     return "";
 }
@@ -138,8 +138,8 @@
             return std::make_unique<FixedShares>(clock, name, areAllSending);
         };
     };
-    const Policy kPolicies[]{{"even", fixed(true)},
-                             {"few of all", fixed(false)},
+    const Policy kPolicies[]{{"all nodes", fixed(true)},
+                             {"few of all nodes", fixed(false)},
                              {"few with requests", LimitFleet::gatePolicy}};
     std::cout << std::fixed << std::setprecision(2) << "| pattern | nodes | limit a second | "
               << kPolicies[0].name << " | " << kPolicies[1].name << " | " << kPolicies[2].name
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -59,7 +59,7 @@
         deliver();
         if (clock.now() >= m_nextExchange)
             exchangeUpdates();
-        // Which node's callers are quickest differs from moment to moment.
+        // Nodes send in random order.
         const std::size_t first = m_random() % nodes.size();
         for (std::size_t n = 0; n < nodes.size(); ++n)
             send(nodes[(first + n) % nodes.size()]);
@@ -83,10 +83,10 @@
 {
     if (node.isFrozen || !node.hasCallers || !node.policy->maySend())
         return;
-    // Nearly at once, or late for a lost packet or a connection that comes up late.
+    // Short latency, or longer after a lost packet or a slow connection setup.
     const bool isLate = m_random() % 20 == 0;
     const TimePoint arrival = clock.now() + 1ms * (isLate ? 300 : m_random() % 20);
-    // Without a limit, each node sends some request a second there.
+    // Without a limit, each node sends about one request per second.
     if (!node.gate().upstreamLimits().perSecond(kUpstream) && m_random() % 100 != 0)
         return;
     node.policy->recordSend();
@@ -94,8 +94,8 @@
     m_answers.push_back({arrival + 50ms * (1 + m_random() % 6), clock.now(), node.name, limit});
 }
 
-// As relays do it: two on each side hear of all nodes there, and tell them, some hundred
-// milliseconds late.
+// Models relays: two nodes on each side receive updates from all nodes there and forward them, each
+// with a latency of 100 to 300 milliseconds.
 void LimitFleet::exchangeUpdates()
 {
     m_nextExchange = clock.now() + 200ms;
@@ -123,7 +123,7 @@
         m_messages.push_back({clock.now() + latency, to, std::move(updates)});
 }
 
-// What reaches a node that stands still lies there until it goes on.
+// Messages to a paused node are delivered when it resumes.
 void LimitFleet::deliver()
 {
     std::erase_if(m_messages, [this](const Message &it) {
--- a/tests/support/limit_fleet.hpp
+++ b/tests/support/limit_fleet.hpp
@@ -17,7 +17,7 @@
 
 namespace fordwood::support {
 
-// How one node keeps to a limit that an upstream names for all nodes together.
+// A strategy by which one node respects a limit for all nodes together.
 class LimitPolicy
 {
 public:
@@ -29,14 +29,14 @@
     virtual bool maySend() = 0;
     virtual void recordSend() = 0;
 
-    // The nodes that live, this one included, by name.
+    // The names of the live nodes, including this one.
     virtual void setNodes(const std::vector<std::string> &names) = 0;
 
-    // What answers and peers have said of the limit; the same for every way.
+    // The limits learned from responses and peers; the same for every policy.
     virtual LimitGate &gate() = 0;
 };
 
-// The way of the product.
+// The production strategy, LimitGate.
 class GatePolicy : public LimitPolicy
 {
 public:
@@ -55,8 +55,8 @@
     std::string m_upstream;
 };
 
-// Nodes with callers that wait at all times, an upstream that names a limit in each answer, and
-// messages between the nodes that take their time and now and then are lost.
+// Simulates nodes with waiting callers, an upstream that advertises a limit in each response, and
+// messages between the nodes that are delayed and sometimes lost.
 class LimitFleet
 {
 public:
@@ -69,7 +69,7 @@
         std::unique_ptr<LimitPolicy> policy;
         bool hasCallers = true;
         bool isFrozen = false;
-        int side = 0; // of a cut
+        int side = 0; // of a partition
 
         LimitGate &gate() { return policy->gate(); }
     };
@@ -80,26 +80,26 @@
 
     void start(const std::string &name);
 
-    // Each node hears which nodes of its side live.
+    // Passes to each node the live nodes on its side.
     void updateLiveNodes();
 
     void run(Duration time);
 
-    // The most arrivals in any four seconds from then on.
+    // The peak of arrivals in any four seconds from then on.
     std::size_t maxInFourSeconds(TimePoint from) const;
 
-    // The part of what the upstream takes that arrives from then on.
+    // Arrivals from then on, as a fraction of the limit.
     double utilization(TimePoint from) const;
 
     static constexpr const char *kUpstream = "u";
 
     ManualClock clock;
-    std::optional<double> limit; // that the upstream names
+    std::optional<double> limit; // that the upstream advertises
     std::deque<Node> nodes;
     std::vector<TimePoint> arrivals;
 
 private:
-    // What nodes tell each other.
+    // A message between nodes.
     struct Message
     {
         TimePoint when{};
@@ -107,7 +107,7 @@
         std::vector<LimitGossip> updates;
     };
 
-    // An answer that is on its way back.
+    // A response in transit.
     struct Answer
     {
         TimePoint when{};
--- a/tests/unit/allowance_test.cpp
+++ b/tests/unit/allowance_test.cpp
@@ -19,7 +19,8 @@
 
 } // namespace
 
-TEST_CASE("allowances: a new owner gives nothing until its predecessor's parts ran out [ceiling]")
+TEST_CASE("allowances: a new owner grants nothing until its predecessor's allowances have expired "
+          "[ceiling]")
 {
     ManualClock clock;
     AllowanceAllocator allocator(clock, {});
@@ -30,7 +31,8 @@
     CHECK(allocator.allocate(AllowanceRequest{1, 1, "unknown", 0, 4}).amount == 0);
 }
 
-TEST_CASE("allowances: what a silent holder has comes back when it runs out [ceiling]")
+TEST_CASE(
+    "allowances: the allowance of a silent holder returns to the pool when it expires [ceiling]")
 {
     ManualClock clock;
     AllowanceAllocator allocator(clock, {});
@@ -39,15 +41,13 @@
     CHECK(allocator.allocate(requestFrom(1, 10)).amount == 10);
     CHECK(allocator.allocate(requestFrom(2, 10)).amount == 0);
     clock.advance(2s);
-    CHECK(allocator.allocate(requestFrom(1, 10)).amount
-          == 5); // the second holder's wish is known now
-    CHECK(allocator.allocate(requestFrom(2, 10)).amount
-          == 0); // the first one's old part has not run out
+    CHECK(allocator.allocate(requestFrom(1, 10)).amount == 5); // the second holder has asked
+    CHECK(allocator.allocate(requestFrom(2, 10)).amount == 0); // the first one's old grant is valid
     clock.advance(1s);
     CHECK(allocator.allocate(requestFrom(2, 10)).amount == 5);
 }
 
-TEST_CASE("allowances: the sum never passes the pool, for any order of asks [ceiling]")
+TEST_CASE("allowances: the sum never exceeds the pool, for any order of requests [ceiling]")
 {
     ManualClock clock;
     AllowanceAllocator allocator(clock, {});
@@ -62,7 +62,7 @@
     }
 }
 
-TEST_CASE("ceiling gate: the base part costs no ask, the rest needs an allowance [ceiling]")
+TEST_CASE("ceiling gate: the base share needs no request, the rest needs an allowance [ceiling]")
 {
     ManualClock clock;
     CeilingGate gate(clock, {});
@@ -73,19 +73,19 @@
     REQUIRE(gate.mayRequest("t"));
     const AllowanceRequest first = gate.startRequest("t", 1);
     CHECK(first.used == 0);
-    CHECK(first.wanted == 2); // the one that waits, and one to spare
+    CHECK(first.wanted == 2); // one waiting call and one in reserve
     gate.onAnswer("t", first.requestId, {1, 3s});
     CHECK(gate.enter("t"));
     CHECK_FALSE(gate.enter("t"));
-    CHECK_FALSE(gate.mayRequest("t")); // less than wanted was given just now
+    CHECK_FALSE(gate.mayRequest("t")); // the owner has just granted less than requested
     clock.advance(200ms);
     CHECK(gate.mayRequest("t"));
     for (int it = 0; it < 100; ++it)
         CHECK(gate.enter("free")); // a team without a ceiling
 }
 
-TEST_CASE("ceiling gate: an allowance ends as counted from its ask, and late answers are void "
-          "[ceiling]")
+TEST_CASE("ceiling gate: an allowance expires counted from its request, and late answers are "
+          "ignored [ceiling]")
 {
     ManualClock clock;
     CeilingGate gate(clock, {});
@@ -94,7 +94,7 @@
     clock.advance(1s);
     gate.onNoAnswer("t");
     const AllowanceRequest ask = gate.startRequest("t", 1);
-    gate.onAnswer("t", late.requestId, {5, 3s}); // would seem to last longer than it does
+    gate.onAnswer("t", late.requestId, {5, 3s}); // would appear to last longer than it does
     CHECK_FALSE(gate.enter("t"));
     clock.advance(1s);
     gate.onAnswer("t", ask.requestId, {1, 3s});
@@ -103,6 +103,6 @@
     CHECK(gate.dueForRenewal().size() == 1);
     gate.leave("t");
     CHECK(gate.dueForRenewal().empty());
-    clock.advance(1s); // three seconds after the ask, two after the answer
+    clock.advance(1s); // three seconds after the request, two after the answer
     CHECK_FALSE(gate.enter("t"));
 }
--- a/tests/unit/cold_gate_test.cpp
+++ b/tests/unit/cold_gate_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The load pattern: upstreams come back cold and empty, and every node would send to them at once.
+// Upstreams restart cold and idle, so every node would send to them at once.
 #include "fordwood/cold_gate.hpp"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr double kRate = 14.0;
-constexpr std::size_t kCapacity = 26; // in a second: 1.5 x 14 + 5
+constexpr std::size_t kCapacity = 26; // in any second: 1.5 x 14 + 5
 
 ColdGate::Limits limits()
 {
@@ -26,7 +26,7 @@
     return limits;
 }
 
-// Nodes that all want to send to one cold upstream all the time, and what arrives there.
+// Nodes that always have requests for one cold upstream, and the arrivals there.
 class Fleet
 {
 public:
@@ -51,7 +51,7 @@
 
     const std::vector<std::string> &names() const { return m_names; }
 
-    // Each of `nodes` hears that these are the ones that live.
+    // Passes the given live nodes to each of them.
     void setLiveNodes(const std::vector<std::string> &nodes)
     {
         for (const std::string &it : nodes) {
@@ -69,14 +69,14 @@
             for (auto &[name, gate] : m_gates) {
                 while (gate->maySend("u", kRate)) {
                     gate->recordSend("u");
-                    // Nearly at once, or late for a lost packet.
+                    // Short latency, or longer after a lost packet.
                     m_arrivals.push_back(clock.now() + 10ms * (m_random() % 10));
                 }
             }
         }
     }
 
-    // The most requests in any second.
+    // The peak of arrivals in any second.
     std::size_t busiestSecond()
     {
         std::sort(m_arrivals.begin(), m_arrivals.end());
@@ -101,9 +101,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "cold upstreams: no second brings more than they bear, however many nodes want to send, and "
-    "they are put to use [cold]")
+TEST_CASE("cold upstreams: arrivals in any second stay within the capacity for any number of "
+          "sending nodes, and the capacity is used [cold]")
 {
     for (const std::size_t nodes : {1U, 3U, 79U, 300U}) {
         CAPTURE(nodes);
@@ -112,12 +111,12 @@
         fleet.setLiveNodes(fleet.names());
         fleet.run(10s);
         CHECK(fleet.busiestSecond() <= kCapacity);
-        CHECK(fleet.arrivals() >= 90); // of 140 at the stated rate
+        CHECK(fleet.arrivals() >= 90); // of 140 at the configured rate
     }
 }
 
-TEST_CASE("cold upstreams: two parts of the fleet that cannot hear each other stay below what they "
-          "bear [cold][partition]")
+TEST_CASE(
+    "cold upstreams: two sides of a partition together stay within the capacity [cold][partition]")
 {
     for (const std::size_t nodes : {8U, 79U, 300U}) {
         CAPTURE(nodes);
@@ -137,15 +136,14 @@
     }
 }
 
-TEST_CASE(
-    "cold upstreams: nodes that are replaced one after the other, or all at once, send no more "
-    "[cold][restart]")
+TEST_CASE("cold upstreams: nodes that are replaced one by one, or all at once, do not exceed the "
+          "capacity [cold][restart]")
 {
     Fleet fleet(79);
     fleet.clock.advance(2s);
     fleet.setLiveNodes(fleet.names());
     fleet.run(2s);
-    SUBCASE("one after the other")
+    SUBCASE("one by one")
     {
         for (std::size_t n = 0; n < 40; ++n) {
             fleet.stopFirst();
@@ -167,11 +165,11 @@
     const std::size_t before = fleet.arrivals();
     fleet.run(5s);
     CHECK(fleet.busiestSecond() <= kCapacity);
-    CHECK(fleet.arrivals() > before + 20); // it is used again
+    CHECK(fleet.arrivals() > before + 20); // the upstream is used again
 }
 
-TEST_CASE(
-    "cold upstreams: one is cold for as long as its record says, and may turn cold again [cold]")
+TEST_CASE("cold upstreams: an upstream is cold for the time in its record, and may become cold "
+          "again [cold]")
 {
     ManualClock clock;
     ColdGate gate(clock, limits(), "a");
@@ -187,7 +185,7 @@
         gate.recordSend("u");
     }
     CHECK_FALSE(gate.maySend("u", kRate));
-    CHECK(gate.maySend("u", 0.0)); // of a service that states no rate
+    CHECK(gate.maySend("u", 0.0)); // a service without a configured rate
     CHECK(gate.maySend("warm", kRate));
     clock.advance(3s);
     CHECK_FALSE(gate.isCold("u"));
@@ -198,18 +196,17 @@
     CHECK_FALSE(gate.isCold("u"));
 }
 
-TEST_CASE(
-    "cold upstreams: one that nothing listened at is taken as cold until a start is surely over, "
-    "whatever its old record says [cold]")
+TEST_CASE("cold upstreams: an upstream that refused a connection counts as cold for the time of a "
+          "cold start, regardless of its old record [cold]")
 {
     ManualClock clock;
     ColdGate gate(clock, limits(), "a");
     gate.suspectRestart("u", 3s);
     gate.setCold("u", 0s);
     CHECK(gate.isCold("u"));
-    CHECK_FALSE(gate.maySend("u", kRate)); // the other nodes are not known yet
+    CHECK_FALSE(gate.maySend("u", kRate)); // the list of nodes has not arrived yet
     clock.advance(3s);
     CHECK_FALSE(gate.isCold("u"));
-    gate.suspectRestart("v", 0s); // its service knows no cold start
+    gate.suspectRestart("v", 0s); // a service without a cold start
     CHECK_FALSE(gate.isCold("v"));
 }
--- a/tests/unit/fair_queue_test.cpp
+++ b/tests/unit/fair_queue_test.cpp
@@ -7,7 +7,8 @@
 
 using fordwood::FairQueue;
 
-TEST_CASE("fair queue: teams with waiting entries get cost in proportion to their shares [shares]")
+TEST_CASE(
+    "fair queue: teams with waiting entries are served cost in proportion to their shares [shares]")
 {
     FairQueue queue;
     FairQueue::EntryId id = 0;
@@ -37,7 +38,7 @@
     CHECK(served["short"] <= 152);
 }
 
-TEST_CASE("fair queue: an idle team saves up nothing [shares]")
+TEST_CASE("fair queue: an idle team accumulates no credit [shares]")
 {
     FairQueue queue;
     FairQueue::EntryId id = 0;
@@ -54,7 +55,7 @@
     CHECK(served["late"] >= 9);
 }
 
-TEST_CASE("fair queue: within a team priority goes first, then age [priority]")
+TEST_CASE("fair queue: within a team higher priority goes first, then the older entry [priority]")
 {
     FairQueue queue;
     queue.push({1, "team", 1.0, 1.0, 0});
--- a/tests/unit/key_registry_test.cpp
+++ b/tests/unit/key_registry_test.cpp
@@ -26,7 +26,7 @@
     ManualClock clock;
     KeyRegistry registry{kSelf, clock, KeyRegistry::Limits{}};
 
-    // Gives every partition one chain.
+    // Sets the same chain for every partition.
     void setChains(const TenureChain &chain)
     {
         for (std::uint32_t it = 0; it < kKeyPartitions; ++it)
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("keys: the issue time of a version 7 UUID, and of nothing else [keys]")
+TEST_CASE("keys: the issue time is parsed from a version 7 UUID and from nothing else [keys]")
 {
     const auto time = issueTimeOf("017f22e2-79b0-7cc3-98c4-dc0c0c07398f");
     REQUIRE(time);
@@ -52,7 +52,7 @@
         CHECK_FALSE(issueTimeOf(it));
 }
 
-TEST_CASE("keys: a key runs once; sent again it gets the answer that was kept [keys][at-most-once]")
+TEST_CASE("keys: a key runs once, and a repetition gets the stored response [keys][at-most-once]")
 {
     Fixture fixture;
     fixture.setChains({fixture.tenure(kSelf, -10s, 10s)});
@@ -65,11 +65,11 @@
     const ClaimAnswer late = fixture.registry.claim(2, key);
     CHECK(late.decision == Decision::Answer);
     CHECK(late.answer.body == "done");
-    // The same key of another team is another key.
+    // The same key text of another team is another key.
     CHECK(fixture.registry.claim(3, keyAt(fixture.clock, 0s, "k", "u")).decision == Decision::Run);
 }
 
-TEST_CASE("keys: what did not run may be claimed again, what may have run may not [keys]")
+TEST_CASE("keys: a key may be claimed again if it did not run, but not if it may have run [keys]")
 {
     Fixture fixture;
     fixture.setChains({fixture.tenure(kSelf, -10s, 10s)});
@@ -77,16 +77,16 @@
     fixture.registry.claim(1, key);
     fixture.registry.finish(1, key, RunState::NotRun, {});
     CHECK(fixture.registry.claim(2, key).decision == Decision::Run);
-    fixture.registry.dropClaimant(2); // it dies in the middle
+    fixture.registry.dropClaimant(2); // the connection of the claimant is lost while the call runs
     const ClaimAnswer answer = fixture.registry.claim(3, key);
     CHECK(answer.decision == Decision::Refuse);
     CHECK(answer.state == RunState::MayHaveRun);
-    // A late word of the dead claimant changes nothing.
+    // A late report of the lost claimant changes nothing.
     fixture.registry.finish(2, key, RunState::NotRun, {});
     CHECK(fixture.registry.claim(3, key).decision == Decision::Refuse);
 }
 
-TEST_CASE("keys: outside its own tenure a node runs nothing and says not-run of nothing [keys]")
+TEST_CASE("keys: outside its own tenure a node grants nothing and never reports not-run [keys]")
 {
     Fixture fixture;
     fixture.setChains({fixture.tenure(kOther, -20s, -5s), fixture.tenure(kSelf, -5s, 10s)});
@@ -94,7 +94,7 @@
     const ClaimAnswer before = fixture.registry.claim(1, keyAt(fixture.clock, -6s));
     CHECK(before.decision == Decision::Redirect);
     CHECK(before.holder == "b");
-    // The other process was started again: it has forgotten.
+    // The other process was restarted and has lost its keys.
     fixture.registry.setLiveMembers({{"a", 1}, {"b", 2}});
     CHECK(fixture.registry.claim(1, keyAt(fixture.clock, -6s)).reason == Reason::KeyHolderGone);
     CHECK(fixture.registry.claim(1, keyAt(fixture.clock, 11s)).reason == Reason::KeyTooNew);
@@ -104,7 +104,7 @@
               == RunState::MayHaveRun);
 }
 
-TEST_CASE("keys: a key that may have been forgotten is not run again [keys][window]")
+TEST_CASE("keys: a key that may have been dropped is not granted again [keys][window]")
 {
     ManualClock clock;
     KeyRegistry registry(kSelf, clock, {2, 1000, 10min});
@@ -120,7 +120,8 @@
     CHECK(registry.claim(1, first).reason == Reason::KeyTooOld);
 }
 
-TEST_CASE("tenures: never shortened, never overlapping, whoever extends them [keys][tenures]")
+TEST_CASE("tenures: never shortened and never overlapping, whichever process extends them "
+          "[keys][tenures]")
 {
     ManualClock clock;
     const TenureLimits limits;
@@ -130,7 +131,7 @@
         random = random * 6364136223846793005ULL + 1442695040888963407ULL;
         KeyHolder wanted{random % 3 == 0 ? "a" : "b", (random >> 20) % 2};
         const auto before = chains;
-        // Clocks of two keepers differ by up to five seconds either way.
+        // The clocks of two processes differ by up to five seconds in either direction.
         const auto skew
             = std::chrono::milliseconds(static_cast<int>((random >> 33) % 10'000) - 5000);
         chains = extendTenures(
@@ -141,7 +142,7 @@
             const auto old = before.find(partition);
             if (old == before.end() || old->second.empty())
                 continue;
-            // The last tenure known before is still there, and not shorter.
+            // The last previous tenure must be kept and not shortened.
             const Tenure &last = old->second.back();
             const auto kept = std::find_if(chain.begin(), chain.end(), [&](const Tenure &tenure) {
                 return tenure.holder == last.holder && tenure.from == last.from;
@@ -154,7 +155,7 @@
 }
 
 TEST_CASE(
-    "keys: a planned stop divides its keys among the successors of their partitions [keys][stop]")
+    "keys: a planned stop divides the keys among the successors of their partitions [keys][stop]")
 {
     HandedKeys handed;
     handed.floor = WallTime(std::chrono::milliseconds(77));
--- a/tests/unit/limit_gate_test.cpp
+++ b/tests/unit/limit_gate_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The load pattern: an overloaded upstream names what it takes from all nodes together, while
-// callers keep the nodes busy, evenly or at a few of them. Each test looks at both sides: the most
-// that arrives in any four seconds, and the part of the named rate that is used while callers wait.
+// An overloaded upstream advertises one rate limit for all nodes together, while callers keep all
+// nodes or a few of them busy. Each test checks both the peak of arrivals in any four seconds and
+// the fraction of the limit that is used while callers wait.
 #include "fordwood/limit_gate.hpp"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-// When the limit is counted, from its first naming.
+// The limit must be enforced from this time after its first announcement.
 constexpr Duration kEnforcedAfter = 3s;
 
 std::size_t capacityInFourSeconds(double perSecond)
@@ -24,9 +24,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "limit gate: no four seconds bring more than the upstream bears, and what it takes is put "
-    "to use, however many nodes there are [limit]")
+TEST_CASE("limit gate: arrivals in any four seconds stay within the upstream's capacity, and its "
+          "rate is used, for any number of nodes [limit]")
 {
     for (const std::size_t nodes : {1U, 3U, 8U, 79U, 300U}) {
         for (const double perSecond : {0.3, 1.0, 2.4, 3.2, 10.0, 30.0}) {
@@ -35,7 +34,7 @@
             LimitFleet fleet(nodes, perSecond);
             fleet.updateLiveNodes();
             const TimePoint named = fleet.clock.now();
-            // Long enough for a few requests at the least rate.
+            // Long enough for a few requests at the lowest rate.
             fleet.run(perSecond < 1.0 ? 30s : 15s);
             CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter)
                   <= capacityInFourSeconds(perSecond));
@@ -44,8 +43,8 @@
     }
 }
 
-TEST_CASE("limit gate: callers at a few of the nodes, or at one, are given what the others do not "
-          "need [limit]")
+TEST_CASE("limit gate: a few nodes with callers, or a single one, get the share of the nodes "
+          "without callers [limit]")
 {
     for (const std::size_t nodes : {8U, 79U}) {
         for (const std::size_t busy : {1U, 2U}) {
@@ -59,7 +58,7 @@
             fleet.run(20s);
             CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
             CHECK(fleet.utilization(named + kEnforcedAfter) >= 0.8);
-            // They move to other nodes.
+            // The callers move to other nodes.
             for (std::size_t n = 0; n < nodes; ++n)
                 fleet.nodes[n].hasCallers = n >= nodes - busy;
             fleet.run(6s);
@@ -71,9 +70,8 @@
     }
 }
 
-TEST_CASE(
-    "limit gate: a node that stands still sends nothing that it has saved up, and its part is "
-    "used by the others [limit][freeze]")
+TEST_CASE("limit gate: a paused node accumulates no credit, and the others take over its share "
+          "[limit][freeze]")
 {
     for (const double perSecond : {0.3, 2.4, 10.0}) {
         CAPTURE(perSecond);
@@ -88,8 +86,8 @@
         fleet.run(4s);
         const TimePoint told = fleet.clock.now();
         fleet.run(10s);
-        CHECK(fleet.utilization(told)
-              >= 0.55); // two in three at least: they may be cut off and alive
+        // Two thirds at least: the paused nodes may be partitioned off and alive.
+        CHECK(fleet.utilization(told) >= 0.55);
         for (const std::size_t n : {0U, 3U})
             fleet.nodes[n].isFrozen = false;
         fleet.updateLiveNodes();
@@ -100,9 +98,8 @@
     }
 }
 
-TEST_CASE(
-    "limit gate: two sides of a cut together stay below what the upstream bears, and each uses "
-    "the most of its part [limit][partition]")
+TEST_CASE("limit gate: the two sides of a partition together stay within the capacity, and use "
+          "most of the limit [limit][partition]")
 {
     for (const std::size_t nodes : {8U, 79U}) {
         for (const double perSecond : {0.3, 2.4, 3.2, 10.0, 30.0}) {
@@ -129,15 +126,15 @@
     }
 }
 
-TEST_CASE("limit gate: nodes that are replaced one after the other, or lost all at once, send no "
-          "more [limit][restart]")
+TEST_CASE("limit gate: nodes that are replaced one by one, or lost all at once, do not exceed the "
+          "capacity [limit][restart]")
 {
     constexpr double kRate = 2.4;
     LimitFleet fleet(8, kRate);
     fleet.updateLiveNodes();
     const TimePoint named = fleet.clock.now();
     fleet.run(5s);
-    SUBCASE("one after the other")
+    SUBCASE("one by one")
     {
         for (std::size_t n = 0; n < 16; ++n) {
             fleet.nodes.pop_front();
@@ -165,8 +162,8 @@
     }
 }
 
-TEST_CASE("limit gate: a limit that is lowered holds within three seconds, and one that is lifted "
-          "is gone from nodes that send there nothing [limit]")
+TEST_CASE("limit gate: a lowered limit is enforced within three seconds, and a lifted one is "
+          "dropped by nodes that send nothing to the upstream [limit]")
 {
     for (const std::size_t nodes : {8U, 79U}) {
         CAPTURE(nodes);
@@ -181,14 +178,15 @@
         for (std::size_t n = 2; n < nodes; ++n)
             fleet.nodes[n].hasCallers = false;
         fleet.limit.reset();
-        // Their parts grow once the others have ceased to send, and then an answer shows it.
+        // Their shares grow once the others have stopped sending, and then a response lifts the
+        // limit.
         fleet.run(12s);
         for (LimitFleet::Node &it : fleet.nodes)
             CHECK_FALSE(it.gate().upstreamLimits().perSecond("u"));
     }
 }
 
-TEST_CASE("limit gate: the next life of an upstream has no limit of the one before [limit]")
+TEST_CASE("limit gate: a new instance of an upstream does not inherit the limit [limit]")
 {
     LimitFleet fleet(3, 1.0);
     fleet.updateLiveNodes();
@@ -204,8 +202,8 @@
     CHECK(gate.ownUpdates().empty());
 }
 
-TEST_CASE("limit share: what all may send stays below what the upstream bears, on either side of a "
-          "cut [limit]")
+TEST_CASE("limit share: the senders' total stays within the capacity, also with two sides of a "
+          "partition [limit]")
 {
     for (const double perSecond : {0.1, 0.3, 1.0, 2.4, 3.2, 7.0, 30.0, 400.0}) {
         CAPTURE(perSecond);
--- a/tests/unit/load_report_test.cpp
+++ b/tests/unit/load_report_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A directory of its own for each test.
+// A temporary directory for one test.
 class Folder
 {
 public:
@@ -56,7 +56,8 @@
 
 } // namespace
 
-TEST_CASE("load report: scores are read in order of time, with worth, prices and rules [report]")
+TEST_CASE(
+    "load report: scores are read in chronological order, with worth, prices and rules [report]")
 {
     const Folder folder;
     folder.write("2.json", scoreEntry("t2", 0.75, "second"));
@@ -69,11 +70,11 @@
     CHECK(report->journal[1].meanWorth() == 0.75);
     CHECK(report->journal[1].days.front().prices.at("loads") == 0.5);
     const std::string page = renderReport(*report);
-    CHECK(countOf(page, "<svg") == 2); // worth and prices
+    CHECK(countOf(page, "<svg") == 2); // one plot of worth, one of prices
     CHECK(page.find("quiet-1: 0.75") != std::string::npos);
 }
 
-TEST_CASE("load report: entries without days are listed and make no line [report]")
+TEST_CASE("load report: entries without days are listed but not plotted [report]")
 {
     const Folder folder;
     folder.write("1.json",
@@ -87,7 +88,7 @@
     CHECK(page.find("<b>") == std::string::npos);
 }
 
-TEST_CASE("load report: result files make a plot of times [report]")
+TEST_CASE("load report: result files are plotted as latencies [report]")
 {
     const Folder folder;
     const std::string file = folder.write(
@@ -101,7 +102,7 @@
     CHECK(page.find("answered 7") != std::string::npos);
 }
 
-TEST_CASE("load report: what cannot be read is named [report][bad-input]")
+TEST_CASE("load report: errors name the file that cannot be read [report][bad-input]")
 {
     const Folder folder;
     const std::string file = folder.write("bad.json", R"({"at": )");
@@ -112,7 +113,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("load report: a plot without values says so, and gaps break nothing [report]")
+TEST_CASE("load report: a plot without values says so, and missing values are skipped [report]")
 {
     CHECK(drawSvg({"empty", "ms", {{"a", {std::nullopt}}}}).find("no values") != std::string::npos);
     const std::string plot = drawSvg({"gaps", "ms", {{"a", {1.0, std::nullopt, 3.0}}}});
--- a/tests/unit/permit_scheduler_test.cpp
+++ b/tests/unit/permit_scheduler_test.cpp
@@ -50,7 +50,8 @@
     CHECK(late[0].waited == 3s);
 }
 
-TEST_CASE("permit scheduler: an ask that waited as long as it may is denied [permits][deadline]")
+TEST_CASE("permit scheduler: a request that has waited for its maximum time is denied "
+          "[permits][deadline]")
 {
     ManualClock clock;
     PermitScheduler scheduler(clock);
@@ -69,7 +70,8 @@
     CHECK(scheduler.waiting("up") == 0);
 }
 
-TEST_CASE("permit scheduler: a leaving upstream grants nothing, and what waits is denied [leaving]")
+TEST_CASE("permit scheduler: a leaving upstream grants nothing, and its waiting requests are "
+          "denied [leaving]")
 {
     ManualClock clock;
     PermitScheduler scheduler(clock);
@@ -88,7 +90,7 @@
     CHECK_FALSE(after[0].granted);
 }
 
-TEST_CASE("permit scheduler: the permits of a lost holder are free again [recovery]")
+TEST_CASE("permit scheduler: the permits of a lost holder are freed [recovery]")
 {
     ManualClock clock;
     PermitScheduler scheduler(clock);
@@ -104,7 +106,7 @@
     CHECK(answers[0].granted);
 }
 
-TEST_CASE("permit scheduler: permits held from an earlier owner count [recovery]")
+TEST_CASE("permit scheduler: permits granted by an earlier owner count [recovery]")
 {
     ManualClock clock;
     PermitScheduler scheduler(clock);
@@ -117,7 +119,8 @@
     CHECK(scheduler.takeAnswers().at(0).granted);
 }
 
-TEST_CASE("permit scheduler: a team's queue is bounded and says when to come back [overload]")
+TEST_CASE("permit scheduler: the queue of a team is bounded, and a denial states when to retry "
+          "[overload]")
 {
     ManualClock clock;
     PermitScheduler scheduler(clock, {2s, 2});
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Requests that end the upstreams that run them, and requests that are merely there.
+// Tells poison requests, which crash the upstreams that run them, from requests that happen to run
+// beside them.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -27,7 +28,7 @@
     return {request, instance};
 }
 
-// Nodes that tell each other everything at once.
+// Nodes that exchange all reports at once.
 struct Nodes
 {
     Nodes() : gates{QuarantineGate(clock), QuarantineGate(clock), QuarantineGate(clock)} { }
@@ -49,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("quarantine: three ends hold a request, whoever saw them and in whatever order")
+TEST_CASE("quarantine: three failures hold a request, in any order and from any reporting node")
 {
     ManualClock clock;
     Quarantine one(clock);
@@ -64,7 +65,7 @@
     CHECK(one.heldRequests() == 1);
 }
 
-TEST_CASE("quarantine: one upstream that ends under many copies of a request counts once")
+TEST_CASE("quarantine: an upstream that ends while running many copies of a request counts once")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
@@ -75,7 +76,7 @@
     CHECK_FALSE(quarantine.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: a request that an upstream answers is not to blame, before and after")
+TEST_CASE("quarantine: a successful response clears a request of earlier and later failures")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
@@ -89,7 +90,7 @@
     CHECK_FALSE(quarantine.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: after the hold a request may be tried, and one more end holds it again")
+TEST_CASE("quarantine: a request may be tried after the hold, and one more failure holds it again")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
@@ -105,7 +106,7 @@
     CHECK(quarantine.isEmpty());
 }
 
-TEST_CASE("quarantine: what is remembered is bounded, and a held request is not forgotten for it")
+TEST_CASE("quarantine: the number of entries is bounded, and a held request is not evicted")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
@@ -120,7 +121,7 @@
     CHECK(quarantine.isSuspect({4'999, 5'009}));
 }
 
-TEST_CASE("quarantine: ends that three nodes saw, one each, hold the request at all of them")
+TEST_CASE("quarantine: failures seen by three nodes, one each, hold the request at all of them")
 {
     Nodes nodes;
     for (std::size_t n = 0; n < nodes.gates.size(); ++n)
@@ -130,8 +131,7 @@
         CHECK(it.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: a page that was answered a moment ago is not held when upstreams end one "
-          "after the other, at no node")
+TEST_CASE("quarantine: no node holds a recently answered page when several upstreams end in a row")
 {
     Nodes nodes;
     nodes.gates[0].onAnswer(kOther);
@@ -140,13 +140,14 @@
         for (QuarantineGate &it : nodes.gates)
             it.onDisconnect(kOther, "i-" + std::to_string(n));
         nodes.exchangeUpdates();
-        nodes.exchangeUpdates(); // the answer goes back to those that told of an end
+        // The successful response reaches the nodes that reported a failure.
+        nodes.exchangeUpdates();
     }
     for (const QuarantineGate &it : nodes.gates)
         CHECK_FALSE(it.isHeld(kOther));
 }
 
-TEST_CASE("quarantine: an answer of long ago does not speak for a request")
+TEST_CASE("quarantine: an old response does not clear a request")
 {
     ManualClock clock;
     QuarantineGate gate(clock);
@@ -157,12 +158,13 @@
     CHECK(gate.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: an upstream that loses power under a request counts once it is gone")
+TEST_CASE("quarantine: an upstream that loses power while running a request counts once it is "
+          "known to have ended")
 {
     ManualClock clock;
     QuarantineGate gate(clock);
-    // Its connections stay silent. The first caller leaves before the record runs out, the last
-    // one after it.
+    // The connections of a failed upstream stay open without data. The first two callers leave
+    // before its record expires, the last one after that.
     for (const char *it : {"i-1", "i-2"}) {
         gate.onUnanswered(kPoison, it);
         clock.advance(4s);
@@ -175,7 +177,7 @@
     CHECK(gate.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: a caller that left long before an upstream ended has nothing to do with it")
+TEST_CASE("quarantine: a request whose caller left long before the upstream ended does not count")
 {
     ManualClock clock;
     QuarantineGate gate(clock);
@@ -188,7 +190,8 @@
     CHECK_FALSE(gate.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: news are told again for peers that miss some messages, then no more")
+TEST_CASE(
+    "quarantine: reports are repeated for peers that miss messages, a bounded number of times")
 {
     ManualClock clock;
     NewsSpreader spreader(clock);
@@ -203,7 +206,7 @@
     CHECK_FALSE(spreader.hasNew());
 }
 
-TEST_CASE("quarantine: many news at once go out in messages of bounded size, each of them")
+TEST_CASE("quarantine: many reports at once are split into messages of bounded size")
 {
     ManualClock clock;
     NewsSpreader spreader(clock);
@@ -219,8 +222,8 @@
 
 namespace {
 
-// Callers send to any node for 20 s, one request in 33 with the content that ends each engine that
-// runs it, always under a new id; and each engine that ended starts again as another life.
+// Callers send to random nodes for 20 s, one request in 33 with content that crashes each engine
+// that runs it, always under a new id. Each crashed engine restarts as another instance.
 class FleetUnderPoisonRequests
 {
 public:
@@ -243,7 +246,7 @@
     }
 
     std::size_t crashes = 0;
-    std::size_t poisonSentOnceKnown = 0; // a round of messages after the third end, or later
+    std::size_t poisonSentOnceKnown = 0; // one round of messages after the third crash, or later
     std::size_t poisonRefused = 0;
     std::size_t othersRefused = 0;
     std::size_t othersAnswered = 0;
@@ -273,7 +276,7 @@
         return std::to_string(engine) + "-" + std::to_string(m_engines[engine].instance);
     }
 
-    // Nothing: all are down.
+    // Empty: all engines are down.
     std::optional<std::size_t> pickEngine()
     {
         const std::size_t first = m_random() % m_engines.size();
@@ -317,7 +320,7 @@
         }
     }
 
-    // All that runs there breaks off at the same moment.
+    // All requests on the engine are disconnected at the same moment.
     void crashEngine(std::size_t engine)
     {
         for (const Run &it : m_runs) {
@@ -348,15 +351,15 @@
     std::mt19937_64 m_random;
     std::deque<QuarantineGate> m_gates;
     std::array<Engine, 18> m_engines;
-    std::deque<Run> m_runs; // by end
+    std::deque<Run> m_runs; // ordered by end
     TimePoint m_nextRound{};
     std::optional<TimePoint> m_knownFrom;
 };
 
 } // namespace
 
-TEST_CASE("quarantine: one request in many that comes again for 20 s at any node ends a few "
-          "engines only and the others are answered")
+TEST_CASE("quarantine: a poison request repeated for 20 s at all nodes ends only a few engines, "
+          "and other requests are answered")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
--- a/tests/unit/request_fingerprint_test.cpp
+++ b/tests/unit/request_fingerprint_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace fordwood;
 
-TEST_CASE("request fingerprint: every part counts, and bytes do not move between parts")
+TEST_CASE("request fingerprint: every part counts, and moving bytes between parts changes it")
 {
     const RequestContent request{"POST", "a.example", "/p/1?q=2", "t", "body"};
     std::set<RequestFingerprint> seen{fingerprintOf(request)};
@@ -25,7 +25,7 @@
         CHECK(seen.insert(fingerprintOf(it)).second);
 }
 
-TEST_CASE("request fingerprint: its text is read back, and nothing else is")
+TEST_CASE("request fingerprint: its text form is parsed back, and other text is rejected")
 {
     const RequestFingerprint name{0x12, 0xfedcba9876543210};
     CHECK(name.text() == "0000000000000012fedcba9876543210");
--- a/tests/unit/upstream_limits_test.cpp
+++ b/tests/unit/upstream_limits_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The load pattern: an upstream names a limit to the nodes that happen to send there, changes and
-// lifts it; answers overtake each other, and the other nodes hear of it late or twice.
+// An upstream advertises, changes and lifts a limit in responses that only some nodes receive.
+// Responses overtake each other, and the other nodes receive updates late or twice.
 #include "fordwood/upstream_limits.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Two nodes that know one upstream.
+// Two nodes with the same upstream in service.
 struct TwoNodes
 {
     TwoNodes()
@@ -23,7 +23,7 @@
         b.addUpstream("u");
     }
 
-    // An answer to a request that was sent so long ago.
+    // Delivers a response to a request that was sent `ago` before now.
     std::optional<LimitChange> answer(UpstreamLimits &node, std::optional<double> perSecond,
                                       Duration ago = 100ms)
     {
@@ -37,7 +37,8 @@
 
 } // namespace
 
-TEST_CASE("limits: an answer names one, peers hear of it, and a later answer lifts it [limit]")
+TEST_CASE(
+    "limits: a response sets a limit, peers receive it, and a later response lifts it [limit]")
 {
     TwoNodes nodes;
     CHECK_FALSE(nodes.answer(nodes.a, std::nullopt));
@@ -46,7 +47,7 @@
     REQUIRE(named);
     CHECK(named->now == 3.2);
     CHECK_FALSE(named->before);
-    CHECK_FALSE(nodes.answer(nodes.a, 3.2)); // nothing new
+    CHECK_FALSE(nodes.answer(nodes.a, 3.2)); // no change
     CHECK(nodes.a.limitedUpstreams() == 1);
     nodes.clock.advance(2s);
     const auto changes = nodes.b.applyUpdates(nodes.a.updates());
@@ -64,8 +65,8 @@
     CHECK(nodes.a.limitedUpstreams() == 0);
 }
 
-TEST_CASE("limits: an older word does not revive a limit, and who says it is told what came after "
-          "[limit]")
+TEST_CASE(
+    "limits: an older update does not restore a lifted limit, and its sender is corrected [limit]")
 {
     TwoNodes nodes;
     nodes.answer(nodes.a, 3.2);
@@ -75,43 +76,43 @@
     nodes.answer(nodes.a, std::nullopt);
     CHECK(nodes.a.applyUpdates(old).empty());
     CHECK_FALSE(nodes.a.perSecond("u"));
-    // Peers hear of it for a while; then it needs no more words.
+    // Peers receive the lifted limit for a while; after that it is dropped.
     CHECK(nodes.a.updates().size() == 1);
     nodes.clock.advance(1min);
     CHECK(nodes.a.updates().empty());
-    // A node that was away for longer still says the old word.
+    // A node that was unreachable for longer still announces the old limit.
     CHECK(nodes.b.perSecond("u") == 3.2);
     nodes.a.applyUpdates(nodes.b.updates());
     CHECK(nodes.b.applyUpdates(nodes.a.updates()).size() == 1);
     CHECK_FALSE(nodes.b.perSecond("u"));
 }
 
-TEST_CASE("limits: a change counts from the newest answer, not from the one that arrives last "
-          "[limit]")
+TEST_CASE("limits: the limit follows the newest response, not the one that arrives last [limit]")
 {
     TwoNodes nodes;
     nodes.answer(nodes.a, 2.0);
     nodes.clock.advance(500ms);
-    // Sent before the limit was known here: it may be older than the one that named it.
+    // Sent before this node knew the limit, so the response may be older than the one with the
+    // limit.
     CHECK_FALSE(nodes.answer(nodes.a, std::nullopt, 800ms));
     CHECK_FALSE(nodes.answer(nodes.a, 4.0, 800ms));
     CHECK(nodes.answer(nodes.a, 4.0, 100ms));
     nodes.clock.advance(100ms);
-    CHECK_FALSE(nodes.answer(nodes.a, 2.0, 300ms)); // from before the change
+    CHECK_FALSE(nodes.answer(nodes.a, 2.0, 300ms)); // sent before the change
     CHECK(nodes.answer(nodes.a, 3.0, 50ms));
-    // Eased only by an answer to what was sent after the last one that bore it out.
+    // The limit is relaxed only by a response to a request sent after the last confirmation.
     nodes.clock.advance(1s);
     nodes.answer(nodes.a, 3.0);
     CHECK_FALSE(nodes.answer(nodes.a, std::nullopt, 200ms));
     nodes.clock.advance(300ms);
     CHECK(nodes.answer(nodes.a, std::nullopt, 200ms));
     nodes.clock.advance(10ms);
-    CHECK_FALSE(nodes.answer(nodes.a, 3.0, 400ms)); // an answer that was long on its way
-    CHECK(nodes.answer(nodes.a, 3.0, 5ms)); // it is overloaded again
+    CHECK_FALSE(nodes.answer(nodes.a, 3.0, 400ms)); // a delayed response
+    CHECK(nodes.answer(nodes.a, 3.0, 5ms)); // the upstream is overloaded again
 }
 
-TEST_CASE("limits: where two nodes have read different answers at once, the stricter one holds "
-          "until the next answer [limit]")
+TEST_CASE("limits: if two nodes read different responses at once, the stricter limit applies until "
+          "the next response [limit]")
 {
     TwoNodes nodes;
     nodes.answer(nodes.a, 5.0);
@@ -126,7 +127,7 @@
     CHECK(nodes.b.perSecond("u") == 5.0);
 }
 
-TEST_CASE("limits: a new life has none, and nothing is kept of upstreams that are gone [limit]")
+TEST_CASE("limits: a new instance has no limit, and nothing is kept for ended upstreams [limit]")
 {
     TwoNodes nodes;
     nodes.answer(nodes.a, 2.0);
@@ -139,8 +140,8 @@
     CHECK(nodes.a.updates().empty());
 }
 
-TEST_CASE("limits: zero still lets through what shows that it is lifted; one beyond any process is "
-          "none [limit]")
+TEST_CASE("limits: a limit of zero still allows the occasional request that detects its end, and "
+          "an unreachably high limit counts as none [limit]")
 {
     TwoNodes nodes;
     nodes.answer(nodes.a, 0.0);
