--- a/bench/cold_bench.cpp
+++ b/bench/cold_bench.cpp
@@ -103,7 +103,7 @@
 struct TokenBucket
 {
     double tokens = 0.0;
-    TimePoint filled{};
+    TimePoint refilledAt{};
 };
 
 // One node, the first in rendezvous order, grants the capacity of the upstream one request at a
@@ -135,9 +135,9 @@
         // During a partition or a change of nodes two of them may grant, each half of the capacity.
         const double rate = std::min(kRate, kCapacity / 2.0);
         TokenBucket &bucket = m_buckets[m_server];
-        const std::chrono::duration<double> passed = now - bucket.filled;
+        const std::chrono::duration<double> passed = now - bucket.refilledAt;
         bucket.tokens = std::min(rate / 4.0, bucket.tokens + rate * passed.count());
-        bucket.filled = now;
+        bucket.refilledAt = now;
         if (bucket.tokens < 1.0)
             return false;
         bucket.tokens -= 1.0;
--- a/include/fordwood/key_registry.hpp
+++ b/include/fordwood/key_registry.hpp
@@ -107,7 +107,7 @@
 
     // Imports the keys of another process. Must be called before the tenures that go with them take
     // effect.
-    void importKeys(const HandedKeys &handed);
+    void importKeys(const HandedKeys &exported);
 
     // Drops keys older than the window.
     void tick();
@@ -147,7 +147,7 @@
 // Groups the keys of a planned stop by successor index; -1 is the group without a successor. Every
 // successor of a partition gets the floor, even if it gets no key.
 std::map<int, HandedKeys>
-groupBySuccessor(const HandedKeys &handed,
+groupBySuccessor(const HandedKeys &exported,
                  const std::function<int(std::uint32_t partition)> &successorOf);
 
 } // namespace fordwood
--- a/include/fordwood/limit_senders.hpp
+++ b/include/fordwood/limit_senders.hpp
@@ -35,7 +35,7 @@
     LimitSenders(const Clock &clock, std::uint64_t self) : m_clock(clock), m_self(self) { }
 
     // The rank of this node among the senders to one upstream.
-    struct Place
+    struct SenderRank
     {
         std::size_t rank = 0; // from zero
         std::size_t senders = 1;
@@ -58,7 +58,7 @@
 
     // This node's rank among at most `maxSenders` senders. Empty if it is not one of them, or has
     // not announced its requests for long enough for the other nodes to take it into account.
-    std::optional<Place> place(std::uint64_t upstream, std::size_t maxSenders) const;
+    std::optional<SenderRank> senderRank(std::uint64_t upstream, std::size_t maxSenders) const;
 
     // This node's announcement for its peers; empty if it has no requests for the upstream.
     std::vector<SenderAnnouncement> ownAnnouncement(std::uint64_t upstream) const;
@@ -86,7 +86,7 @@
         std::map<std::uint64_t, PeerAnnouncement> others; // by node
     };
 
-    static std::optional<Place> bounded(Place place, std::size_t maxSenders);
+    static std::optional<SenderRank> bounded(SenderRank senderRank, std::size_t maxSenders);
     bool hasDemand(const Demand &demand) const;
     bool isNamedByPeer(const Demand &demand) const;
     bool isWithin(TimePoint receivedAt, Duration age) const
--- a/include/fordwood/quarantine.hpp
+++ b/include/fordwood/quarantine.hpp
@@ -91,7 +91,7 @@
     bool recordAnswer(const RequestFingerprint &request);
     bool recordFailure(const RequestFingerprint &request, std::uint64_t instance);
     bool isHeld(const Entry &entry) const;
-    void makeRoom();
+    void evictOldest();
 
     const Clock &m_clock;
     const Limits m_limits;
--- a/include/fordwood/quarantine_gate.hpp
+++ b/include/fordwood/quarantine_gate.hpp
@@ -57,7 +57,7 @@
     void tick();
 
 private:
-    struct Unanswered
+    struct UnansweredRequest
     {
         RequestFingerprint request;
         std::string instanceId;
@@ -69,8 +69,8 @@
     const Clock &m_clock;
     Quarantine m_quarantine;
     RecentAnswers m_answers;
-    std::deque<Unanswered> m_unanswered; // ordered by time
-    std::map<std::string, TimePoint> m_ended; // recently ended upstreams
+    std::deque<UnansweredRequest> m_unanswered; // ordered by time
+    std::map<std::string, TimePoint> m_endedUpstreams; // recently ended upstreams
     std::vector<QuarantineUpdate> m_updates;
 };
 
--- a/include/fordwood/send_gate.hpp
+++ b/include/fordwood/send_gate.hpp
@@ -19,10 +19,10 @@
 class SendGate
 {
 public:
-    // `self`: the name of this node; `life`: a number unique to this run of this node.
+    // `self`: the name of this node; `runId`: a number unique to this run of this node.
     SendGate(const Clock &clock, ColdGate::Limits limits, const std::string &self,
-             std::uint64_t life)
-        : m_cold(clock, limits, self), m_limits(clock, life), m_backoffs(clock)
+             std::uint64_t runId)
+        : m_cold(clock, limits, self), m_limits(clock, runId), m_backoffs(clock)
     { }
 
     // Whether a request may be sent to the upstream now. `coldPerSecond`: the configured rate of a
--- a/include/fordwood/upstream_limits.hpp
+++ b/include/fordwood/upstream_limits.hpp
@@ -60,7 +60,7 @@
     // was sent after the current limit became known, and is relaxed only by one to a request that
     // was sent after the latest response that confirmed the limit.
     std::optional<LimitChange> onAnswer(const std::string &instanceId,
-                                        std::optional<double> perSecond, TimePoint sent);
+                                        std::optional<double> perSecond, TimePoint sentAt);
 
     // Merges limits received from a peer. Unknown upstreams are ignored.
     std::vector<LimitChange> applyUpdates(const std::vector<LimitGossip> &updates);
@@ -84,14 +84,15 @@
         std::optional<double> perSecond;
         TimePoint changedAt{}; // when this node learned the current limit
         TimePoint confirmedAt{}; // the last response with the same limit, or `changedAt`
-        TimePoint answered{}; // when the response with the current limit was read, by any node
+        TimePoint answeredAt{}; // when the response with the current limit was read, by any node
         TimePoint announceUntil{}; // end of the announcements that the limit is lifted
     };
 
-    static bool mayChange(const LimitState &state, std::optional<double> perSecond, TimePoint sent);
+    static bool mayChange(const LimitState &state, std::optional<double> perSecond,
+                          TimePoint sentAt);
     LimitState *state(std::uint64_t upstream);
     LimitChange change(LimitState &state, std::uint64_t version, std::optional<double> perSecond,
-                       TimePoint answered);
+                       TimePoint answeredAt);
 
     const Clock &m_clock;
     // By the hash of the instance id. Few upstreams ever advertise a limit: the lookups for each
--- a/src/core/key_registry.cpp
+++ b/src/core/key_registry.cpp
@@ -128,19 +128,19 @@
 HandedKeys KeyRegistry::close()
 {
     m_closed = true;
-    HandedKeys handed;
-    handed.floor = m_floor;
+    HandedKeys exported;
+    exported.floor = m_floor;
     for (const auto &[id, it] : m_entries) {
         const RunState state = it.state == State::Ran ? RunState::Ran : RunState::MayHaveRun;
-        handed.keys.push_back({{id.first, id.second, it.issued}, state, it.answer});
+        exported.keys.push_back({{id.first, id.second, it.issued}, state, it.answer});
     }
-    return handed;
+    return exported;
 }
 
-void KeyRegistry::importKeys(const HandedKeys &handed)
+void KeyRegistry::importKeys(const HandedKeys &exported)
 {
-    m_floor = std::max(m_floor, handed.floor);
-    for (const HandedKey &it : handed.keys) {
+    m_floor = std::max(m_floor, exported.floor);
+    for (const HandedKey &it : exported.keys) {
         const Id id{it.key.team, it.key.text};
         if (m_entries.count(id) != 0)
             continue; // already imported
@@ -219,13 +219,13 @@
 }
 
 std::map<int, HandedKeys>
-groupBySuccessor(const HandedKeys &handed,
+groupBySuccessor(const HandedKeys &exported,
                  const std::function<int(std::uint32_t partition)> &successorOf)
 {
     std::map<int, HandedKeys> groups;
     for (std::uint32_t partition = 0; partition < kKeyPartitions; ++partition)
-        groups[successorOf(partition)].floor = handed.floor;
-    for (const HandedKey &it : handed.keys)
+        groups[successorOf(partition)].floor = exported.floor;
+    for (const HandedKey &it : exported.keys)
         groups[successorOf(keyPartition(it.key.team, it.key.text))].keys.push_back(it);
     return groups;
 }
--- a/src/core/limit_gate.cpp
+++ b/src/core/limit_gate.cpp
@@ -108,14 +108,14 @@
     if (!division)
         return true;
     m_senders.recordDemand(upstream);
-    const auto place = m_senders.place(upstream, division->senders);
-    if (!place)
+    const auto rank = m_senders.senderRank(upstream, division->senders);
+    if (!rank)
         return false;
     const TimePoint now = m_clock.now();
     // Staggers the first sends of nodes that become senders at the same time.
-    const Duration sinceTurn = timeFor(place->senders - place->rank, *division);
+    const Duration sinceTurn = timeFor(rank->senders - rank->rank, *division);
     const auto last = m_lastSends.try_emplace(upstream, now - sinceTurn).first;
-    return now - last->second >= timeFor(place->senders, *division);
+    return now - last->second >= timeFor(rank->senders, *division);
 }
 
 void LimitGate::recordSend(const std::string &instanceId)
@@ -131,8 +131,8 @@
     const auto division = share(upstream);
     if (!division)
         return std::nullopt;
-    const auto place = m_senders.place(upstream, division->senders);
-    return place ? division->perSecond / static_cast<double>(place->senders) : 0.0;
+    const auto rank = m_senders.senderRank(upstream, division->senders);
+    return rank ? division->perSecond / static_cast<double>(rank->senders) : 0.0;
 }
 
 std::optional<double> LimitGate::totalRate(const std::string &instanceId) const
--- a/src/core/limit_senders.cpp
+++ b/src/core/limit_senders.cpp
@@ -84,16 +84,17 @@
         applyAnnouncement(demand, it);
 }
 
-std::optional<LimitSenders::Place> LimitSenders::bounded(Place place, std::size_t maxSenders)
+std::optional<LimitSenders::SenderRank> LimitSenders::bounded(SenderRank senderRank,
+                                                              std::size_t maxSenders)
 {
-    if (place.rank >= maxSenders)
+    if (senderRank.rank >= maxSenders)
         return std::nullopt;
-    place.senders = std::min(place.senders, maxSenders);
-    return place;
+    senderRank.senders = std::min(senderRank.senders, maxSenders);
+    return senderRank;
 }
 
-std::optional<LimitSenders::Place> LimitSenders::place(std::uint64_t upstream,
-                                                       std::size_t maxSenders) const
+std::optional<LimitSenders::SenderRank> LimitSenders::senderRank(std::uint64_t upstream,
+                                                                 std::size_t maxSenders) const
 {
     if (m_fixedSenders)
         return bounded(
@@ -104,14 +105,14 @@
         || isWithin(*it->second.since, kAnnounceBeforeSending))
         return std::nullopt;
     const std::uint64_t own = rendezvousWeight(upstream, m_self);
-    Place place;
+    SenderRank senderRank;
     for (const auto &[node, heard] : it->second.others) {
         if (!isWithin(heard.receivedAt, kSenderTimeout))
             continue;
-        place.senders += 1;
-        place.rank += rendezvousWeight(upstream, node) > own ? 1 : 0;
+        senderRank.senders += 1;
+        senderRank.rank += rendezvousWeight(upstream, node) > own ? 1 : 0;
     }
-    return bounded(place, maxSenders);
+    return bounded(senderRank, maxSenders);
 }
 
 std::vector<SenderAnnouncement> LimitSenders::ownAnnouncement(std::uint64_t upstream) const
--- a/src/core/permit_scheduler.cpp
+++ b/src/core/permit_scheduler.cpp
@@ -137,12 +137,12 @@
 void PermitScheduler::dropHolder(HolderId holder)
 {
     for (auto &[name, state] : m_states) {
-        std::vector<FairQueue::EntryId> gone;
+        std::vector<FairQueue::EntryId> dropped;
         for (const auto &[id, it] : state.waiting) {
             if (it.request.holder == holder)
-                gone.push_back(id);
+                dropped.push_back(id);
         }
-        for (const FairQueue::EntryId id : gone)
+        for (const FairQueue::EntryId id : dropped)
             dropWaiting(state, id);
         std::erase_if(state.running, [&](const auto &it) { return it.second.holder == holder; });
         grantWaiting(state);
@@ -153,13 +153,13 @@
 {
     const TimePoint now = m_clock.now();
     for (auto &[name, state] : m_states) {
-        std::vector<FairQueue::EntryId> late;
+        std::vector<FairQueue::EntryId> expired;
         for (const auto &[id, it] : state.waiting) {
             if (it.since + it.request.wait <= now)
-                late.push_back(id);
+                expired.push_back(id);
         }
-        std::sort(late.begin(), late.end());
-        for (const FairQueue::EntryId id : late) {
+        std::sort(expired.begin(), expired.end());
+        for (const FairQueue::EntryId id : expired) {
             deny(state.waiting.at(id).request, Reason::DeadlineTooNear);
             dropWaiting(state, id);
         }
--- a/src/core/permits_in_use.cpp
+++ b/src/core/permits_in_use.cpp
@@ -81,8 +81,8 @@
     for (auto &[call, permit] : m_permits) {
         if (permit.isDirect || !permit.owner.empty())
             continue;
-        const Member *present = ownerOf(permit);
-        if (present != nullptr && present->name == owner.name)
+        const Member *currentOwner = ownerOf(permit);
+        if (currentOwner != nullptr && currentOwner->name == owner.name)
             transferTo(call, permit, owner);
     }
 }
--- a/src/core/quarantine.cpp
+++ b/src/core/quarantine.cpp
@@ -25,7 +25,7 @@
 bool Quarantine::recordFailure(const RequestFingerprint &request, std::uint64_t instance)
 {
     if (!m_entries.contains(request))
-        makeRoom();
+        evictOldest();
     Entry &entry = m_entries[request];
     std::vector<std::uint64_t> &instances = entry.failedInstances;
     if (entry.isAnswered
@@ -41,7 +41,7 @@
 }
 
 // Drops many entries at once, so that a burst of failures does not scan all entries for each.
-void Quarantine::makeRoom()
+void Quarantine::evictOldest()
 {
     constexpr std::size_t kDropDivisor = 4;
     if (m_entries.size() < m_limits.maxRequests)
--- a/src/core/quarantine_gate.cpp
+++ b/src/core/quarantine_gate.cpp
@@ -35,8 +35,8 @@
 
 void QuarantineGate::onUnanswered(const RequestFingerprint &request, const std::string &instanceId)
 {
-    const auto endedAt = m_ended.find(instanceId);
-    if (endedAt != m_ended.end() && m_clock.now() - endedAt->second < kEndDetectedWithin) {
+    const auto endedAt = m_endedUpstreams.find(instanceId);
+    if (endedAt != m_endedUpstreams.end() && m_clock.now() - endedAt->second < kEndDetectedWithin) {
         onDisconnect(request, instanceId);
         return;
     }
@@ -47,8 +47,8 @@
 
 void QuarantineGate::onUpstreamEnded(const std::string &instanceId)
 {
-    m_ended[instanceId] = m_clock.now();
-    for (const Unanswered &it : m_unanswered) {
+    m_endedUpstreams[instanceId] = m_clock.now();
+    for (const UnansweredRequest &it : m_unanswered) {
         if (it.instanceId == instanceId && m_clock.now() - it.when < kEndDetectedWithin)
             onDisconnect(it.request, instanceId);
     }
@@ -79,7 +79,8 @@
     const TimePoint now = m_clock.now();
     while (!m_unanswered.empty() && now - m_unanswered.front().when >= kEndDetectedWithin)
         m_unanswered.pop_front();
-    std::erase_if(m_ended, [&](const auto &it) { return now - it.second >= kEndDetectedWithin; });
+    std::erase_if(m_endedUpstreams,
+                  [&](const auto &it) { return now - it.second >= kEndDetectedWithin; });
 }
 
 } // namespace fordwood
--- a/src/core/upstream_limits.cpp
+++ b/src/core/upstream_limits.cpp
@@ -60,32 +60,33 @@
 }
 
 bool UpstreamLimits::mayChange(const LimitState &state, std::optional<double> perSecond,
-                               TimePoint sent)
+                               TimePoint sentAt)
 {
     if (state.version == 0)
         return true;
     const bool isEased = state.perSecond && (!perSecond || *perSecond > *state.perSecond);
-    return sent > (isEased ? state.confirmedAt : state.changedAt);
+    return sentAt > (isEased ? state.confirmedAt : state.changedAt);
 }
 
 LimitChange UpstreamLimits::change(LimitState &state, std::uint64_t version,
-                                   std::optional<double> perSecond, TimePoint answered)
+                                   std::optional<double> perSecond, TimePoint answeredAt)
 {
     const TimePoint now = m_clock.now();
-    LimitChange result{state.instanceId, state.perSecond, perSecond, version, now - answered};
+    LimitChange result{state.instanceId, state.perSecond, perSecond, version, now - answeredAt};
     m_limited += perSecond ? 1 : 0;
     m_limited -= state.perSecond ? 1 : 0;
     state.version = version;
     state.perSecond = perSecond;
     state.changedAt = now;
     state.confirmedAt = now;
-    state.answered = answered;
+    state.answeredAt = answeredAt;
     state.announceUntil = now + kAnnounceLiftedFor;
     return result;
 }
 
 std::optional<LimitChange> UpstreamLimits::onAnswer(const std::string &instanceId,
-                                                    std::optional<double> perSecond, TimePoint sent)
+                                                    std::optional<double> perSecond,
+                                                    TimePoint sentAt)
 {
     const std::optional<double> named = effectiveLimit(perSecond);
     if (!named && m_limited == 0)
@@ -100,7 +101,7 @@
         current->confirmedAt = m_clock.now();
         return std::nullopt;
     }
-    if (!mayChange(*current, named, sent))
+    if (!mayChange(*current, named, sentAt))
         return std::nullopt;
     return change(*current, current->version + 1, named, m_clock.now());
 }
@@ -152,7 +153,7 @@
         const bool isLifted = it.version > 0 && !it.perSecond && now < it.announceUntil;
         if (it.perSecond || isLifted)
             updates.push_back(
-                {hash, it.version, it.perSecond.value_or(0.0), now - it.answered, {}});
+                {hash, it.version, it.perSecond.value_or(0.0), now - it.answeredAt, {}});
     }
     return updates;
 }
--- a/tests/unit/key_registry_test.cpp
+++ b/tests/unit/key_registry_test.cpp
@@ -157,20 +157,20 @@
 TEST_CASE(
     "keys: a planned stop divides the keys among the successors of their partitions [keys][stop]")
 {
-    HandedKeys handed;
-    handed.floor = WallTime(std::chrono::milliseconds(77));
+    HandedKeys exported;
+    exported.floor = WallTime(std::chrono::milliseconds(77));
     for (int n = 0; n < 50; ++n)
-        handed.keys.push_back({{"team", "key-" + std::to_string(n), {}}, RunState::Ran, {}});
+        exported.keys.push_back({{"team", "key-" + std::to_string(n), {}}, RunState::Ran, {}});
     const auto successorOf
         = [](std::uint32_t partition) { return static_cast<int>(partition % 3); };
-    const auto groups = groupBySuccessor(handed, successorOf);
+    const auto groups = groupBySuccessor(exported, successorOf);
     REQUIRE(groups.size() == 3);
     std::size_t sum = 0;
     for (const auto &[index, keys] : groups) {
-        CHECK(keys.floor == handed.floor);
+        CHECK(keys.floor == exported.floor);
         for (const HandedKey &it : keys.keys)
             CHECK(successorOf(keyPartition(it.key.team, it.key.text)) == index);
         sum += keys.keys.size();
     }
-    CHECK(sum == handed.keys.size());
+    CHECK(sum == exported.keys.size());
 }
--- a/tests/unit/limit_gate_test.cpp
+++ b/tests/unit/limit_gate_test.cpp
@@ -84,17 +84,17 @@
         fleet.run(1s);
         fleet.updateLiveNodes();
         fleet.run(4s);
-        const TimePoint told = fleet.clock.now();
+        const TimePoint detected = fleet.clock.now();
         fleet.run(10s);
         // Two thirds at least: the paused nodes may be partitioned off and alive.
-        CHECK(fleet.utilization(told) >= 0.55);
+        CHECK(fleet.utilization(detected) >= 0.55);
         for (const std::size_t n : {0U, 3U})
             fleet.nodes[n].isFrozen = false;
         fleet.updateLiveNodes();
-        const TimePoint awake = fleet.clock.now();
+        const TimePoint resumed = fleet.clock.now();
         fleet.run(perSecond < 1.0 ? 30s : 12s);
         CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
-        CHECK(fleet.utilization(awake) >= 0.7);
+        CHECK(fleet.utilization(resumed) >= 0.7);
     }
 }
 
