--- a/include/fordwood/allowance_allocator.hpp
+++ b/include/fordwood/allowance_allocator.hpp
@@ -78,7 +78,7 @@
         TimePoint closedUntil{};
         std::map<std::uint64_t, Holder> holders;
         std::size_t committed = 0; // over all holders; at least the sum of unexpired grants
-        std::size_t equalShareSize = 0; // per holder, as of the last sweep
+        std::size_t shareLimit = 0; // per holder, as of the last sweep
         TimePoint nextSweep{};
     };
 
--- a/include/fordwood/limit_senders.hpp
+++ b/include/fordwood/limit_senders.hpp
@@ -89,10 +89,7 @@
     static std::optional<SenderRank> bounded(SenderRank senderRank, std::size_t maxSenders);
     bool hasDemand(const Demand &demand) const;
     bool isNamedByPeer(const Demand &demand) const;
-    bool isWithin(TimePoint receivedAt, Duration age) const
-    {
-        return m_clock.now() - receivedAt < age;
-    }
+    bool isWithin(TimePoint time, Duration age) const { return m_clock.now() - time < age; }
     std::uint64_t millisecondsOf(TimePoint time) const;
     void applyAnnouncement(Demand &demand, const SenderAnnouncement &announcement);
 
--- a/include/fordwood/permit_scheduler.hpp
+++ b/include/fordwood/permit_scheduler.hpp
@@ -141,11 +141,11 @@
     {
         OwnedUpstream upstream;
         FairQueue queue;
-        TimePoint pausedUntil{};
+        TimePoint pushbackUntil{};
         bool isPaused = false;
         PrefillLine prefill;
         Duration waitingPrefill{0}; // of all waiting requests
-        Duration meanHold{0}; // of a permit, from grant to release
+        Duration meanHoldTime{0}; // of a permit, from grant to release
         std::unordered_map<FairQueue::EntryId, Waiting> waiting;
         std::map<std::pair<HolderId, std::uint64_t>, FairQueue::EntryId> byRequest;
         std::map<std::pair<HolderId, std::uint64_t>, Permit> running;
--- a/include/fordwood/quarantine_gate.hpp
+++ b/include/fordwood/quarantine_gate.hpp
@@ -64,7 +64,7 @@
         TimePoint when{};
     };
 
-    void publish(const QuarantineUpdate &updates);
+    void publish(const QuarantineUpdate &update);
 
     const Clock &m_clock;
     Quarantine m_quarantine;
--- a/src/core/allowance_allocator.cpp
+++ b/src/core/allowance_allocator.cpp
@@ -37,7 +37,7 @@
     const std::size_t others = pool.committed - committedTo(holder);
     const std::size_t free = pool.size - std::min(pool.size, others);
     const bool isClosed = m_clock.now() < pool.closedUntil;
-    const std::size_t amount = isClosed ? 0 : std::min({request.wanted, free, pool.equalShareSize});
+    const std::size_t amount = isClosed ? 0 : std::min({request.wanted, free, pool.shareLimit});
     holder.grants.back().amount = amount;
     pool.committed = others + committedTo(holder);
     return {amount, m_limits.life};
@@ -61,7 +61,7 @@
 void AllowanceAllocator::sweep(Pool &pool) const
 {
     pool.nextSweep = m_clock.now() + m_limits.sweepEvery;
-    pool.equalShareSize = equalShare(pool);
+    pool.shareLimit = equalShare(pool);
     pool.committed = 0;
     for (auto &[id, holder] : pool.holders) {
         dropExpired(holder);
@@ -105,9 +105,9 @@
     std::size_t left = pool.size;
     for (std::size_t it = 0; it < demands.size(); ++it) {
         const std::size_t sharers = demands.size() - it;
-        const std::size_t equalShareSize = (left + sharers - 1) / sharers;
+        const std::size_t share = (left + sharers - 1) / sharers;
         if (demands[it] > left / sharers)
-            return equalShareSize;
+            return share;
         left -= demands[it];
     }
     return std::numeric_limits<std::size_t>::max();
--- a/src/core/limit_senders.cpp
+++ b/src/core/limit_senders.cpp
@@ -106,8 +106,8 @@
         return std::nullopt;
     const std::uint64_t own = rendezvousWeight(upstream, m_self);
     SenderRank senderRank;
-    for (const auto &[node, heard] : it->second.others) {
-        if (!isWithin(heard.receivedAt, kSenderTimeout))
+    for (const auto &[node, announcement] : it->second.others) {
+        if (!isWithin(announcement.receivedAt, kSenderTimeout))
             continue;
         senderRank.senders += 1;
         senderRank.rank += rendezvousWeight(upstream, node) > own ? 1 : 0;
@@ -130,9 +130,9 @@
     const auto it = m_upstreams.find(upstream);
     if (it == m_upstreams.end())
         return announcements;
-    for (const auto &[node, heard] : it->second.others) {
-        if (isWithin(heard.receivedAt, kForwardFor))
-            announcements.push_back({node, heard.sequence});
+    for (const auto &[node, announcement] : it->second.others) {
+        if (isWithin(announcement.receivedAt, kForwardFor))
+            announcements.push_back({node, announcement.sequence});
     }
     std::sort(announcements.begin(), announcements.end(),
               [upstream](const SenderAnnouncement &a, const SenderAnnouncement &b) {
--- a/src/core/permit_scheduler.cpp
+++ b/src/core/permit_scheduler.cpp
@@ -68,7 +68,7 @@
         return deny(request, Reason::UpstreamBusy);
     if (state.queue.waiting(request.team) >= m_limits.queuePerTeam)
         return deny(request, Reason::QueueFull);
-    if (expectedWait(state, request) + state.meanHold > request.wait)
+    if (expectedWait(state, request) + state.meanHoldTime > request.wait)
         return deny(request, Reason::DeadlineTooNear);
     const FairQueue::EntryId id = m_nextEntry++;
     const Duration prefill = state.prefill.timeFor(request.prompt);
@@ -94,8 +94,9 @@
     if (permit == state.running.end())
         return;
     const Duration holdTime = m_clock.now() - permit->second.granted;
-    state.meanHold
-        = state.meanHold == Duration::zero() ? holdTime : (state.meanHold * 7 + holdTime) / 8;
+    state.meanHoldTime = state.meanHoldTime == Duration::zero()
+                             ? holdTime
+                             : (state.meanHoldTime * 7 + holdTime) / 8;
     const double correction = cost > 0 ? cost - permit->second.cost : 0.0;
     if (correction > 0)
         state.queue.charge(permit->second.team, share(permit->second.team), correction);
@@ -110,7 +111,7 @@
 {
     const auto it = m_states.find(upstream);
     if (it != m_states.end())
-        it->second.pausedUntil = m_clock.now() + kPushbackPause;
+        it->second.pushbackUntil = m_clock.now() + kPushbackPause;
     release(holder, permitId, upstream, 0.0);
 }
 
@@ -235,7 +236,7 @@
 
 void PermitScheduler::grantWaiting(UpstreamState &state)
 {
-    if (state.isPaused || m_clock.now() < state.pausedUntil)
+    if (state.isPaused || m_clock.now() < state.pushbackUntil)
         return; // tick() tries again
     while (!state.upstream.leaving && state.running.size() < state.upstream.slots
            && state.prefill.backlog(m_clock.now()) <= m_limits.maxBacklog) {
@@ -243,7 +244,7 @@
         if (!entry)
             return;
         const Waiting waiting = state.waiting.at(entry->id);
-        if (waiting.since + waiting.request.wait - m_clock.now() < state.meanHold) {
+        if (waiting.since + waiting.request.wait - m_clock.now() < state.meanHoldTime) {
             // Too late to finish, so the slot goes to a call that can.
             deny(waiting.request, Reason::DeadlineTooNear);
             dropWaiting(state, entry->id);
@@ -273,7 +274,7 @@
 bool PermitScheduler::canGrantNow(const UpstreamState &state, const PermitRequest &request) const
 {
     const TimePoint now = m_clock.now();
-    if (state.isPaused || now < state.pausedUntil || state.running.size() >= state.upstream.slots)
+    if (state.isPaused || now < state.pushbackUntil || state.running.size() >= state.upstream.slots)
         return false;
     const Duration most
         = state.prefill.isWarm(request.prompt)
@@ -293,7 +294,7 @@
     const double rounds = static_cast<double>(ahead + 1) * active / own
                           / static_cast<double>(std::max<std::size_t>(1, state.upstream.slots));
     const bool slotsFree = state.queue.empty() && state.running.size() < state.upstream.slots;
-    const auto bySlots = std::chrono::duration_cast<Duration>(state.meanHold * rounds);
+    const auto bySlots = std::chrono::duration_cast<Duration>(state.meanHoldTime * rounds);
     const Duration byPrefill = state.prefill.backlog(m_clock.now()) + state.waitingPrefill;
     return std::max(slotsFree ? Duration::zero() : bySlots, byPrefill);
 }
--- a/src/core/quarantine_gate.cpp
+++ b/src/core/quarantine_gate.cpp
@@ -19,10 +19,10 @@
 
 } // namespace
 
-void QuarantineGate::publish(const QuarantineUpdate &updates)
+void QuarantineGate::publish(const QuarantineUpdate &update)
 {
-    if (m_quarantine.apply(updates))
-        m_updates.push_back(updates);
+    if (m_quarantine.apply(update))
+        m_updates.push_back(update);
 }
 
 void QuarantineGate::onDisconnect(const RequestFingerprint &request, const std::string &instanceId)
--- a/tests/unit/allowance_test.cpp
+++ b/tests/unit/allowance_test.cpp
@@ -93,11 +93,11 @@
     const AllowanceRequest late = gate.startRequest("t", 1);
     clock.advance(1s);
     gate.onNoAnswer("t");
-    const AllowanceRequest ask = gate.startRequest("t", 1);
+    const AllowanceRequest second = gate.startRequest("t", 1);
     gate.onAnswer("t", late.requestId, {5, 3s}); // would appear to last longer than it does
     CHECK_FALSE(gate.enter("t"));
     clock.advance(1s);
-    gate.onAnswer("t", ask.requestId, {1, 3s});
+    gate.onAnswer("t", second.requestId, {1, 3s});
     CHECK(gate.enter("t"));
     clock.advance(1s);
     CHECK(gate.dueForRenewal().size() == 1);
--- a/tests/unit/permit_scheduler_test.cpp
+++ b/tests/unit/permit_scheduler_test.cpp
@@ -13,13 +13,13 @@
 PermitRequest requestOf(std::uint64_t id, Duration wait, const std::string &team = "team",
                         HolderId holder = 1)
 {
-    PermitRequest ask;
-    ask.holder = holder;
-    ask.requestId = id;
-    ask.upstream = "up";
-    ask.team = team;
-    ask.wait = wait;
-    return ask;
+    PermitRequest request;
+    request.holder = holder;
+    request.requestId = id;
+    request.upstream = "up";
+    request.team = team;
+    request.wait = wait;
+    return request;
 }
 
 } // namespace
