--- a/include/fordwood/ceiling_gate.hpp
+++ b/include/fordwood/ceiling_gate.hpp
@@ -21,8 +21,8 @@
 public:
     struct Limits
     {
-        Duration retryDelay
-            = std::chrono::milliseconds(200); // after an allowance smaller than requested
+        // Before the next request, after a grant smaller than requested or no answer.
+        Duration retryDelay = std::chrono::milliseconds(200);
     };
 
     CeilingGate(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
--- a/include/fordwood/cold_gate.hpp
+++ b/include/fordwood/cold_gate.hpp
@@ -93,8 +93,7 @@
     std::optional<NodeHashes> m_previousNodes; // the list that was valid at least one window ago
     TimePoint m_nodesChangedAt;
     std::uint64_t m_nodesVersion = 1; // incremented with each change of the node list
-    std::map<std::string, Upstream>
-        m_upstreams; // by instance id; only upstreams that have been cold
+    std::map<std::string, Upstream> m_upstreams; // by instance id, once cold
 };
 
 } // namespace fordwood
--- a/include/fordwood/key_registry.hpp
+++ b/include/fordwood/key_registry.hpp
@@ -139,7 +139,7 @@
     std::map<std::string, std::uint64_t> m_bootByNode;
     std::map<Id, Entry> m_entries;
     std::multimap<WallTime, Id> m_byTime;
-    WallTime m_floor{}; // keys issued before this may have been forgotten
+    WallTime m_floor{}; // keys issued earlier may have been dropped
     std::size_t m_answerBytes = 0;
     bool m_closed = false;
 };
--- a/include/fordwood/limit_senders.hpp
+++ b/include/fordwood/limit_senders.hpp
@@ -41,7 +41,7 @@
         std::size_t senders = 1;
     };
 
-    // Whether this node knows of no other live node. Then no peer has to name it.
+    // Whether this node knows of no other live node. Then it sends without being listed by a peer.
     void setAlone(bool isAlone) { m_isAlone = isAlone; }
 
     // For a fleet whose nodes do not exchange announcements: the ids of the other nodes, which are
--- a/include/fordwood/permit_scheduler.hpp
+++ b/include/fordwood/permit_scheduler.hpp
@@ -61,7 +61,7 @@
 // The limits that an owner enforces.
 struct PermitLimits
 {
-    Duration sendWithin = std::chrono::seconds(2); // life of an unused permit
+    Duration sendWithin = std::chrono::seconds(2); // lifetime of an unused permit
     std::size_t queuePerTeam = 256; // waiting requests per team and upstream
     // A prompt is sent to an engine only while the engine's backlog of computation is below this;
     // the others wait in the fair queue, where teams get their shares.
@@ -141,7 +141,7 @@
     {
         OwnedUpstream upstream;
         FairQueue queue;
-        TimePoint pushbackUntil{};
+        TimePoint pushbackUntil{}; // no grants before this time
         bool isPaused = false;
         PrefillLine prefill;
         Duration waitingPrefill{0}; // of all waiting requests
--- a/include/fordwood/quarantine.hpp
+++ b/include/fordwood/quarantine.hpp
@@ -13,7 +13,7 @@
 
 namespace fordwood {
 
-// Reports one event of a request, as nodes exchange it.
+// A failure or success of one request, as nodes report it to each other.
 struct QuarantineUpdate
 {
     RequestFingerprint request;
@@ -72,7 +72,7 @@
     // The upstream instances that ended while running the request.
     std::vector<std::uint64_t> failedInstancesOf(const RequestFingerprint &request) const;
 
-    // isEmpty(): no request is recorded. heldRequests(): the number of requests held now.
+    // isEmpty(): whether no request is recorded. heldRequests(): the number of requests held now.
     bool isEmpty() const { return m_entries.empty(); }
     std::size_t heldRequests() const;
 
--- a/include/fordwood/send_gate.hpp
+++ b/include/fordwood/send_gate.hpp
@@ -12,10 +12,10 @@
 
 namespace fordwood {
 
-// Decides whether this node may send a request to an upstream that accepts a limited rate from all
-// nodes together, because it is cold, because it advertises a limit, or both (then the smaller rate
-// applies), or that has asked for a backoff. All senders use it: first attempts, retries and
-// resumed streams.
+// Decides whether this node may send a request to an upstream. An upstream may accept a limited
+// rate from all nodes together, because it is cold, because it advertises a limit, or both (then
+// the smaller rate applies), or may have asked for a backoff. First attempts, retries and resumed
+// streams all use this gate.
 class SendGate
 {
 public:
--- a/include/fordwood/upstream_limits.hpp
+++ b/include/fordwood/upstream_limits.hpp
@@ -22,13 +22,12 @@
     std::uint64_t version = 0; // of the limit; the highest version wins
     double perSecond = 0.0; // requests per second; zero: the limit has been lifted
     Duration age{}; // since the response with this limit was read
-    std::vector<SenderAnnouncement>
-        senders; // nodes with requests for the upstream; empty once the limit is lifted
+    std::vector<SenderAnnouncement> senders; // nodes with requests; empty once lifted
 
     bool operator==(const LimitGossip &) const = default;
 };
 
-// A change of one upstream's limit as this node knows it.
+// A change of one upstream's limit, as recorded by this node.
 struct LimitChange
 {
     std::string instanceId;
@@ -55,7 +54,7 @@
     // Drops an upstream instance that has ended, with its limit.
     void forget(const std::string &instanceId);
 
-    // Handles a response to a request that was sent at `sent`, with the advertised limit, if any.
+    // Handles a response to a request that was sent at `sentAt`, with the advertised limit, if any.
     // Responses can overtake each other, so the limit changes only by a response to a request that
     // was sent after the current limit became known, and is relaxed only by one to a request that
     // was sent after the latest response that confirmed the limit.
--- a/src/core/limit_share.cpp
+++ b/src/core/limit_share.cpp
@@ -25,7 +25,7 @@
 constexpr double kRateShareOfEachSide = 0.6;
 constexpr double kMinSenders = 2.0; // one may have died
 
-// Messages list this many senders; with more of them, each share would be too small to be used.
+// Messages list at most this many senders; with more, each share would be too small to be used.
 constexpr double kMaxSenders = 64.0;
 
 } // namespace
--- a/src/core/permit_scheduler.cpp
+++ b/src/core/permit_scheduler.cpp
@@ -262,8 +262,7 @@
     if (it == state.waiting.end())
         return;
     state.byRequest.erase({it->second.request.holder, it->second.request.requestId});
-    state.waitingPrefill
-        -= it->second.prefill; // the amount that was added, even if the estimate has changed since
+    state.waitingPrefill -= it->second.prefill; // as added, even if the estimate has changed
     state.queue.remove(id);
     state.waiting.erase(it);
 }
