--- a/bench/cold_bench.cpp
+++ b/bench/cold_bench.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
-// How nodes divide what a cold upstream bears, three ways, over a paused clock: the most requests
-// in any second as a part of what is borne (26 at 14 a second), and the part of the stated rate
-// that is used in the three seconds of a cold start while callers wait.
+// Compares three strategies for dividing the capacity of a cold upstream among nodes, in simulated
+// time. Prints the peak of requests in any second as a fraction of the capacity (26 at 14 per
+// second), and the fraction of the configured rate that is used during the three seconds of a cold
+// start while callers wait.
 #include <algorithm>
 #include <deque>
 #include <iomanip>
@@ -27,10 +28,10 @@
 constexpr double kRate = 14.0;
 constexpr double kOvershoot = 1.5;
 constexpr double kSlack = 5.0;
-constexpr double kBorne = kRate * kOvershoot + kSlack; // in a second
+constexpr double kCapacity = kRate * kOvershoot + kSlack; // in any second
 constexpr Duration kColdFor = 3s;
 
-// How one node keeps to what the cold upstream bears.
+// A strategy by which one node respects the capacity of the cold upstream.
 class ColdPolicy
 {
 public:
@@ -39,17 +40,18 @@
     ColdPolicy &operator=(const ColdPolicy &) = delete;
     virtual ~ColdPolicy() = default;
 
-    // The nodes that are known, this one included; the upstream turns cold.
+    // setNodes() sets the names of the known nodes, including this one; turnCold() marks the
+    // upstream as cold.
     virtual void setNodes(const std::vector<std::string> &names) = 0;
     virtual void turnCold() = 0;
     virtual bool maySend() = 0;
-    virtual void sent() = 0;
+    virtual void recordSend() = 0;
 };
 
-class EvenParts : public ColdPolicy
+class EqualShares : public ColdPolicy
 {
 public:
-    explicit EvenParts(const Clock &clock) : m_clock(clock) { }
+    explicit EqualShares(const Clock &clock) : m_clock(clock) { }
 
     void setNodes(const std::vector<std::string> &names) override { m_nodes = names.size(); }
     void turnCold() override { }
@@ -58,7 +60,7 @@
         const auto pause = std::chrono::duration<double>(static_cast<double>(m_nodes) / kRate);
         return !m_last || m_clock.now() - *m_last >= pause;
     }
-    void sent() override { m_last = m_clock.now(); }
+    void recordSend() override { m_last = m_clock.now(); }
 
 private:
     const Clock &m_clock;
@@ -66,7 +68,7 @@
     std::optional<TimePoint> m_last;
 };
 
-// The way of the product.
+// The production strategy, ColdGate.
 class FewSenders : public ColdPolicy
 {
 public:
@@ -80,9 +82,9 @@
         std::erase(others, m_name);
         m_gate.setNodes(others);
     }
-    void turnCold() override { m_gate.noteCold(kUpstream, kColdFor); }
+    void turnCold() override { m_gate.setCold(kUpstream, kColdFor); }
     bool maySend() override { return m_gate.maySend(kUpstream, kRate); }
-    void sent() override { m_gate.sent(kUpstream); }
+    void recordSend() override { m_gate.recordSend(kUpstream); }
 
 private:
     static ColdGate::Limits limits()
@@ -97,20 +99,20 @@
     ColdGate m_gate;
 };
 
-// What the holder of the upstream's rate has left to give: one request at a time.
-struct Holder
+// The token bucket of the node that grants requests to the upstream.
+struct TokenBucket
 {
     double tokens = 0.0;
-    TimePoint filled{};
+    TimePoint refilledAt{};
 };
 
-// One node, the first by rendezvous, gives out what the upstream bears, a request at a time; the
-// others ask it, and its word takes a message there and back through the nodes' threads.
-class AskedHolder : public ColdPolicy
+// One node, the first in rendezvous order, grants the capacity of the upstream one request at a
+// time. The other nodes ask it for each request, which takes a round trip.
+class TokenServer : public ColdPolicy
 {
 public:
-    AskedHolder(const Clock &clock, std::map<std::string, Holder> &holders)
-        : m_clock(clock), m_holders(holders)
+    TokenServer(const Clock &clock, std::map<std::string, TokenBucket> &buckets)
+        : m_clock(clock), m_buckets(buckets)
     { }
 
     void setNodes(const std::vector<std::string> &names) override
@@ -119,62 +121,62 @@
         hashes.reserve(names.size());
         for (const std::string &it : names)
             hashes.push_back(stableHash(it));
-        m_holder = names[static_cast<std::size_t>(rendezvousWinner(stableHash(kUpstream), hashes))];
+        m_server = names[static_cast<std::size_t>(rendezvousWinner(stableHash(kUpstream), hashes))];
     }
     void turnCold() override { }
     bool maySend() override
     {
         const TimePoint now = m_clock.now();
-        if (!m_asked)
-            m_asked = now;
-        if (now - *m_asked < kAnswerTakes)
+        if (!m_requestedAt)
+            m_requestedAt = now;
+        if (now - *m_requestedAt < kRoundTrip)
             return false;
-        m_asked.reset();
-        // Two holders, for a moment or in a cut, each give half of what is borne.
-        const double rate = std::min(kRate, kBorne / 2.0);
-        Holder &holder = m_holders[m_holder];
-        const std::chrono::duration<double> passed = now - holder.filled;
-        holder.tokens = std::min(rate / 4.0, holder.tokens + rate * passed.count());
-        holder.filled = now;
-        if (holder.tokens < 1.0)
+        m_requestedAt.reset();
+        // During a partition or a change of nodes two of them may grant, each half of the capacity.
+        const double rate = std::min(kRate, kCapacity / 2.0);
+        TokenBucket &bucket = m_buckets[m_server];
+        const std::chrono::duration<double> passed = now - bucket.refilledAt;
+        bucket.tokens = std::min(rate / 4.0, bucket.tokens + rate * passed.count());
+        bucket.refilledAt = now;
+        if (bucket.tokens < 1.0)
             return false;
-        holder.tokens -= 1.0;
+        bucket.tokens -= 1.0;
         return true;
     }
-    void sent() override { }
+    void recordSend() override { }
 
 private:
-    static constexpr Duration kAnswerTakes = 40ms;
+    static constexpr Duration kRoundTrip = 40ms;
 
     const Clock &m_clock;
-    std::map<std::string, Holder> &m_holders; // by name
-    std::string m_holder;
-    std::optional<TimePoint> m_asked;
+    std::map<std::string, TokenBucket> &m_buckets; // by name
+    std::string m_server;
+    std::optional<TimePoint> m_requestedAt;
 };
 
-enum class Way { EvenParts, FewSenders, AskedHolder };
+enum class PolicyKind { EqualShares, FewSenders, TokenServer };
 enum class Pattern { Everywhere, OneDomain, Cut };
 
-struct Figures
+struct Result
 {
-    double busiest = 0; // of what is borne
-    double used = 0;
+    double peak = 0; // as a fraction of the capacity
+    double utilization = 0;
 };
 
-Figures measure(Way way, std::size_t nodes, Pattern pattern)
+Result measure(PolicyKind kind, std::size_t nodes, Pattern pattern)
 {
     ManualClock clock;
-    std::map<std::string, Holder> holders;
+    std::map<std::string, TokenBucket> buckets;
     std::vector<std::string> names;
     std::vector<std::unique_ptr<ColdPolicy>> policies;
     for (std::size_t n = 0; n < nodes; ++n) {
         names.push_back("node-" + std::to_string(n));
-        if (way == Way::EvenParts)
-            policies.push_back(std::make_unique<EvenParts>(clock));
-        else if (way == Way::FewSenders)
+        if (kind == PolicyKind::EqualShares)
+            policies.push_back(std::make_unique<EqualShares>(clock));
+        else if (kind == PolicyKind::FewSenders)
             policies.push_back(std::make_unique<FewSenders>(clock, names.back()));
         else
-            policies.push_back(std::make_unique<AskedHolder>(clock, holders));
+            policies.push_back(std::make_unique<TokenServer>(clock, buckets));
     }
     const auto half = names.begin() + static_cast<std::ptrdiff_t>(nodes / 2);
     const std::vector<std::string> one(names.begin(), half);
@@ -194,13 +196,14 @@
             const bool hasCallers = pattern != Pattern::OneDomain || n % 4 == 0;
             if (!hasCallers || !policies[n]->maySend())
                 continue;
-            policies[n]->sent();
+            policies[n]->recordSend();
             arrivals.push_back(clock.now() + 10ms * (random() % 10));
         }
     }
-    const double used = static_cast<double>(arrivals.size())
-                        / (kRate * std::chrono::duration<double>(kColdFor).count());
-    return {static_cast<double>(support::busiestWindow(arrivals, 1s, TimePoint{})) / kBorne, used};
+    const double utilization = static_cast<double>(arrivals.size())
+                               / (kRate * std::chrono::duration<double>(kColdFor).count());
+    return {static_cast<double>(support::busiestWindow(arrivals, 1s, TimePoint{})) / kCapacity,
+            utilization};
 }
 
 const char *nameOf(Pattern pattern)
@@ -211,7 +214,7 @@
     case Pattern::OneDomain:
         return "callers in one failure domain of four";
     case Pattern::Cut:
-        return "half cut off from half";
+        return "partition into halves";
     }
     return "";
 }
@@ -221,14 +224,15 @@
 int main()
 {
     std::cout << std::fixed << std::setprecision(2)
-              << "| pattern | nodes | equal parts | few of all nodes | asked holder |\n"
+              << "| pattern | nodes | equal shares | few senders | token server |\n"
                  "|---|---|---|---|---|\n";
     for (const Pattern pattern : {Pattern::Everywhere, Pattern::OneDomain, Pattern::Cut}) {
         for (const std::size_t nodes : {3U, 8U, 79U, 295U}) {
             std::cout << "| " << nameOf(pattern) << " | " << nodes;
-            for (const Way it : {Way::EvenParts, Way::FewSenders, Way::AskedHolder}) {
-                const Figures figures = measure(it, nodes, pattern);
-                std::cout << " | " << figures.busiest << " / " << figures.used;
+            for (const PolicyKind it :
+                 {PolicyKind::EqualShares, PolicyKind::FewSenders, PolicyKind::TokenServer}) {
+                const Result result = measure(it, nodes, pattern);
+                std::cout << " | " << result.peak << " / " << result.utilization;
             }
             std::cout << " |\n";
         }
--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
-// How nodes divide what an overloaded upstream takes, three ways, over a paused clock: the most
-// requests in any four seconds as a part of what it bears, and the part of its limit that is used
-// while callers wait. What answers and peers say is the same for all; the ways differ in who sends.
+// Compares three strategies for dividing the limit of an overloaded upstream among nodes, in
+// simulated time. Prints the peak of requests in any four seconds as a fraction of the capacity,
+// and the fraction of the limit that is used while callers wait. All strategies learn the limit in
+// the same way; they differ in which nodes send.
 #include <algorithm>
 #include <iomanip>
 #include <iostream>
@@ -17,26 +18,26 @@
 using support::LimitFleet;
 using support::LimitPolicy;
 
-// Senders without any word between the nodes: the first few of all nodes that live, each with the
-// same part.
-class FixedParts : public LimitPolicy
+// Senders chosen without communication: the first few of all live nodes, each with the same share.
+class FixedShares : public LimitPolicy
 {
 public:
-    // `isEven`: all nodes send; else as many as the limit allows for.
-    FixedParts(const Clock &clock, const std::string &name, bool isEven)
-        : m_clock(clock), m_gate(clock, stableHash(name)), m_name(name), m_isEven(isEven)
+    // `areAllSending`: all nodes send; otherwise as many as the limit allows.
+    FixedShares(const Clock &clock, const std::string &name, bool areAllSending)
+        : m_clock(clock), m_gate(clock, stableHash(name)), m_name(name),
+          m_areAllSending(areAllSending)
     {
-        m_gate.beliefs().know(LimitFleet::kUpstream);
+        m_gate.upstreamLimits().addUpstream(LimitFleet::kUpstream);
     }
 
     bool maySend() override
     {
-        const auto limit = m_gate.beliefs().perSecond(LimitFleet::kUpstream);
+        const auto limit = m_gate.upstreamLimits().perSecond(LimitFleet::kUpstream);
         if (!limit)
             return true;
         const LimitShare share = shareOfLimit(*limit, true);
         const std::size_t nodes = m_others.size() + 1;
-        const std::size_t senders = m_isEven ? nodes : std::min(nodes, share.senders);
+        const std::size_t senders = m_areAllSending ? nodes : std::min(nodes, share.senders);
         const std::size_t rank
             = rendezvousRank(stableHash(LimitFleet::kUpstream), m_name, m_others);
         if (rank >= senders)
@@ -44,7 +45,7 @@
         const auto pause = std::chrono::duration<double>(static_cast<double>(senders) / *limit);
         return !m_last || m_clock.now() - *m_last >= pause;
     }
-    void sent() override { m_last = m_clock.now(); }
+    void recordSend() override { m_last = m_clock.now(); }
     void setNodes(const std::vector<std::string> &names) override
     {
         m_others = names;
@@ -56,21 +57,21 @@
     const Clock &m_clock;
     LimitGate m_gate;
     const std::string m_name;
-    const bool m_isEven;
+    const bool m_areAllSending;
     std::vector<std::string> m_others;
     std::optional<TimePoint> m_last;
 };
 
-struct Way
+struct Policy
 {
     const char *name;
     LimitFleet::MakePolicy make;
 };
 
-struct Figures
+struct Result
 {
-    double busiest = 0; // of what is borne
-    double used = 0;
+    double maxInFourSeconds = 0; // as a fraction of the capacity
+    double utilization = 0;
 };
 
 enum class Pattern { Even, OneNode, QuarterOfNodes, TwoFrozen, Cut };
@@ -88,14 +89,14 @@
     case Pattern::QuarterOfNodes:
         return "callers at a quarter of the nodes";
     case Pattern::TwoFrozen:
-        return "two nodes stand still, unnoticed";
+        return "two nodes paused, undetected";
     case Pattern::Cut:
-        return "half cut off from half";
+        return "partition into halves";
     }
     return "";
 }
 
-void strike(LimitFleet &fleet, Pattern pattern)
+void applyPattern(LimitFleet &fleet, Pattern pattern)
 {
     const std::size_t nodes = fleet.nodes.size();
     for (std::size_t n = 0; n < nodes; ++n) {
@@ -110,45 +111,47 @@
             it.side = n < nodes / 2 ? 1 : 0;
     }
     if (pattern != Pattern::TwoFrozen)
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
 }
 
-Figures measure(const Way &way, std::size_t nodes, double perSecond, Pattern pattern)
+Result measure(const Policy &policy, std::size_t nodes, double perSecond, Pattern pattern)
 {
-    LimitFleet fleet(nodes, perSecond, way.make);
-    fleet.tellLiveNodes();
+    LimitFleet fleet(nodes, perSecond, policy.make);
+    fleet.updateLiveNodes();
     const TimePoint named = fleet.clock.now();
-    fleet.play(6s);
-    strike(fleet, pattern);
-    fleet.play(6s);
+    fleet.run(6s);
+    applyPattern(fleet, pattern);
+    fleet.run(6s);
     const TimePoint settled = fleet.clock.now();
-    fleet.play(perSecond < 1.0 ? 60s : 20s);
-    const double borne = 1.5 * perSecond * 4.0 + 5.0;
-    return {static_cast<double>(fleet.busiest(named + 3s)) / borne, fleet.used(settled)};
+    fleet.run(perSecond < 1.0 ? 60s : 20s);
+    const double capacity = 1.5 * perSecond * 4.0 + 5.0;
+    return {static_cast<double>(fleet.maxInFourSeconds(named + 3s)) / capacity,
+            fleet.utilization(settled)};
 }
 
 } // namespace
 
 int main()
 {
-    const auto fixed = [](bool isEven) {
-        return [isEven](const Clock &clock, const std::string &name) {
-            return std::make_unique<FixedParts>(clock, name, isEven);
+    const auto fixed = [](bool areAllSending) {
+        return [areAllSending](const Clock &clock, const std::string &name) {
+            return std::make_unique<FixedShares>(clock, name, areAllSending);
         };
     };
-    const Way kWays[]{{"even", fixed(true)},
-                      {"few of all", fixed(false)},
-                      {"few with requests", LimitFleet::gatePolicy}};
+    const Policy kPolicies[]{{"all nodes", fixed(true)},
+                             {"few of all nodes", fixed(false)},
+                             {"few with requests", LimitFleet::gatePolicy}};
     std::cout << std::fixed << std::setprecision(2) << "| pattern | nodes | limit a second | "
-              << kWays[0].name << " | " << kWays[1].name << " | " << kWays[2].name
+              << kPolicies[0].name << " | " << kPolicies[1].name << " | " << kPolicies[2].name
               << " |\n|---|---|---|---|---|---|\n";
     for (const Pattern pattern : kPatterns) {
         for (const std::size_t nodes : {8U, 79U, 300U}) {
             for (const double perSecond : {0.3, 3.2, 30.0}) {
                 std::cout << "| " << nameOf(pattern) << " | " << nodes << " | " << perSecond;
-                for (const Way &it : kWays) {
-                    const Figures figures = measure(it, nodes, perSecond, pattern);
-                    std::cout << " | " << figures.busiest << " / " << figures.used << std::flush;
+                for (const Policy &it : kPolicies) {
+                    const Result result = measure(it, nodes, perSecond, pattern);
+                    std::cout << " | " << result.maxInFourSeconds << " / " << result.utilization
+                              << std::flush;
                 }
                 std::cout << " |\n";
             }
--- a/include/fordwood/key_registry.hpp
+++ b/include/fordwood/key_registry.hpp
@@ -15,7 +15,7 @@
 
 namespace fordwood {
 
-// Names the connection of an entry node that runs keyed requests.
+// Identifies the connection of an entry node that runs calls with idempotency keys.
 using ClaimantId = std::uint64_t;
 
 // An idempotency key of a team, with the issue time that it carries.
@@ -26,87 +26,90 @@
     WallTime issued{};
 };
 
-// Reads the issue time of a version 7 UUID; empty when the text is none.
+// Parses the issue time of a version 7 UUID; empty for any other text.
 std::optional<WallTime> issueTimeOf(const std::string &uuid);
 
-// An answer that is kept for callers who send the same key again.
-struct KeptAnswer
+// A response that is stored for callers that repeat the key.
+struct StoredAnswer
 {
     int status = 0;
     std::string contentType;
     std::string body;
 };
 
-// What becomes of a claim.
+// The decision on a claim.
 struct ClaimAnswer
 {
     enum class Decision : std::uint8_t {
         Run, // the claimant may run the request, once
-        Answer, // it has run, and this is its answer
+        Answer, // it has run; `answer` is the stored response
         Refuse, // with the reason and the state
         Redirect, // another node holds the tenure
     };
     Decision decision = Decision::Refuse;
     Reason reason = Reason::Internal;
     RunState state = RunState::MayHaveRun;
-    std::string holder; // of a redirection
-    KeptAnswer answer;
+    std::string holder; // for Redirect
+    StoredAnswer answer;
 };
 
-// A key and what is known of it, handed to another process.
+// A key and its outcome, transferred to another process.
 struct HandedKey
 {
     IdempotencyKey key;
     RunState state = RunState::MayHaveRun; // MayHaveRun or Ran
-    std::optional<KeptAnswer> answer;
+    std::optional<StoredAnswer> answer;
 };
 
-// All that a process knows of its keys, for its successors.
+// All keys of a process, for its successors.
 struct HandedKeys
 {
     std::vector<HandedKey> keys;
-    WallTime floor{}; // keys issued before this may have been forgotten
+    WallTime floor{}; // keys issued earlier may have been dropped
 };
 
-// The keys that one process has let run, in the tenures that it holds. Decides for each keyed
-// request whether it may run: never twice, and "not run" is only said where that is certain. No I/O
-// and no threads.
+// The idempotency keys that one process has granted, in the tenures that it holds. Decides for each
+// claim whether the call may run: never twice. "Not run" is reported only where it is certain. No
+// I/O and no threads.
 class KeyRegistry
 {
 public:
     struct Limits
     {
-        std::size_t mostKeys = 100'000; // some 42 MB
-        std::size_t mostAnswerBytes = 16u << 20;
+        std::size_t maxKeys = 100'000; // about 42 MB
+        std::size_t maxAnswerBytes = 16u << 20;
         Duration window = std::chrono::minutes(10);
     };
 
     KeyRegistry(KeyHolder self, const Clock &clock, Limits limits);
 
-    // Learns the chain of a partition, as it stands in the platform. Older knowledge is kept where
-    // the new chain ends earlier.
+    // Updates the tenure chain of a partition from the platform. A chain that ends before the known
+    // one is ignored.
     void setChain(std::uint32_t partition, const TenureChain &chain);
 
-    // Whether a process is still there to be asked; set by the node's view of the members.
-    void setAlive(std::map<std::string, std::uint64_t> bootByNode);
+    // Replaces the boot numbers of the live members, from the node's view; used to check whether
+    // another holder can still be asked.
+    void setLiveMembers(std::map<std::string, std::uint64_t> bootByNode);
 
-    // A request with a key wants to run.
+    // A call with a key asks to run.
     ClaimAnswer claim(ClaimantId claimant, const IdempotencyKey &key);
 
-    // A claimed request has ended. NotRun frees the key, so that it may be sent again.
-    void finish(ClaimantId claimant, const IdempotencyKey &key, RunState state, KeptAnswer answer);
+    // A granted call has ended. NotRun frees the key, so that it may be claimed again.
+    void finish(ClaimantId claimant, const IdempotencyKey &key, RunState state,
+                StoredAnswer answer);
 
-    // A claimant is gone: what it was running may have run.
+    // The connection of a claimant is lost: its running calls may have run.
     void dropClaimant(ClaimantId claimant);
 
-    // Lets no further key run here, for good, and gives what is known of all keys. What still runs
-    // is handed on as one that may have run.
+    // Stops granting keys permanently, and returns all keys. Calls that still run are exported as
+    // calls that may have run.
     HandedKeys close();
 
-    // Takes what another process knew. Must come before the tenures that go with it.
-    void takeOver(const HandedKeys &handed);
+    // Imports the keys of another process. Must be called before the tenures that go with them take
+    // effect.
+    void importKeys(const HandedKeys &exported);
 
-    // Forgets keys older than the window.
+    // Drops keys older than the window.
     void tick();
 
     std::size_t keys() const { return m_entries.size(); }
@@ -119,12 +122,12 @@
         State state = State::Running;
         ClaimantId claimant = 0;
         WallTime issued{};
-        std::optional<KeptAnswer> answer;
+        std::optional<StoredAnswer> answer;
     };
     using Id = std::pair<std::string, std::string>; // team and key
 
     ClaimAnswer refuse(Reason reason) const;
-    ClaimAnswer repeated(const Entry &entry) const;
+    ClaimAnswer answerRepeat(const Entry &entry) const;
     void remember(const Id &id, Entry entry);
     void forgetOldest();
     void forget(const Id &id);
@@ -136,15 +139,15 @@
     std::map<std::string, std::uint64_t> m_bootByNode;
     std::map<Id, Entry> m_entries;
     std::multimap<WallTime, Id> m_byTime;
-    WallTime m_floor{}; // keys issued before this may have been forgotten
+    WallTime m_floor{}; // keys issued earlier may have been dropped
     std::size_t m_answerBytes = 0;
     bool m_closed = false;
 };
 
-// Divides what a planned stop hands over among the successors, by index; -1 takes what nobody can.
-// Every successor of a partition gets the floor, also where no key goes to it.
+// Groups the keys of a planned stop by successor index; -1 is the group without a successor. Every
+// successor of a partition gets the floor, even if it gets no key.
 std::map<int, HandedKeys>
-groupBySuccessor(const HandedKeys &handed,
+groupBySuccessor(const HandedKeys &exported,
                  const std::function<int(std::uint32_t partition)> &successorOf);
 
 } // namespace fordwood
--- a/include/fordwood/send_gate.hpp
+++ b/include/fordwood/send_gate.hpp
@@ -12,49 +12,50 @@
 
 namespace fordwood {
 
-// Whether this node may send a request to an upstream that takes only so many from all nodes
-// together, because it is cold, because it names a limit, or both (then the smaller rate holds), or
-// that wants none for now. One question for all that sends: first sends, repeats, and streams that
-// go on elsewhere.
+// Decides whether this node may send a request to an upstream. An upstream may accept a limited
+// rate from all nodes together, because it is cold, because it advertises a limit, or both (then
+// the smaller rate applies), or may have asked for a backoff. First attempts, retries and resumed
+// streams all use this gate.
 class SendGate
 {
 public:
-    // `self`: this node's name; `life`: a number for this life of it, another one than any other's.
+    // `self`: the name of this node; `runId`: a number unique to this run of this node.
     SendGate(const Clock &clock, ColdGate::Limits limits, const std::string &self,
-             std::uint64_t life)
-        : m_cold(clock, limits, self), m_limits(clock, life), m_backoffs(clock)
+             std::uint64_t runId)
+        : m_cold(clock, limits, self), m_limits(clock, runId), m_backoffs(clock)
     { }
 
-    // Whether a request may go to the upstream now. `coldPerSecond`: what it is stated to take
-    // while it is cold; zero: any number.
+    // Whether a request may be sent to the upstream now. `coldPerSecond`: the configured rate of a
+    // cold upstream; zero: unlimited.
     bool maySend(const std::string &instanceId, double coldPerSecond)
     {
         if (m_backoffs.isBackingOff(instanceId))
             return false;
-        // Both are asked, as asking also says that there is a request.
+        // Both gates are called, because LimitGate::maySend() also records that this node has a
+        // request.
         const bool isWithinLimit = m_limits.maySend(instanceId);
         return m_cold.maySend(instanceId, coldPerSecond) && isWithinLimit;
     }
 
-    // A request goes to the upstream.
-    void sent(const std::string &instanceId)
+    // Records that a request is sent to the upstream.
+    void recordSend(const std::string &instanceId)
     {
-        m_cold.sent(instanceId);
-        m_limits.sent(instanceId);
+        m_cold.recordSend(instanceId);
+        m_limits.recordSend(instanceId);
     }
 
-    // Whether the upstream takes only so many requests, for either reason.
-    bool isBounded(const std::string &instanceId) const
+    // Whether the upstream's rate is limited, for either reason.
+    bool isRateLimited(const std::string &instanceId) const
     {
         return m_cold.isCold(instanceId) || isLimited(instanceId);
     }
 
     bool isLimited(const std::string &instanceId) const
     {
-        return m_limits.beliefs().perSecond(instanceId).has_value();
+        return m_limits.upstreamLimits().perSecond(instanceId).has_value();
     }
 
-    // The upstream's life is over.
+    // Drops all state of an upstream instance that has ended.
     void forget(const std::string &instanceId)
     {
         m_cold.forget(instanceId);
@@ -62,9 +63,9 @@
         m_backoffs.forget(instanceId);
     }
 
-    ColdGate &cold() { return m_cold; }
-    LimitGate &limits() { return m_limits; }
-    const LimitGate &limits() const { return m_limits; }
+    ColdGate &coldGate() { return m_cold; }
+    LimitGate &limitGate() { return m_limits; }
+    const LimitGate &limitGate() const { return m_limits; }
     UpstreamBackoffs &backoffs() { return m_backoffs; }
 
 private:
--- a/src/core/fair_queue.cpp
+++ b/src/core/fair_queue.cpp
@@ -28,7 +28,7 @@
     Team &team = m_teams[name];
     const Slot slot = m_entries.at(team.waiting.begin()->id);
     charge(slot.entry.team, slot.entry.share, slot.entry.cost);
-    forget(slot);
+    removeSlot(slot);
     return slot.entry;
 }
 
@@ -45,7 +45,7 @@
     const auto it = m_entries.find(id);
     if (it == m_entries.end())
         return false;
-    forget(Slot(it->second));
+    removeSlot(Slot(it->second));
     return true;
 }
 
@@ -58,7 +58,8 @@
     entry.tag = std::max(entry.tag, m_virtualTime) + cost / std::max(share, 1e-9);
     if (active)
         m_active.emplace(entry.tag, team);
-    // Nobody waits, so nobody was kept from its share: all start again from the same point.
+    // Without waiting entries no team is behind its share, so all teams restart from the same
+    // virtual time.
     if (m_active.empty())
         m_virtualTime = std::max(m_virtualTime, entry.tag);
 }
@@ -69,7 +70,7 @@
     return it == m_teams.end() ? 0 : it->second.waiting.size();
 }
 
-void FairQueue::forget(const Slot &slot)
+void FairQueue::removeSlot(const Slot &slot)
 {
     Team &team = m_teams[slot.entry.team];
     team.waiting.erase(slot.order);
--- a/src/core/limit_share.cpp
+++ b/src/core/limit_share.cpp
@@ -7,40 +7,41 @@
 
 namespace {
 
-// What an overloaded upstream bears beyond its limit, as the platform states it: in some four
-// seconds, so many times the limit, and so many requests more.
-constexpr double kBorneSeconds = 4.0;
+// The capacity of an overloaded upstream as the platform specifies it: in any four seconds,
+// kOvershoot times its limit plus kSlack requests.
+constexpr double kCapacityWindowSeconds = 4.0;
 constexpr double kOvershoot = 1.5;
 constexpr double kSlack = 5.0;
 
-// Requests that are sent within this may arrive within four seconds: connections come up late, and
-// lost packets are sent again.
-constexpr double kCountedSeconds = kBorneSeconds + 0.4;
+// Requests sent within this time may arrive within four seconds, because connections can be
+// established late and lost packets are retransmitted.
+constexpr double kCountedSeconds = kCapacityWindowSeconds + 0.4;
 
-// For a sender that others have just ceased to count.
+// Reserve for a sender that the others have just stopped counting.
 constexpr double kSpareSender = 1.0;
 
-// The part of the limit for which a side of a cut makes room first; the rest goes to more senders.
-constexpr double kPartOfEachSide = 0.6;
-constexpr double kLeastSenders = 2.0; // one may be gone
+// The fraction of the limit that one side of a partition reserves first; the rest allows more
+// senders.
+constexpr double kRateShareOfEachSide = 0.6;
+constexpr double kMinSenders = 2.0; // one may have died
 
-// So many are told of in messages; with more, each has a part that it hardly uses.
-constexpr double kMostSenders = 64.0;
+// Messages list at most this many senders; with more, each share would be too small to be used.
+constexpr double kMaxSenders = 64.0;
 
 } // namespace
 
-LimitShare shareOfLimit(double perSecond, bool isWhole)
+LimitShare shareOfLimit(double perSecond, bool isFleetComplete)
 {
-    const double borne = kOvershoot * perSecond * kBorneSeconds + kSlack;
-    double senders = borne - kCountedSeconds * perSecond - kSpareSender;
+    const double capacity = kOvershoot * perSecond * kCapacityWindowSeconds + kSlack;
+    double senders = capacity - kCountedSeconds * perSecond - kSpareSender;
     double rate = perSecond;
-    if (!isWhole) {
-        const double half = borne / 2.0;
-        senders = std::max(kLeastSenders, half - kCountedSeconds * kPartOfEachSide * perSecond);
-        senders = static_cast<double>(static_cast<std::size_t>(std::min(senders, kMostSenders)));
+    if (!isFleetComplete) {
+        const double half = capacity / 2.0;
+        senders = std::max(kMinSenders, half - kCountedSeconds * kRateShareOfEachSide * perSecond);
+        senders = static_cast<double>(static_cast<std::size_t>(std::min(senders, kMaxSenders)));
         rate = std::min(perSecond, (half - senders) / kCountedSeconds);
     }
-    return {static_cast<std::size_t>(std::clamp(senders, kLeastSenders, kMostSenders)), rate};
+    return {static_cast<std::size_t>(std::clamp(senders, kMinSenders, kMaxSenders)), rate};
 }
 
 } // namespace fordwood
--- a/tests/support/limit_fleet.cpp
+++ b/tests/support/limit_fleet.cpp
@@ -14,7 +14,7 @@
 GatePolicy::GatePolicy(const Clock &clock, const std::string &name, std::string upstream)
     : m_gate(clock, stableHash(name)), m_upstream(std::move(upstream))
 {
-    m_gate.beliefs().know(m_upstream);
+    m_gate.upstreamLimits().addUpstream(m_upstream);
 }
 
 LimitFleet::LimitFleet(std::size_t size, double perSecond, MakePolicy make)
@@ -38,7 +38,7 @@
     nodes.push_back(std::move(node));
 }
 
-void LimitFleet::tellLiveNodes()
+void LimitFleet::updateLiveNodes()
 {
     std::map<int, std::vector<std::string>> live; // by side
     for (const Node &it : nodes) {
@@ -51,27 +51,27 @@
     }
 }
 
-void LimitFleet::play(Duration time)
+void LimitFleet::run(Duration time)
 {
     constexpr Duration kStep = 10ms;
     for (Duration passed{}; passed < time; passed += kStep) {
         clock.advance(kStep);
         deliver();
-        if (clock.now() >= m_nextTold)
-            tell();
-        // Which node's callers are quickest differs from moment to moment.
+        if (clock.now() >= m_nextExchange)
+            exchangeUpdates();
+        // Nodes send in random order.
         const std::size_t first = m_random() % nodes.size();
         for (std::size_t n = 0; n < nodes.size(); ++n)
             send(nodes[(first + n) % nodes.size()]);
     }
 }
 
-std::size_t LimitFleet::busiest(TimePoint from) const
+std::size_t LimitFleet::maxInFourSeconds(TimePoint from) const
 {
     return busiestWindow(arrivals, 4s, from);
 }
 
-double LimitFleet::used(TimePoint from) const
+double LimitFleet::utilization(TimePoint from) const
 {
     const auto n = std::count_if(arrivals.begin(), arrivals.end(),
                                  [from](TimePoint it) { return it >= from; });
@@ -83,22 +83,22 @@
 {
     if (node.isFrozen || !node.hasCallers || !node.policy->maySend())
         return;
-    // Nearly at once, or late for a lost packet or a connection that comes up late.
+    // Short latency, or longer after a lost packet or a slow connection setup.
     const bool isLate = m_random() % 20 == 0;
     const TimePoint arrival = clock.now() + 1ms * (isLate ? 300 : m_random() % 20);
-    // Without a limit, each node sends some request a second there.
-    if (!node.gate().beliefs().perSecond(kUpstream) && m_random() % 100 != 0)
+    // Without a limit, each node sends about one request per second.
+    if (!node.gate().upstreamLimits().perSecond(kUpstream) && m_random() % 100 != 0)
         return;
-    node.policy->sent();
+    node.policy->recordSend();
     arrivals.push_back(arrival);
     m_answers.push_back({arrival + 50ms * (1 + m_random() % 6), clock.now(), node.name, limit});
 }
 
-// As relays do it: two on each side hear of all nodes there, and tell them, some hundred
-// milliseconds late.
-void LimitFleet::tell()
+// Models relays: two nodes on each side receive updates from all nodes there and forward them, each
+// with a latency of 100 to 300 milliseconds.
+void LimitFleet::exchangeUpdates()
 {
-    m_nextTold = clock.now() + 200ms;
+    m_nextExchange = clock.now() + 200ms;
     std::map<int, std::vector<std::size_t>> relays; // by side
     for (std::size_t n = 0; n < nodes.size(); ++n) {
         if (!nodes[n].isFrozen && relays[nodes[n].side].size() < 2)
@@ -109,21 +109,21 @@
             if (n == relay)
                 continue;
             if (!nodes[n].isFrozen)
-                tell(relay, nodes[n].gate().ownWords());
-            tell(n, nodes[relay].gate().allWords());
+                exchangeUpdates(relay, nodes[n].gate().ownUpdates());
+            exchangeUpdates(n, nodes[relay].gate().allUpdates());
         }
     }
 }
 
-void LimitFleet::tell(std::size_t to, std::vector<LimitWord> words)
+void LimitFleet::exchangeUpdates(std::size_t to, std::vector<LimitGossip> updates)
 {
     const bool isLost = m_random() % 30 == 0;
-    const Duration way = 100ms + 10ms * (m_random() % 20);
+    const Duration latency = 100ms + 10ms * (m_random() % 20);
     if (!isLost)
-        m_messages.push_back({clock.now() + way, to, std::move(words)});
+        m_messages.push_back({clock.now() + latency, to, std::move(updates)});
 }
 
-// What reaches a node that stands still lies there until it goes on.
+// Messages to a paused node are delivered when it resumes.
 void LimitFleet::deliver()
 {
     std::erase_if(m_messages, [this](const Message &it) {
@@ -131,7 +131,7 @@
             return true;
         if (clock.now() < it.when || nodes[it.to].isFrozen)
             return false;
-        nodes[it.to].gate().heard(it.words);
+        nodes[it.to].gate().applyUpdates(it.updates);
         return true;
     });
     std::erase_if(m_answers, [this](const Answer &it) {
@@ -141,7 +141,7 @@
             return true;
         if (clock.now() < it.when || node->isFrozen)
             return false;
-        node->gate().beliefs().answered(kUpstream, it.named, it.sent);
+        node->gate().upstreamLimits().onAnswer(kUpstream, it.named, it.sent);
         return true;
     });
 }
--- a/tests/unit/cold_gate_test.cpp
+++ b/tests/unit/cold_gate_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The load pattern: upstreams come back cold and empty, and every node would send to them at once.
+// Upstreams restart cold and idle, so every node would send to them at once.
 #include "fordwood/cold_gate.hpp"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr double kRate = 14.0;
-constexpr std::size_t kBorne = 26; // in a second: 1.5 x 14 + 5
+constexpr std::size_t kCapacity = 26; // in any second: 1.5 x 14 + 5
 
 ColdGate::Limits limits()
 {
@@ -26,7 +26,7 @@
     return limits;
 }
 
-// Nodes that all want to send to one cold upstream all the time, and what arrives there.
+// Nodes that always have requests for one cold upstream, and the arrivals there.
 class Fleet
 {
 public:
@@ -40,7 +40,7 @@
     {
         m_names.push_back(name);
         m_gates[name] = std::make_unique<ColdGate>(clock, limits(), name);
-        m_gates[name]->noteCold("u", 1h);
+        m_gates[name]->setCold("u", 1h);
     }
 
     void stopFirst()
@@ -51,8 +51,8 @@
 
     const std::vector<std::string> &names() const { return m_names; }
 
-    // Each of `nodes` hears that these are the ones that live.
-    void tell(const std::vector<std::string> &nodes)
+    // Passes the given live nodes to each of them.
+    void setLiveNodes(const std::vector<std::string> &nodes)
     {
         for (const std::string &it : nodes) {
             std::vector<std::string> others = nodes;
@@ -61,22 +61,22 @@
         }
     }
 
-    void play(Duration time)
+    void run(Duration time)
     {
         constexpr Duration kStep = 10ms;
         for (Duration passed{}; passed < time; passed += kStep) {
             clock.advance(kStep);
             for (auto &[name, gate] : m_gates) {
                 while (gate->maySend("u", kRate)) {
-                    gate->sent("u");
-                    // Nearly at once, or late for a lost packet.
+                    gate->recordSend("u");
+                    // Short latency, or longer after a lost packet.
                     m_arrivals.push_back(clock.now() + 10ms * (m_random() % 10));
                 }
             }
         }
     }
 
-    // The most requests in any second.
+    // The peak of arrivals in any second.
     std::size_t busiestSecond()
     {
         std::sort(m_arrivals.begin(), m_arrivals.end());
@@ -101,115 +101,112 @@
 
 } // namespace
 
-TEST_CASE(
-    "cold upstreams: no second brings more than they bear, however many nodes want to send, and "
-    "they are put to use [cold]")
+TEST_CASE("cold upstreams: arrivals in any second stay within the capacity for any number of "
+          "sending nodes, and the capacity is used [cold]")
 {
     for (const std::size_t nodes : {1U, 3U, 79U, 300U}) {
         CAPTURE(nodes);
         Fleet fleet(nodes);
         fleet.clock.advance(2s);
-        fleet.tell(fleet.names());
-        fleet.play(10s);
-        CHECK(fleet.busiestSecond() <= kBorne);
-        CHECK(fleet.arrivals() >= 90); // of 140 at the stated rate
+        fleet.setLiveNodes(fleet.names());
+        fleet.run(10s);
+        CHECK(fleet.busiestSecond() <= kCapacity);
+        CHECK(fleet.arrivals() >= 90); // of 140 at the configured rate
     }
 }
 
-TEST_CASE("cold upstreams: two parts of the fleet that cannot hear each other stay below what they "
-          "bear [cold][partition]")
+TEST_CASE(
+    "cold upstreams: two sides of a partition together stay within the capacity [cold][partition]")
 {
     for (const std::size_t nodes : {8U, 79U, 300U}) {
         CAPTURE(nodes);
         Fleet fleet(nodes);
         fleet.clock.advance(2s);
-        fleet.tell(fleet.names());
-        fleet.play(3s);
+        fleet.setLiveNodes(fleet.names());
+        fleet.run(3s);
         const auto half = fleet.names().begin() + static_cast<std::ptrdiff_t>(nodes / 2);
         const std::vector<std::string> one(fleet.names().begin(), half);
         const std::vector<std::string> other(half, fleet.names().end());
-        fleet.tell(one);
-        fleet.tell(other);
-        fleet.play(5s);
-        fleet.tell(fleet.names());
-        fleet.play(3s);
-        CHECK(fleet.busiestSecond() <= kBorne);
+        fleet.setLiveNodes(one);
+        fleet.setLiveNodes(other);
+        fleet.run(5s);
+        fleet.setLiveNodes(fleet.names());
+        fleet.run(3s);
+        CHECK(fleet.busiestSecond() <= kCapacity);
     }
 }
 
-TEST_CASE(
-    "cold upstreams: nodes that are replaced one after the other, or all at once, send no more "
-    "[cold][restart]")
+TEST_CASE("cold upstreams: nodes that are replaced one by one, or all at once, do not exceed the "
+          "capacity [cold][restart]")
 {
     Fleet fleet(79);
     fleet.clock.advance(2s);
-    fleet.tell(fleet.names());
-    fleet.play(2s);
-    SUBCASE("one after the other")
+    fleet.setLiveNodes(fleet.names());
+    fleet.run(2s);
+    SUBCASE("one by one")
     {
         for (std::size_t n = 0; n < 40; ++n) {
             fleet.stopFirst();
             fleet.start("new-" + std::to_string(n));
-            fleet.tell(fleet.names());
-            fleet.play(200ms);
+            fleet.setLiveNodes(fleet.names());
+            fleet.run(200ms);
         }
     }
     SUBCASE("all at once, within a second")
     {
         while (!fleet.names().empty())
             fleet.stopFirst();
-        fleet.play(500ms);
+        fleet.run(500ms);
         for (std::size_t n = 0; n < 79; ++n) {
             fleet.start("new-" + std::to_string(n));
-            fleet.tell(fleet.names());
+            fleet.setLiveNodes(fleet.names());
         }
     }
     const std::size_t before = fleet.arrivals();
-    fleet.play(5s);
-    CHECK(fleet.busiestSecond() <= kBorne);
-    CHECK(fleet.arrivals() > before + 20); // it is used again
+    fleet.run(5s);
+    CHECK(fleet.busiestSecond() <= kCapacity);
+    CHECK(fleet.arrivals() > before + 20); // the upstream is used again
 }
 
-TEST_CASE(
-    "cold upstreams: one is cold for as long as its record says, and may turn cold again [cold]")
+TEST_CASE("cold upstreams: an upstream is cold for the time in its record, and may become cold "
+          "again [cold]")
 {
     ManualClock clock;
     ColdGate gate(clock, limits(), "a");
     clock.advance(2s);
     gate.setNodes({});
     clock.advance(2s);
-    gate.noteCold("u", 0s);
+    gate.setCold("u", 0s);
     CHECK_FALSE(gate.isCold("u"));
-    gate.noteCold("u", 3s);
+    gate.setCold("u", 3s);
     CHECK(gate.isCold("u"));
     for (std::size_t n = 0; n < 13; ++n) {
         REQUIRE(gate.maySend("u", kRate));
-        gate.sent("u");
+        gate.recordSend("u");
     }
     CHECK_FALSE(gate.maySend("u", kRate));
-    CHECK(gate.maySend("u", 0.0)); // of a service that states no rate
+    CHECK(gate.maySend("u", 0.0)); // a service without a configured rate
     CHECK(gate.maySend("warm", kRate));
     clock.advance(3s);
     CHECK_FALSE(gate.isCold("u"));
     CHECK(gate.maySend("u", kRate));
-    gate.noteCold("u", 1s);
+    gate.setCold("u", 1s);
     CHECK(gate.coldUpstreams() == 1);
     gate.forget("u");
     CHECK_FALSE(gate.isCold("u"));
 }
 
-TEST_CASE(
-    "cold upstreams: one that nothing listened at is taken as cold until a start is surely over, "
-    "whatever its old record says [cold]")
+TEST_CASE("cold upstreams: an upstream that refused a connection counts as cold for the time of a "
+          "cold start, regardless of its old record [cold]")
 {
     ManualClock clock;
     ColdGate gate(clock, limits(), "a");
     gate.suspectRestart("u", 3s);
-    gate.noteCold("u", 0s);
+    gate.setCold("u", 0s);
     CHECK(gate.isCold("u"));
-    CHECK_FALSE(gate.maySend("u", kRate)); // the other nodes are not known yet
+    CHECK_FALSE(gate.maySend("u", kRate)); // the list of nodes has not arrived yet
     clock.advance(3s);
     CHECK_FALSE(gate.isCold("u"));
-    gate.suspectRestart("v", 0s); // its service knows no cold start
+    gate.suspectRestart("v", 0s); // a service without a cold start
     CHECK_FALSE(gate.isCold("v"));
 }
--- a/tests/unit/limit_gate_test.cpp
+++ b/tests/unit/limit_gate_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The load pattern: an overloaded upstream names what it takes from all nodes together, while
-// callers keep the nodes busy, evenly or at a few of them. Each test looks at both sides: the most
-// that arrives in any four seconds, and the part of the named rate that is used while callers wait.
+// An overloaded upstream advertises one rate limit for all nodes together, while callers keep all
+// nodes or a few of them busy. Each test checks both the peak of arrivals in any four seconds and
+// the fraction of the limit that is used while callers wait.
 #include "fordwood/limit_gate.hpp"
 
 #include <doctest/doctest.h>
@@ -14,195 +14,196 @@
 
 namespace {
 
-// When the limit is counted, from its first naming.
-constexpr Duration kInForce = 3s;
+// The limit must be enforced from this time after its first announcement.
+constexpr Duration kEnforcedAfter = 3s;
 
-std::size_t borneInFourSeconds(double perSecond)
+std::size_t capacityInFourSeconds(double perSecond)
 {
     return static_cast<std::size_t>(1.5 * perSecond * 4.0 + 5.0);
 }
 
 } // namespace
 
-TEST_CASE(
-    "limit gate: no four seconds bring more than the upstream bears, and what it takes is put "
-    "to use, however many nodes there are [limit]")
+TEST_CASE("limit gate: arrivals in any four seconds stay within the upstream's capacity, and its "
+          "rate is used, for any number of nodes [limit]")
 {
     for (const std::size_t nodes : {1U, 3U, 8U, 79U, 300U}) {
         for (const double perSecond : {0.3, 1.0, 2.4, 3.2, 10.0, 30.0}) {
             CAPTURE(nodes);
             CAPTURE(perSecond);
             LimitFleet fleet(nodes, perSecond);
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             const TimePoint named = fleet.clock.now();
-            // Long enough for a few requests at the least rate.
-            fleet.play(perSecond < 1.0 ? 30s : 15s);
-            CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(perSecond));
-            CHECK(fleet.used(named + kInForce) >= 0.8);
+            // Long enough for a few requests at the lowest rate.
+            fleet.run(perSecond < 1.0 ? 30s : 15s);
+            CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter)
+                  <= capacityInFourSeconds(perSecond));
+            CHECK(fleet.utilization(named + kEnforcedAfter) >= 0.8);
         }
     }
 }
 
-TEST_CASE("limit gate: callers at a few of the nodes, or at one, are given what the others do not "
-          "need [limit]")
+TEST_CASE("limit gate: a few nodes with callers, or a single one, get the share of the nodes "
+          "without callers [limit]")
 {
     for (const std::size_t nodes : {8U, 79U}) {
         for (const std::size_t busy : {1U, 2U}) {
             CAPTURE(nodes);
             CAPTURE(busy);
             LimitFleet fleet(nodes, 3.2);
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             for (std::size_t n = busy; n < nodes; ++n)
                 fleet.nodes[n].hasCallers = false;
             const TimePoint named = fleet.clock.now();
-            fleet.play(20s);
-            CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(3.2));
-            CHECK(fleet.used(named + kInForce) >= 0.8);
-            // They move to other nodes.
+            fleet.run(20s);
+            CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
+            CHECK(fleet.utilization(named + kEnforcedAfter) >= 0.8);
+            // The callers move to other nodes.
             for (std::size_t n = 0; n < nodes; ++n)
                 fleet.nodes[n].hasCallers = n >= nodes - busy;
-            fleet.play(6s);
+            fleet.run(6s);
             const TimePoint moved = fleet.clock.now();
-            fleet.play(15s);
-            CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(3.2));
-            CHECK(fleet.used(moved) >= 0.8);
+            fleet.run(15s);
+            CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(3.2));
+            CHECK(fleet.utilization(moved) >= 0.8);
         }
     }
 }
 
-TEST_CASE(
-    "limit gate: a node that stands still sends nothing that it has saved up, and its part is "
-    "used by the others [limit][freeze]")
+TEST_CASE("limit gate: a paused node accumulates no credit, and the others take over its share "
+          "[limit][freeze]")
 {
     for (const double perSecond : {0.3, 2.4, 10.0}) {
         CAPTURE(perSecond);
         LimitFleet fleet(8, perSecond);
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
         const TimePoint named = fleet.clock.now();
-        fleet.play(8s);
+        fleet.run(8s);
         for (const std::size_t n : {0U, 3U})
             fleet.nodes[n].isFrozen = true;
-        fleet.play(1s);
-        fleet.tellLiveNodes();
-        fleet.play(4s);
-        const TimePoint told = fleet.clock.now();
-        fleet.play(10s);
-        CHECK(fleet.used(told) >= 0.55); // two in three at least: they may be cut off and alive
+        fleet.run(1s);
+        fleet.updateLiveNodes();
+        fleet.run(4s);
+        const TimePoint detected = fleet.clock.now();
+        fleet.run(10s);
+        // Two thirds at least: the paused nodes may be partitioned off and alive.
+        CHECK(fleet.utilization(detected) >= 0.55);
         for (const std::size_t n : {0U, 3U})
             fleet.nodes[n].isFrozen = false;
-        fleet.tellLiveNodes();
-        const TimePoint awake = fleet.clock.now();
-        fleet.play(perSecond < 1.0 ? 30s : 12s);
-        CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(perSecond));
-        CHECK(fleet.used(awake) >= 0.7);
+        fleet.updateLiveNodes();
+        const TimePoint resumed = fleet.clock.now();
+        fleet.run(perSecond < 1.0 ? 30s : 12s);
+        CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(perSecond));
+        CHECK(fleet.utilization(resumed) >= 0.7);
     }
 }
 
-TEST_CASE(
-    "limit gate: two sides of a cut together stay below what the upstream bears, and each uses "
-    "the most of its part [limit][partition]")
+TEST_CASE("limit gate: the two sides of a partition together stay within the capacity, and use "
+          "most of the limit [limit][partition]")
 {
     for (const std::size_t nodes : {8U, 79U}) {
         for (const double perSecond : {0.3, 2.4, 3.2, 10.0, 30.0}) {
             CAPTURE(nodes);
             CAPTURE(perSecond);
             LimitFleet fleet(nodes, perSecond);
-            fleet.tellLiveNodes();
+            fleet.updateLiveNodes();
             const TimePoint named = fleet.clock.now();
-            fleet.play(8s);
+            fleet.run(8s);
             for (std::size_t n = 0; n < nodes / 2; ++n)
                 fleet.nodes[n].side = 1;
-            fleet.play(1s);
-            fleet.tellLiveNodes();
+            fleet.run(1s);
+            fleet.updateLiveNodes();
             const TimePoint cut = fleet.clock.now();
-            fleet.play(15s);
-            CHECK(fleet.used(cut) >= 0.8);
+            fleet.run(15s);
+            CHECK(fleet.utilization(cut) >= 0.8);
             for (LimitFleet::Node &it : fleet.nodes)
                 it.side = 0;
-            fleet.tellLiveNodes();
-            fleet.play(8s);
-            CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(perSecond));
+            fleet.updateLiveNodes();
+            fleet.run(8s);
+            CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter)
+                  <= capacityInFourSeconds(perSecond));
         }
     }
 }
 
-TEST_CASE("limit gate: nodes that are replaced one after the other, or lost all at once, send no "
-          "more [limit][restart]")
+TEST_CASE("limit gate: nodes that are replaced one by one, or lost all at once, do not exceed the "
+          "capacity [limit][restart]")
 {
     constexpr double kRate = 2.4;
     LimitFleet fleet(8, kRate);
-    fleet.tellLiveNodes();
+    fleet.updateLiveNodes();
     const TimePoint named = fleet.clock.now();
-    fleet.play(5s);
-    SUBCASE("one after the other")
+    fleet.run(5s);
+    SUBCASE("one by one")
     {
         for (std::size_t n = 0; n < 16; ++n) {
             fleet.nodes.pop_front();
-            fleet.tellLiveNodes();
-            fleet.play(500ms);
+            fleet.updateLiveNodes();
+            fleet.run(500ms);
             fleet.start("new-" + std::to_string(n));
-            fleet.tellLiveNodes();
-            fleet.play(1s);
+            fleet.updateLiveNodes();
+            fleet.run(1s);
         }
-        CHECK(fleet.used(named + 5s) >= 0.4);
-        fleet.play(10s);
-        CHECK(fleet.busiest(named + kInForce) <= borneInFourSeconds(kRate));
+        CHECK(fleet.utilization(named + 5s) >= 0.4);
+        fleet.run(10s);
+        CHECK(fleet.maxInFourSeconds(named + kEnforcedAfter) <= capacityInFourSeconds(kRate));
     }
     SUBCASE("all but one at once")
     {
         while (fleet.nodes.size() > 1)
             fleet.nodes.pop_front();
-        fleet.tellLiveNodes();
+        fleet.updateLiveNodes();
         for (std::size_t n = 0; n < 7; ++n)
             fleet.start("new-" + std::to_string(n));
-        fleet.tellLiveNodes();
-        fleet.play(15s);
-        CHECK(fleet.busiest(named + 5s + kInForce) <= borneInFourSeconds(kRate));
-        CHECK(fleet.used(named + 5s + kInForce) >= 0.6);
+        fleet.updateLiveNodes();
+        fleet.run(15s);
+        CHECK(fleet.maxInFourSeconds(named + 5s + kEnforcedAfter) <= capacityInFourSeconds(kRate));
+        CHECK(fleet.utilization(named + 5s + kEnforcedAfter) >= 0.6);
     }
 }
 
-TEST_CASE("limit gate: a limit that is lowered holds within three seconds, and one that is lifted "
-          "is gone from nodes that send there nothing [limit]")
+TEST_CASE("limit gate: a lowered limit is enforced within three seconds, and a lifted one is "
+          "dropped by nodes that send nothing to the upstream [limit]")
 {
     for (const std::size_t nodes : {8U, 79U}) {
         CAPTURE(nodes);
         LimitFleet fleet(nodes, 10.0);
-        fleet.tellLiveNodes();
-        fleet.play(8s);
+        fleet.updateLiveNodes();
+        fleet.run(8s);
         fleet.limit = 1.0;
         const TimePoint lowered = fleet.clock.now();
-        fleet.play(12s);
-        CHECK(fleet.busiest(lowered + kInForce) <= borneInFourSeconds(1.0));
-        CHECK(fleet.used(lowered + kInForce) >= 0.8);
+        fleet.run(12s);
+        CHECK(fleet.maxInFourSeconds(lowered + kEnforcedAfter) <= capacityInFourSeconds(1.0));
+        CHECK(fleet.utilization(lowered + kEnforcedAfter) >= 0.8);
         for (std::size_t n = 2; n < nodes; ++n)
             fleet.nodes[n].hasCallers = false;
         fleet.limit.reset();
-        // Their parts grow once the others have ceased to send, and then an answer shows it.
-        fleet.play(12s);
+        // Their shares grow once the others have stopped sending, and then a response lifts the
+        // limit.
+        fleet.run(12s);
         for (LimitFleet::Node &it : fleet.nodes)
-            CHECK_FALSE(it.gate().beliefs().perSecond("u"));
+            CHECK_FALSE(it.gate().upstreamLimits().perSecond("u"));
     }
 }
 
-TEST_CASE("limit gate: the next life of an upstream has no limit of the one before [limit]")
+TEST_CASE("limit gate: a new instance of an upstream does not inherit the limit [limit]")
 {
     LimitFleet fleet(3, 1.0);
-    fleet.tellLiveNodes();
-    fleet.play(5s);
+    fleet.updateLiveNodes();
+    fleet.run(5s);
     LimitGate &gate = fleet.nodes.front().gate();
-    CHECK_FALSE((gate.maySend("u") && gate.maySend("u") && gate.ownPart("u") > 1.0));
-    REQUIRE(gate.ownPart("u"));
-    CHECK(gate.partOfAll("u") == 1.0);
+    CHECK_FALSE((gate.maySend("u") && gate.maySend("u") && gate.ownRate("u") > 1.0));
+    REQUIRE(gate.ownRate("u"));
+    CHECK(gate.totalRate("u") == 1.0);
     gate.forget("u");
-    gate.beliefs().know("u/2");
+    gate.upstreamLimits().addUpstream("u/2");
     CHECK(gate.maySend("u/2"));
-    CHECK_FALSE(gate.ownPart("u/2"));
-    CHECK(gate.ownWords().empty());
+    CHECK_FALSE(gate.ownRate("u/2"));
+    CHECK(gate.ownUpdates().empty());
 }
 
-TEST_CASE("limit share: what all may send stays below what the upstream bears, on either side of a "
-          "cut [limit]")
+TEST_CASE("limit share: the senders' total stays within the capacity, also with two sides of a "
+          "partition [limit]")
 {
     for (const double perSecond : {0.1, 0.3, 1.0, 2.4, 3.2, 7.0, 30.0, 400.0}) {
         CAPTURE(perSecond);
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Requests that end the upstreams that run them, and requests that are merely there.
+// Tells poison requests, which crash the upstreams that run them, from requests that happen to run
+// beside them.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -19,26 +20,26 @@
 
 namespace {
 
-const RequestFingerprint kFatal{1, 2};
+const RequestFingerprint kPoison{1, 2};
 const RequestFingerprint kOther{3, 4};
 
-RequestNews ended(std::uint64_t life, const RequestFingerprint &request = kFatal)
+QuarantineUpdate failure(std::uint64_t instance, const RequestFingerprint &request = kPoison)
 {
-    return {request, life};
+    return {request, instance};
 }
 
-// Nodes that tell each other everything at once.
+// Nodes that exchange all reports at once.
 struct Nodes
 {
     Nodes() : gates{QuarantineGate(clock), QuarantineGate(clock), QuarantineGate(clock)} { }
 
-    void tellEachOther()
+    void exchangeUpdates()
     {
         for (QuarantineGate &from : gates) {
-            const auto news = from.takeNews();
+            const auto updates = from.takeUpdates();
             for (QuarantineGate &to : gates) {
                 if (&to != &from)
-                    to.heard(news);
+                    to.applyUpdates(updates);
             }
         }
     }
@@ -49,150 +50,152 @@
 
 } // namespace
 
-TEST_CASE("quarantine: three ends hold a request, whoever saw them and in whatever order")
+TEST_CASE("quarantine: three failures hold a request, in any order and from any reporting node")
 {
     ManualClock clock;
     Quarantine one(clock);
     Quarantine other(clock);
-    for (const std::uint64_t life : {7U, 8U, 7U, 9U})
-        one.take(ended(life));
-    for (const std::uint64_t life : {9U, 7U, 8U, 7U})
-        other.take(ended(life));
-    CHECK(one.isHeld(kFatal));
-    CHECK(other.isHeld(kFatal));
+    for (const std::uint64_t instance : {7U, 8U, 7U, 9U})
+        one.apply(failure(instance));
+    for (const std::uint64_t instance : {9U, 7U, 8U, 7U})
+        other.apply(failure(instance));
+    CHECK(one.isHeld(kPoison));
+    CHECK(other.isHeld(kPoison));
     CHECK_FALSE(one.isHeld(kOther));
     CHECK(one.heldRequests() == 1);
 }
 
-TEST_CASE("quarantine: one upstream that ends under many copies of a request counts once")
+TEST_CASE("quarantine: an upstream that ends while running many copies of a request counts once")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    CHECK(quarantine.take(ended(7)));
+    CHECK(quarantine.apply(failure(7)));
     for (int n = 0; n < 10; ++n)
-        CHECK_FALSE(quarantine.take(ended(7)));
-    CHECK(quarantine.isSuspect(kFatal));
-    CHECK_FALSE(quarantine.isHeld(kFatal));
+        CHECK_FALSE(quarantine.apply(failure(7)));
+    CHECK(quarantine.isSuspect(kPoison));
+    CHECK_FALSE(quarantine.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: a request that an upstream answers is not to blame, before and after")
+TEST_CASE("quarantine: a successful response clears a request of earlier and later failures")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.take(ended(life));
-    CHECK(quarantine.isHeld(kFatal));
-    CHECK(quarantine.take({kFatal, {}}));
-    CHECK_FALSE(quarantine.isHeld(kFatal));
-    for (std::uint64_t life = 4; life <= 9; ++life)
-        CHECK_FALSE(quarantine.take(ended(life)));
-    CHECK_FALSE(quarantine.isHeld(kFatal));
+    for (std::uint64_t instance = 1; instance <= 3; ++instance)
+        quarantine.apply(failure(instance));
+    CHECK(quarantine.isHeld(kPoison));
+    CHECK(quarantine.apply({kPoison, {}}));
+    CHECK_FALSE(quarantine.isHeld(kPoison));
+    for (std::uint64_t instance = 4; instance <= 9; ++instance)
+        CHECK_FALSE(quarantine.apply(failure(instance)));
+    CHECK_FALSE(quarantine.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: after the hold a request may be tried, and one more end holds it again")
+TEST_CASE("quarantine: a request may be tried after the hold, and one more failure holds it again")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.take(ended(life));
-    CHECK(quarantine.heldFor(kFatal) == 10min);
+    for (std::uint64_t instance = 1; instance <= 3; ++instance)
+        quarantine.apply(failure(instance));
+    CHECK(quarantine.heldFor(kPoison) == 10min);
     clock.advance(10min);
-    CHECK_FALSE(quarantine.isHeld(kFatal));
-    quarantine.take(ended(4));
-    CHECK(quarantine.isHeld(kFatal));
+    CHECK_FALSE(quarantine.isHeld(kPoison));
+    quarantine.apply(failure(4));
+    CHECK(quarantine.isHeld(kPoison));
     clock.advance(1h);
     quarantine.tick();
     CHECK(quarantine.isEmpty());
 }
 
-TEST_CASE("quarantine: what is remembered is bounded, and a held request is not forgotten for it")
+TEST_CASE("quarantine: the number of entries is bounded, and a held request is not evicted")
 {
     ManualClock clock;
     Quarantine quarantine(clock);
-    for (std::uint64_t life = 1; life <= 3; ++life)
-        quarantine.take(ended(life));
+    for (std::uint64_t instance = 1; instance <= 3; ++instance)
+        quarantine.apply(failure(instance));
     for (std::uint64_t n = 0; n < 5'000; ++n) {
         clock.advance(1ms);
-        quarantine.take(ended(1, {n, n + 10}));
+        quarantine.apply(failure(1, {n, n + 10}));
     }
-    CHECK(quarantine.isHeld(kFatal));
+    CHECK(quarantine.isHeld(kPoison));
     CHECK_FALSE(quarantine.isSuspect({0, 10}));
     CHECK(quarantine.isSuspect({4'999, 5'009}));
 }
 
-TEST_CASE("quarantine: ends that three nodes saw, one each, hold the request at all of them")
+TEST_CASE("quarantine: failures seen by three nodes, one each, hold the request at all of them")
 {
     Nodes nodes;
     for (std::size_t n = 0; n < nodes.gates.size(); ++n)
-        nodes.gates[n].brokeOff(kFatal, "i-" + std::to_string(n));
-    nodes.tellEachOther();
+        nodes.gates[n].onDisconnect(kPoison, "i-" + std::to_string(n));
+    nodes.exchangeUpdates();
     for (const QuarantineGate &it : nodes.gates)
-        CHECK(it.isHeld(kFatal));
+        CHECK(it.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: a page that was answered a moment ago is not held when upstreams end one "
-          "after the other, at no node")
+TEST_CASE("quarantine: no node holds a recently answered page when several upstreams end in a row")
 {
     Nodes nodes;
-    nodes.gates[0].answered(kOther);
+    nodes.gates[0].onAnswer(kOther);
     for (int n = 0; n < 6; ++n) {
         nodes.clock.advance(500ms);
         for (QuarantineGate &it : nodes.gates)
-            it.brokeOff(kOther, "i-" + std::to_string(n));
-        nodes.tellEachOther();
-        nodes.tellEachOther(); // the answer goes back to those that told of an end
+            it.onDisconnect(kOther, "i-" + std::to_string(n));
+        nodes.exchangeUpdates();
+        // The successful response reaches the nodes that reported a failure.
+        nodes.exchangeUpdates();
     }
     for (const QuarantineGate &it : nodes.gates)
         CHECK_FALSE(it.isHeld(kOther));
 }
 
-TEST_CASE("quarantine: an answer of long ago does not speak for a request")
+TEST_CASE("quarantine: an old response does not clear a request")
 {
     ManualClock clock;
     QuarantineGate gate(clock);
-    gate.answered(kFatal);
+    gate.onAnswer(kPoison);
     clock.advance(1min);
     for (int n = 0; n < 3; ++n)
-        gate.brokeOff(kFatal, "i-" + std::to_string(n));
-    CHECK(gate.isHeld(kFatal));
+        gate.onDisconnect(kPoison, "i-" + std::to_string(n));
+    CHECK(gate.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: an upstream that loses power under a request counts once it is gone")
+TEST_CASE("quarantine: an upstream that loses power while running a request counts once it is "
+          "known to have ended")
 {
     ManualClock clock;
     QuarantineGate gate(clock);
-    // Its connections stay silent. The first caller leaves before the record runs out, the last
-    // one after it.
+    // The connections of a failed upstream stay open without data. The first two callers leave
+    // before its record expires, the last one after that.
     for (const char *it : {"i-1", "i-2"}) {
-        gate.leftUnanswered(kFatal, it);
+        gate.onUnanswered(kPoison, it);
         clock.advance(4s);
-        gate.upstreamEnded(it);
+        gate.onUpstreamEnded(it);
     }
-    gate.upstreamEnded("i-3");
+    gate.onUpstreamEnded("i-3");
     clock.advance(1s);
-    CHECK_FALSE(gate.isHeld(kFatal));
-    gate.leftUnanswered(kFatal, "i-3");
-    CHECK(gate.isHeld(kFatal));
+    CHECK_FALSE(gate.isHeld(kPoison));
+    gate.onUnanswered(kPoison, "i-3");
+    CHECK(gate.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: a caller that left long before an upstream ended has nothing to do with it")
+TEST_CASE("quarantine: a request whose caller left long before the upstream ended does not count")
 {
     ManualClock clock;
     QuarantineGate gate(clock);
     for (const char *it : {"i-1", "i-2", "i-3"}) {
-        gate.leftUnanswered(kFatal, it);
+        gate.onUnanswered(kPoison, it);
         clock.advance(10s);
         gate.tick();
-        gate.upstreamEnded(it);
+        gate.onUpstreamEnded(it);
     }
-    CHECK_FALSE(gate.isHeld(kFatal));
+    CHECK_FALSE(gate.isHeld(kPoison));
 }
 
-TEST_CASE("quarantine: news are told again for peers that miss some messages, then no more")
+TEST_CASE(
+    "quarantine: reports are repeated for peers that miss messages, a bounded number of times")
 {
     ManualClock clock;
     NewsSpreader spreader(clock);
-    spreader.add(ended(7));
+    spreader.add(failure(7));
     CHECK(spreader.hasNew());
     int told = 0;
     for (int n = 0; n < 200; ++n) {
@@ -203,12 +206,12 @@
     CHECK_FALSE(spreader.hasNew());
 }
 
-TEST_CASE("quarantine: many news at once go out in messages of bounded size, each of them")
+TEST_CASE("quarantine: many reports at once are split into messages of bounded size")
 {
     ManualClock clock;
     NewsSpreader spreader(clock);
     for (std::uint64_t n = 0; n < 1'000; ++n)
-        spreader.add(ended(n));
+        spreader.add(failure(n));
     std::size_t messages = 0;
     while (spreader.hasNew() && messages < 100) {
         CHECK(spreader.next().size() <= 200);
@@ -219,12 +222,12 @@
 
 namespace {
 
-// Callers send to any node for 20 s, one request in 33 with the content that ends each engine that
-// runs it, always under a new id; and each engine that ended starts again as another life.
-class FleetUnderFatalRequests
+// Callers send to random nodes for 20 s, one request in 33 with content that crashes each engine
+// that runs it, always under a new id. Each crashed engine restarts as another instance.
+class FleetUnderPoisonRequests
 {
 public:
-    explicit FleetUnderFatalRequests(std::uint64_t seed) : m_random(seed)
+    explicit FleetUnderPoisonRequests(std::uint64_t seed) : m_random(seed)
     {
         for (int n = 0; n < 8; ++n)
             m_gates.emplace_back(m_clock);
@@ -234,17 +237,17 @@
     {
         const TimePoint end = m_clock.now() + 20s;
         while (m_clock.now() < end) {
-            arrive(m_random() % 33 == 0 ? kFatal : RequestFingerprint{m_random() % 100, 10});
+            arrive(m_random() % 33 == 0 ? kPoison : RequestFingerprint{m_random() % 100, 10});
             m_clock.advance(kBetweenRequests);
             finishRuns();
             if (m_clock.now() >= m_nextRound)
-                tellEachOther();
+                exchangeUpdates();
         }
     }
 
-    std::size_t ends = 0;
-    std::size_t fatalSentOnceKnown = 0; // a round of messages after the third end, or later
-    std::size_t fatalRefused = 0;
+    std::size_t crashes = 0;
+    std::size_t poisonSentOnceKnown = 0; // one round of messages after the third crash, or later
+    std::size_t poisonRefused = 0;
     std::size_t othersRefused = 0;
     std::size_t othersAnswered = 0;
 
@@ -252,11 +255,11 @@
     static constexpr Duration kBetweenRequests = 5ms;
     static constexpr Duration kRunTime = 30ms;
     static constexpr Duration kRound = 100ms;
-    static constexpr Duration kDown = 3s;
+    static constexpr Duration kRestartTime = 3s;
 
     struct Engine
     {
-        std::uint64_t life = 0;
+        std::uint64_t instance = 0;
         TimePoint upFrom{};
     };
 
@@ -270,10 +273,10 @@
 
     std::string idOf(std::size_t engine) const
     {
-        return std::to_string(engine) + "-" + std::to_string(m_engines[engine].life);
+        return std::to_string(engine) + "-" + std::to_string(m_engines[engine].instance);
     }
 
-    // Nothing: all are down.
+    // Empty: all engines are down.
     std::optional<std::size_t> pickEngine()
     {
         const std::size_t first = m_random() % m_engines.size();
@@ -289,7 +292,7 @@
     {
         const std::size_t node = m_random() % m_gates.size();
         if (m_gates[node].isHeld(request)) {
-            (request == kFatal ? fatalRefused : othersRefused) += 1;
+            (request == kPoison ? poisonRefused : othersRefused) += 1;
             return;
         }
         const std::optional<std::size_t> engine = pickEngine();
@@ -297,8 +300,8 @@
             othersRefused += 1;
             return;
         }
-        if (request == kFatal && m_knownFrom && m_clock.now() >= *m_knownFrom)
-            fatalSentOnceKnown += 1;
+        if (request == kPoison && m_knownFrom && m_clock.now() >= *m_knownFrom)
+            poisonSentOnceKnown += 1;
         m_runs.push_back({request, node, *engine, m_clock.now() + kRunTime});
     }
 
@@ -307,39 +310,39 @@
         while (!m_runs.empty() && m_runs.front().until <= m_clock.now()) {
             const Run run = m_runs.front();
             m_runs.pop_front();
-            if (run.request == kFatal) {
-                m_gates[run.node].brokeOff(run.request, idOf(run.engine));
-                endEngine(run.engine);
+            if (run.request == kPoison) {
+                m_gates[run.node].onDisconnect(run.request, idOf(run.engine));
+                crashEngine(run.engine);
             } else {
-                m_gates[run.node].answered(run.request);
+                m_gates[run.node].onAnswer(run.request);
                 othersAnswered += 1;
             }
         }
     }
 
-    // All that runs there breaks off at the same moment.
-    void endEngine(std::size_t engine)
+    // All requests on the engine are disconnected at the same moment.
+    void crashEngine(std::size_t engine)
     {
         for (const Run &it : m_runs) {
             if (it.engine == engine)
-                m_gates[it.node].brokeOff(it.request, idOf(engine));
+                m_gates[it.node].onDisconnect(it.request, idOf(engine));
         }
         std::erase_if(m_runs, [engine](const Run &it) { return it.engine == engine; });
-        m_engines[engine].life += 1;
-        m_engines[engine].upFrom = m_clock.now() + kDown;
-        ends += 1;
-        if (ends == 3)
+        m_engines[engine].instance += 1;
+        m_engines[engine].upFrom = m_clock.now() + kRestartTime;
+        crashes += 1;
+        if (crashes == 3)
             m_knownFrom = m_clock.now() + kRound;
     }
 
-    void tellEachOther()
+    void exchangeUpdates()
     {
         m_nextRound = m_clock.now() + kRound;
         for (QuarantineGate &from : m_gates) {
-            const auto news = from.takeNews();
+            const auto updates = from.takeUpdates();
             for (QuarantineGate &to : m_gates) {
                 if (&to != &from)
-                    to.heard(news);
+                    to.applyUpdates(updates);
             }
         }
     }
@@ -348,24 +351,24 @@
     std::mt19937_64 m_random;
     std::deque<QuarantineGate> m_gates;
     std::array<Engine, 18> m_engines;
-    std::deque<Run> m_runs; // by end
+    std::deque<Run> m_runs; // ordered by end
     TimePoint m_nextRound{};
     std::optional<TimePoint> m_knownFrom;
 };
 
 } // namespace
 
-TEST_CASE("quarantine: one request in many that comes again for 20 s at any node ends a few "
-          "engines only and the others are answered")
+TEST_CASE("quarantine: a poison request repeated for 20 s at all nodes ends only a few engines, "
+          "and other requests are answered")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        FleetUnderFatalRequests fleet(seed);
+        FleetUnderPoisonRequests fleet(seed);
         fleet.run();
-        CHECK(fleet.ends >= 3);
-        CHECK(fleet.ends <= 6);
-        CHECK(fleet.fatalSentOnceKnown == 0);
-        CHECK(fleet.fatalRefused > 50);
+        CHECK(fleet.crashes >= 3);
+        CHECK(fleet.crashes <= 6);
+        CHECK(fleet.poisonSentOnceKnown == 0);
+        CHECK(fleet.poisonRefused > 50);
         CHECK(fleet.othersRefused == 0);
         CHECK(fleet.othersAnswered > 3'700);
     }
