--- a/bench/replication_bench.cpp
+++ b/bench/replication_bench.cpp
@@ -81,7 +81,7 @@
     const double time = std::chrono::duration<double>(passed).count();
     const double nodeSeconds = time * fleet.nodes();
     figures.bytes = static_cast<double>(fleet.bytes()) / nodeSeconds;
-    figures.mostBytes = static_cast<double>(fleet.mostBytesOfOneNode()) / time;
+    figures.mostBytes = static_cast<double>(fleet.maxNodeBytes()) / time;
     figures.messages = static_cast<double>(fleet.messages()) / nodeSeconds;
     figures.processorMicroseconds = (processorSeconds() - before - submitting) * 1e6 / nodeSeconds;
     figures.platformCalls = static_cast<double>(fleet.platformCalls()) / time;
--- a/include/fordwood/config_delta.hpp
+++ b/include/fordwood/config_delta.hpp
@@ -22,8 +22,8 @@
 struct PieceSplice
 {
     std::string name;
-    std::size_t keepFront = 0; // bytes
-    std::size_t keepBack = 0; // bytes
+    std::size_t prefixLength = 0; // bytes
+    std::size_t suffixLength = 0; // bytes
     std::string middle;
     std::string sha256; // of the result
 };
--- a/include/fordwood/configuration_copy.hpp
+++ b/include/fordwood/configuration_copy.hpp
@@ -29,17 +29,17 @@
     explicit ConfigurationCopy(const HeadCodec &codec) : m_codec(codec) { }
 
     // What became of a head that was offered.
-    enum class Offer {
+    enum class OfferResult {
         Older, // than the one in force
-        Known, // in force, or its parts are being collected already
-        InForce, // its change fitted the configuration before it
+        AlreadyKnown, // in force, or its parts are being collected already
+        Applied, // its change fitted the configuration before it
         NeedsParts // missing() says which
     };
-    Offer offer(const ConfigHead &head);
+    OfferResult offer(const ConfigHead &head);
 
     // What became of parts that arrived.
-    enum class Progress { Idle, NeedsParts, InForce, Damaged };
-    Progress take(const std::vector<Blob> &blobs);
+    enum class Progress { Idle, NeedsParts, Applied, Damaged };
+    Progress addBlobs(const std::vector<Blob> &blobs);
 
     // Digests of the parts that are needed next: the manifest, or, once that is there, pieces.
     struct Missing
@@ -54,30 +54,30 @@
     const std::vector<StoredPiece> &pieces() const { return m_pieces; }
 
     // The version whose parts are being collected; zero when there is none.
-    std::uint64_t collecting() const { return m_next ? m_next->head.version : 0; }
-    bool hasManifest() const { return m_next && m_next->pieces.has_value(); }
+    std::uint64_t pendingVersion() const { return m_pending ? m_pending->head.version : 0; }
+    bool hasManifest() const { return m_pending && m_pending->pieces.has_value(); }
 
     // Bytes of the configuration in force, for others. Empty when there are none of that digest.
-    std::optional<std::string> bytesOf(const std::string &sha256) const;
+    std::optional<std::string> findBytes(const std::string &sha256) const;
 
 private:
-    struct Next
+    struct Pending
     {
         ConfigHead head;
         std::optional<std::vector<StoredPiece>> pieces; // without texts
     };
 
-    bool takeManifest(const Blob &blob);
-    bool complete();
-    bool applyChange(const ConfigHead &head);
-    void putInForce(ConfigHead head, std::vector<StoredPiece> pieces);
+    bool setManifest(const Blob &blob);
+    bool applyIfComplete();
+    bool applyDeltaOf(const ConfigHead &head);
+    void activate(ConfigHead head, std::vector<StoredPiece> pieces);
 
     const HeadCodec &m_codec;
     ConfigHead m_head;
     std::vector<StoredPiece> m_pieces;
     std::string m_manifest; // encoded
-    std::optional<Next> m_next;
-    std::map<std::string, std::string> m_texts; // of the next one's pieces, by digest
+    std::optional<Pending> m_pending;
+    std::map<std::string, std::string> m_pendingTexts; // of the next one's pieces, by digest
 };
 
 } // namespace fordwood
--- a/include/fordwood/spreading_tree.hpp
+++ b/include/fordwood/distribution_tree.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_SPREADING_TREE_HPP_INCLUDED
-#define FORDWOOD_SPREADING_TREE_HPP_INCLUDED
+#ifndef FORDWOOD_DISTRIBUTION_TREE_HPP_INCLUDED
+#define FORDWOOD_DISTRIBUTION_TREE_HPP_INCLUDED
 
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
 
 // The place of one node in the paths by which changes spread. Every node computes it from its own
 // view of the members; two views that differ cost a link or two and nothing else.
-struct SpreadingPlace
+struct TreePosition
 {
     bool relay = false; // reads the platform for its failure domain
     std::vector<std::string> parents; // first and second; none for relays
@@ -27,8 +27,8 @@
 
 // Computes the place of `self` among the members (self included, whether listed or not). Members
 // that are leaving take part like the others until they are gone.
-SpreadingPlace spreadingPlace(const std::string &self, const std::string &ownFailureDomain,
-                              const std::vector<Member> &members);
+TreePosition treePosition(const std::string &self, const std::string &ownFailureDomain,
+                          const std::vector<Member> &members);
 
 } // namespace fordwood
 
--- a/include/fordwood/fleet_view.hpp
+++ b/include/fordwood/fleet_view.hpp
@@ -74,17 +74,17 @@
         std::vector<std::uint64_t> hashes;
     };
     // Near before far: own failure domain, own region, elsewhere.
-    using Rings = std::array<Candidates, 3>;
+    using CandidatesByProximity = std::array<Candidates, 3>;
 
     std::size_t ceilingBase(const TeamConfig &team) const;
-    std::map<std::string, std::size_t> ringsByDomain() const;
+    std::map<std::string, std::size_t> proximityByDomain() const;
     const std::string &regionOf(const std::string &failureDomain) const;
     static void addCandidate(Candidates &candidates, const UpstreamConfig &upstream);
-    static std::vector<const UpstreamConfig *> choose(const std::map<std::string, Rings> &from,
-                                                      const std::string &name,
-                                                      std::uint64_t prefixHash, std::size_t count);
+    static std::vector<const UpstreamConfig *>
+    selectBest(const std::map<std::string, CandidatesByProximity> &from, const std::string &name,
+               std::uint64_t prefixHash, std::size_t count);
 
-    struct Owners
+    struct OwnerCandidates
     {
         std::vector<const Member *> members;
         std::vector<std::uint64_t> hashes;
@@ -96,11 +96,11 @@
     std::set<std::string> m_leaving;
     std::string m_ownFailureDomain;
     std::size_t m_listedMembers; // by the platform, dead or alive
-    std::map<std::string, Rings> m_engines;
-    std::map<std::string, Rings> m_services;
-    std::map<std::string, Owners> m_ownersByDomain;
-    std::map<std::string, Owners> m_ownersByRegion;
-    Owners m_allOwners;
+    std::map<std::string, CandidatesByProximity> m_engines;
+    std::map<std::string, CandidatesByProximity> m_services;
+    std::map<std::string, OwnerCandidates> m_ownersByDomain;
+    std::map<std::string, OwnerCandidates> m_ownersByRegion;
+    OwnerCandidates m_allOwners;
 };
 
 } // namespace fordwood
--- a/include/fordwood/news_spreader.hpp
+++ b/include/fordwood/gossip_queue.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_NEWS_SPREADER_HPP_INCLUDED
-#define FORDWOOD_NEWS_SPREADER_HPP_INCLUDED
+#ifndef FORDWOOD_GOSSIP_QUEUE_HPP_INCLUDED
+#define FORDWOOD_GOSSIP_QUEUE_HPP_INCLUDED
 
 #include <deque>
 #include <vector>
@@ -13,25 +13,25 @@
 // When a node tells its peers what it knows of requests. Messages may be lost, and peers may be cut
 // off for a while, so each piece of news goes out in the next messages and a few times more over
 // the seconds that follow.
-class NewsSpreader
+class GossipQueue
 {
 public:
-    explicit NewsSpreader(const Clock &clock) : m_clock(clock) { }
+    explicit GossipQueue(const Clock &clock) : m_clock(clock) { }
 
     // Peers should hear this.
     void add(const RequestNews &news);
 
     // What goes into the message that is sent now.
-    std::vector<RequestNews> next();
+    std::vector<RequestNews> takeDue();
 
     // Whether something has not been told yet at all.
-    bool hasNew() const;
+    bool hasUnsent() const;
 
 private:
     struct Item
     {
         RequestNews news;
-        std::size_t told = 0; // times
+        std::size_t timesSent = 0; // times
         TimePoint due{};
     };
 
--- a/include/fordwood/liveness.hpp
+++ b/include/fordwood/liveness.hpp
@@ -27,17 +27,17 @@
 {
 public:
     // Takes a record if it says something new. True when it did.
-    bool offer(const LivenessRecord &record)
+    bool merge(const LivenessRecord &record)
     {
-        const auto [it, fresh] = m_records.try_emplace(record.member, record);
-        if (fresh)
+        const auto [it, inserted] = m_records.try_emplace(record.member, record);
+        if (inserted)
             return true;
-        LivenessRecord &known = it->second;
-        const bool newer
-            = record.incarnation > known.incarnation
-              || (record.incarnation == known.incarnation && record.suspected && !known.suspected);
+        LivenessRecord &current = it->second;
+        const bool newer = record.incarnation > current.incarnation
+                           || (record.incarnation == current.incarnation && record.suspected
+                               && !current.suspected);
         if (newer)
-            known = record;
+            current = record;
         return newer;
     }
 
@@ -48,7 +48,7 @@
     }
 
     // The record about a member; of incarnation zero when there is none.
-    LivenessRecord of(const std::string &member) const
+    LivenessRecord recordOf(const std::string &member) const
     {
         const auto it = m_records.find(member);
         return it == m_records.end() ? LivenessRecord{member, 0, false} : it->second;
--- a/include/fordwood/load_sums.hpp
+++ b/include/fordwood/load_sums.hpp
@@ -42,8 +42,8 @@
 {
 public:
     // `life`: a report is dropped after it, since its node may be gone and its requests with it.
-    explicit LoadSums(const Clock &clock, Duration life = std::chrono::seconds(1))
-        : m_clock(clock), m_life(life)
+    explicit LoadSums(const Clock &clock, Duration lifetime = std::chrono::seconds(1))
+        : m_clock(clock), m_lifetime(lifetime)
     { }
 
     void setOwn(LoadReport report) { m_own = std::move(report); }
@@ -53,39 +53,43 @@
     void setNode(const std::string &node, std::uint64_t number, LoadReport report);
 
     // The node has said that it leaves.
-    void forgetNode(const std::string &node) { m_nodes.erase(node); }
+    void removeNode(const std::string &node) { m_nodes.erase(node); }
 
     // The sum of another failure domain; both of its relays tell it, and the latest counts.
     void setDomain(const std::string &failureDomain, LoadReport report);
 
     // This node and the others of its failure domain.
-    LoadReport ofDomain() const;
+    LoadReport domainSum() const;
 
     // All but this node.
-    LoadReport ofOthers() const;
+    LoadReport othersSum() const;
 
     // The nodes of this failure domain that the sums count, with the numbers of their reports.
-    std::map<std::string, std::uint64_t> numbers() const;
+    std::map<std::string, std::uint64_t> reportNumbers() const;
 
     // Nodes whose reports are kept, for the metrics.
-    std::size_t keptNodes() const { return m_nodes.size(); }
+    std::size_t nodeCount() const { return m_nodes.size(); }
 
 private:
-    struct Told
+    struct ReceivedReport
     {
         LoadReport report;
         std::uint64_t number = 0;
-        TimePoint when{};
+        TimePoint receivedAt{};
     };
 
-    bool counts(const Told &told) const { return m_clock.now() - told.when <= m_life; }
-    LoadReport sumOf(const std::map<std::string, Told> &told, LoadReport sum) const;
+    bool isCurrent(const ReceivedReport &report) const
+    {
+        return m_clock.now() - report.receivedAt <= m_lifetime;
+    }
+    LoadReport addCurrent(const std::map<std::string, ReceivedReport> &reports,
+                          LoadReport sum) const;
 
     const Clock &m_clock;
-    const Duration m_life;
+    const Duration m_lifetime;
     LoadReport m_own;
-    std::map<std::string, Told> m_nodes;
-    std::map<std::string, Told> m_domains;
+    std::map<std::string, ReceivedReport> m_nodes;
+    std::map<std::string, ReceivedReport> m_domains;
 };
 
 // The reports that a node has sent of late, by number, so that it can take its own part out of a
@@ -101,9 +105,9 @@
 
 private:
     // Those of a second at the highest rate of urgent reports; older ones are in no sum any more.
-    static constexpr std::size_t kMost = 100;
+    static constexpr std::size_t kMaxReports = 100;
 
-    std::uint64_t m_last = 0;
+    std::uint64_t m_lastNumber = 0;
     std::deque<LoadReport> m_sent; // the newest at the back
 };
 
--- a/include/fordwood/member_table.hpp
+++ b/include/fordwood/member_table.hpp
@@ -22,24 +22,24 @@
     MemberTable(std::string self, std::uint64_t boot);
 
     // Takes a newer list. The change from the one before it, or nothing when it is not newer.
-    std::optional<VmListDelta> take(const VmList &list);
+    std::optional<VmListDelta> update(const VmList &list);
     const VmList &list() const { return m_list; }
 
     // What a set of records brought.
-    struct News
+    struct MergeResult
     {
         std::vector<LivenessRecord> records; // those that said something new
         bool membersChanged = false; // somebody is suspected, or no more
-        bool selfSuspected = false; // this process should answer with answerSuspicion()
+        bool isSelfSuspected = false; // this process should answer with refuteSuspicion()
     };
-    News take(const std::vector<LivenessRecord> &records);
+    MergeResult update(const std::vector<LivenessRecord> &records);
 
     // The record that shows that this process lives, above any suspicion seen.
-    LivenessRecord answerSuspicion();
+    LivenessRecord refuteSuspicion();
 
     // The record to spread about a member that has fallen silent. Empty when it is suspected
     // already, or not on the list.
-    std::optional<LivenessRecord> suspicionOf(const std::string &member) const;
+    std::optional<LivenessRecord> makeSuspicion(const std::string &member) const;
 
     bool isSuspected(const std::string &member) const { return m_liveness.isSuspected(member); }
     std::vector<LivenessRecord> records() const { return m_liveness.all(); }
--- a/include/fordwood/peer_table.hpp
+++ b/include/fordwood/peer_table.hpp
@@ -19,7 +19,7 @@
 public:
     struct Link
     {
-        TimePoint lastHeard{};
+        TimePoint lastReceived{};
         TimePoint lastSent{};
         std::uint64_t headVersion = 0; // newest that the peer is known to have
         std::uint64_t listRevision = 0;
@@ -27,9 +27,9 @@
 
     explicit PeerTable(const Clock &clock) : m_clock(clock) { }
 
-    void up(const std::string &peer);
+    void addLink(const std::string &peer);
     // False when there was no such link.
-    bool down(const std::string &peer);
+    bool removeLink(const std::string &peer);
     // The peer has closed the link on purpose: its silence means nothing.
     void closedByPeer(const std::string &peer);
 
@@ -40,23 +40,23 @@
     bool has(const std::string &peer) const { return m_links.count(peer) != 0; }
 
     // One of the peers, in turn; empty when there is no link.
-    std::string inTurn(std::size_t n) const;
+    std::string roundRobin(std::size_t n) const;
 
     // Replaces the peers from whom heartbeats are due; the time runs from now for those without a
     // link.
-    void expect(std::set<std::string> peers);
+    void setExpected(std::set<std::string> peers);
 
     // Expected peers that were not heard for so long.
     std::vector<std::string> silentFor(Duration span) const;
 
     // Peers to whom nothing was sent for so long.
-    std::vector<std::string> unsentFor(Duration span) const;
+    std::vector<std::string> sentNothingFor(Duration span) const;
 
 private:
     const Clock &m_clock;
     std::map<std::string, Link> m_links;
     std::set<std::string> m_expected;
-    std::map<std::string, TimePoint> m_silentSince; // expected peers without a link
+    std::map<std::string, TimePoint> m_unlinkedSince; // expected peers without a link
 };
 
 } // namespace fordwood
--- a/include/fordwood/relay_role.hpp
+++ b/include/fordwood/relay_role.hpp
@@ -42,44 +42,44 @@
         std::size_t relaysPerDomain = 2;
         std::size_t smallFleet = kSmallFleet;
         // A relay that is not needed any more goes on for so long, as its successor may fail.
-        Duration stepDown = std::chrono::seconds(2);
+        Duration stepDownDelay = std::chrono::seconds(2);
         // A node that has just started is no relay before it can know the others; zero: it is one
         // at once.
-        Duration learning = Duration::zero();
+        Duration discovery = Duration::zero();
         // Where a relay is missing, the nodes step in by their rank: the first ones at once, twice
         // as many one pause later, twice as many again after another. So few step in needlessly,
         // and some do within a second however many are gone.
-        Duration standInPause = std::chrono::milliseconds(150);
+        Duration takeoverStep = std::chrono::milliseconds(150);
         // Where no relay hears of the platform's store, one more node of the failure domain asks it
         // after each such pause: the store may answer some and not others.
-        Duration askPause = std::chrono::milliseconds(400);
+        Duration fallbackStep = std::chrono::milliseconds(400);
     };
 
     // What a node knows of its peers; all live.
     struct Peers
     {
         std::size_t liveNodes = 1; // this one included
-        std::vector<RelayCandidate> reachingInDomain; // relays of its failure domain that the
-                                                      // platform's store answers
+        std::vector<RelayCandidate> relaysReachingStore; // relays of its failure domain that the
+                                                         // platform's store answers
         std::vector<RelayCandidate> relays; // of all failure domains
         // Nodes of its failure domain that rank before it, as far as they are known, live or not.
-        std::size_t knownBefore = 0;
+        std::size_t higherRanked = 0;
         // Whether a relay of its failure domain is answered by the platform's store, or hears of
         // one that is.
-        bool relayAnswered = true;
-        bool relayHears = true;
-        bool isAnswered = true; // this node, as far as it has asked
+        bool relayReachesStore = true;
+        bool relayGetsStoreChanges = true;
+        bool reachesStore = true; // this node, as far as it has asked
     };
 
     RelayRole(const Clock &clock, RelayCandidate self) : RelayRole(clock, std::move(self), Limits{})
     { }
     RelayRole(const Clock &clock, RelayCandidate self, Limits limits)
-        : m_clock(clock), m_self(std::move(self)), m_limits(limits), m_begun(clock.now()),
-          m_isRelay(limits.learning == Duration::zero()), m_followsContext(m_isRelay)
+        : m_clock(clock), m_self(std::move(self)), m_limits(limits), m_startedAt(clock.now()),
+          m_isRelay(limits.discovery == Duration::zero()), m_followsContext(m_isRelay)
     { }
 
     // The readers that a store of kept context serves at once; fewer relays than that follow it.
-    void setMostReaders(std::size_t n) { m_mostReaders = n; }
+    void setMaxReaders(std::size_t n) { m_maxReaders = n; }
 
     void update(const Peers &peers);
 
@@ -87,29 +87,29 @@
 
     // Whether this node follows the platform's store: as a relay, while it starts, or because the
     // relays are not answered.
-    bool followsStore() const { return m_isRelay || m_isLearning || m_asksToo; }
+    bool followsStore() const { return m_isRelay || m_isDiscovering || m_isFallbackReader; }
 
     // Whether this node also follows the stores of kept context.
     bool followsContext() const { return m_followsContext; }
 
 private:
     bool isNeeded(const Peers &peers) const;
-    Duration standInAfter(std::size_t rank) const;
+    Duration takeoverDelay(std::size_t rank) const;
     void updateRelay(const Peers &peers);
-    void updateAsking(const Peers &peers);
+    void updateFallback(const Peers &peers);
 
     const Clock &m_clock;
     const RelayCandidate m_self;
     const Limits m_limits;
-    std::size_t m_mostReaders = kSmallFleet; // until a configuration says
-    const TimePoint m_begun;
-    bool m_isLearning = true; // it has just started
+    std::size_t m_maxReaders = kSmallFleet; // until a configuration says
+    const TimePoint m_startedAt;
+    bool m_isDiscovering = true; // it has just started
     bool m_isRelay;
     bool m_followsContext;
-    bool m_asksToo = false; // beside relays that hear nothing of the store
+    bool m_isFallbackReader = false; // beside relays that hear nothing of the store
     std::optional<TimePoint> m_neededSince;
     std::optional<TimePoint> m_notNeededSince;
-    std::optional<TimePoint> m_unheardSince; // no relay hears of the store
+    std::optional<TimePoint> m_noChangesSince; // no relay hears of the store
 };
 
 } // namespace fordwood
--- a/include/fordwood/replicator.hpp
+++ b/include/fordwood/replicator.hpp
@@ -12,10 +12,10 @@
 #include "fordwood/clock.hpp"
 #include "fordwood/config_head.hpp"
 #include "fordwood/configuration_copy.hpp"
+#include "fordwood/distribution_tree.hpp"
 #include "fordwood/liveness.hpp"
 #include "fordwood/member_table.hpp"
 #include "fordwood/peer_table.hpp"
-#include "fordwood/spreading_tree.hpp"
 #include "fordwood/submission.hpp"
 #include "fordwood/vm_list.hpp"
 
@@ -29,10 +29,10 @@
     std::optional<ConfigHead> head;
     std::optional<VmListDelta> list;
     std::vector<LivenessRecord> liveness;
-    std::vector<std::string> wants; // digests that the sender would like to have
+    std::vector<std::string> requestedDigests; // digests that the sender would like to have
     std::vector<Blob> blobs;
-    bool wantsHead = false;
-    bool wantsList = false;
+    bool requestsHead = false;
+    bool requestsList = false;
     bool leaving = false; // the sender closes this link on purpose
 };
 
@@ -46,13 +46,13 @@
 };
 
 // The peers to which this node must hold a link that it opens itself; others are to be closed.
-struct KeepLinks
+struct SetOutgoingLinks
 {
     std::vector<Member> peers;
 };
 
 // Whether this node reads the platform by itself (head and VM list).
-struct ReadPlatform
+struct SetPlatformReading
 {
     bool enabled;
 };
@@ -86,21 +86,22 @@
 {
     enum class Kind { OlderHead, DamagedConfiguration, Orphaned };
     Kind kind;
-    std::uint64_t seen = 0;
-    std::uint64_t kept = 0;
+    std::uint64_t offeredVersion = 0;
+    std::uint64_t currentVersion = 0;
 };
 
-using ReplicatorAction = std::variant<SendUpdate, KeepLinks, ReadPlatform, FetchBlobs,
+using ReplicatorAction = std::variant<SendUpdate, SetOutgoingLinks, SetPlatformReading, FetchBlobs,
                                       ApplyConfiguration, ApplyMembers, ReplicatorAlarm>;
 
 // The times that the replicator keeps to.
-struct ReplicatorLimits
+struct ReplicatorTimings
 {
     Duration heartbeat = std::chrono::seconds(2);
     Duration suspectAfter = std::chrono::seconds(7); // of silence
-    Duration askAgain = std::chrono::seconds(1); // for parts that did not come
+    Duration retryRequestAfter = std::chrono::seconds(1); // for parts that did not come
     Duration firstParentGrace = std::chrono::milliseconds(300); // before another link is asked
-    Duration firstWord = std::chrono::seconds(2); // a fresh node waits so long for a peer's version
+    Duration peerVersionWait
+        = std::chrono::seconds(2); // a fresh node waits so long for a peer's version
     Duration orphanAfter = std::chrono::seconds(10); // without any link: read the platform
 };
 
@@ -116,7 +117,7 @@
 public:
     // `boot`: names the start of this process; later starts have higher ones.
     Replicator(Member self, std::uint64_t boot, const Clock &clock, const HeadCodec &codec,
-               ReplicatorLimits limits = {}, std::uint64_t seed = 1);
+               ReplicatorTimings timings = {}, std::uint64_t seed = 1);
 
     // Begins; until the first VM list is known the node reads the platform by itself.
     void start();
@@ -142,8 +143,8 @@
 
     const ConfigHead &head() const { return m_configuration.head(); }
     const VmList &list() const { return m_members.list(); }
-    bool isRelay() const { return m_place.relay; }
-    bool readsPlatform() const { return m_reading; }
+    bool isRelay() const { return m_position.relay; }
+    bool readsPlatform() const { return m_readsPlatform; }
     std::size_t links() const { return m_peers.links().size(); }
     bool isSuspected(const std::string &member) const { return m_members.isSuspected(member); }
     // When the process of a member was started, as far as known; zero otherwise.
@@ -153,14 +154,14 @@
 
 private:
     // Who offered the configuration that is being collected, and how its parts were asked for.
-    struct Collecting
+    struct FetchState
     {
         std::string from; // a peer; empty: the platform
-        TimePoint askedAt{};
-        std::size_t tries = 0;
+        TimePoint requestedAt{};
+        std::size_t attempts = 0;
     };
     // A version that a peer has and this node was not sent yet.
-    struct Newer
+    struct NewerVersion
     {
         std::uint64_t version = 0;
         std::string peer;
@@ -169,50 +170,50 @@
 
     // Configuration
     void offerHead(const ConfigHead &head, const std::string &from);
-    bool mustHearPeersFirst() const;
-    void askForParts();
-    void takeBlobs(const std::vector<Blob> &blobs);
-    void applied();
+    bool mustWaitForPeers() const;
+    void requestParts();
+    void receiveBlobs(const std::vector<Blob> &blobs);
+    void announceConfiguration();
     void announceHead();
-    bool getsWholeChanges(const std::string &peer) const;
-    void askForNewer();
+    bool sendsWholeHeadTo(const std::string &peer) const;
+    void requestNewerHead();
     // VM list and members
     void offerList(const VmList &list, const std::string &from);
-    void takeListDelta(const VmListDelta &delta, const std::string &from);
-    void takeLiveness(const std::vector<LivenessRecord> &records, const std::string &from);
+    void applyListDelta(const VmListDelta &delta, const std::string &from);
+    void mergeLiveness(const std::vector<LivenessRecord> &records, const std::string &from);
     void suspect(const std::string &member);
-    void spreadLiveness(const std::vector<LivenessRecord> &records, const std::string &except);
-    void changed();
-    void rearrange();
+    void sendLiveness(const std::vector<LivenessRecord> &records, const std::string &except);
+    void updateMembers();
+    void updateTreePosition();
     // Links
-    void answer(const std::string &peer, PeerTable::Link &link, const PeerUpdate &update);
-    void noteNewer(const std::string &peer, const PeerUpdate &update);
-    void heartbeat();
-    void lookForSilence();
-    void lookForOrphanhood();
-    void setReading(bool enabled);
+    void sendReply(const std::string &peer, PeerTable::Link &link, const PeerUpdate &update);
+    void recordNewerVersion(const std::string &peer, const PeerUpdate &update);
+    void sendHeartbeats();
+    void suspectSilentPeers();
+    void checkOrphaned();
+    void setPlatformReading(bool enabled);
     PeerUpdate baseUpdate() const;
     void send(const std::string &peer, PeerUpdate update);
 
     const Member m_self;
     const Clock &m_clock;
-    const ReplicatorLimits m_limits;
+    const ReplicatorTimings m_timings;
     std::mt19937_64 m_random;
     ConfigurationCopy m_configuration;
     MemberTable m_members;
     PeerTable m_peers;
-    SpreadingPlace m_place;
-    Collecting m_collecting;
-    std::optional<Newer> m_newer;
-    std::optional<ConfigHead> m_firstHead; // of the platform, until a peer has spoken
+    TreePosition m_position;
+    FetchState m_fetch;
+    std::optional<NewerVersion> m_newerVersion;
+    std::optional<ConfigHead> m_deferredHead; // of the platform, until a peer has spoken
     TimePoint m_started{};
-    bool m_heardPeer = false;
+    bool m_peerVersionSeen = false;
     bool m_membersChanged = false; // since the last call of takeActions()
     ApplyMembers m_lastMembers; // as last told
-    std::vector<std::string> m_lastKept; // links, as last told
-    bool m_reading = false;
+    std::vector<std::string> m_lastLinks; // links, as last told
+    bool m_readsPlatform = false;
     bool m_stopping = false;
-    std::optional<TimePoint> m_aloneSince;
+    std::optional<TimePoint> m_noLinksSince;
     Duration m_jitter{0};
     std::vector<ReplicatorAction> m_actions;
 };
--- a/include/fordwood/serving_config.hpp
+++ b/include/fordwood/serving_config.hpp
@@ -28,7 +28,7 @@
     bool streaming = false; // the answer is a series of events
     bool resumable = false; // a broken stream may go on at another upstream
     bool isPublic = false; // needs no team key
-    std::vector<std::string> homeRegions; // that a request may go to; none: any
+    std::vector<std::string> allowedRegions; // that a request may go to; none: any
     std::size_t maxAttempts = 1; // upstreams to which one request may be sent
     std::chrono::milliseconds timeout{0}; // longest time that a request is held
     std::chrono::milliseconds targetLatency{0}; // an answer within it has its full value
@@ -44,7 +44,7 @@
     std::size_t slots = 1; // requests that run at once
     std::size_t contextTokens = 0; // memory for running requests and kept context
     std::vector<std::string> models;
-    std::size_t mostReaders = 0; // calls that wait for events, at once; 0: not stated
+    std::size_t maxReaders = 0; // calls that wait for events, at once; 0: not stated
 };
 
 // A service: a set of upstreams that can stand in for one another.
@@ -65,7 +65,7 @@
     std::string failureDomain;
     std::size_t capacityTokens = 0;
     bool managed = false; // it drops nothing on its own
-    std::size_t mostReaders = 0; // waiting calls that it holds at once; 0: not stated
+    std::size_t maxReaders = 0; // waiting calls that it holds at once; 0: not stated
 };
 
 // A team: who it is by its keys, and how it is treated.
@@ -75,7 +75,7 @@
     std::vector<std::string> keys;
     std::optional<int> priority; // goes before that of the route
     bool isolated = false; // shares no kept context with other teams
-    std::vector<std::string> homeRegions; // that its requests may go to; none: any
+    std::vector<std::string> allowedRegions; // that its requests may go to; none: any
 };
 
 // What a caller may send, and how long it may take.
--- a/include/fordwood/submission.hpp
+++ b/include/fordwood/submission.hpp
@@ -72,20 +72,20 @@
     SubmissionResult submit(const Submission &submission, Duration limit);
 
 private:
-    struct Base
+    struct StoredHead
     {
         ConfigHead head;
         std::int64_t revision = 0;
     };
 
-    StoreResult<Base> readHead();
+    StoreResult<StoredHead> readHead();
     StoreResult<std::size_t> writePieces(const Submission &submission, const std::string &manifest);
-    SubmissionResult settle(const Submission &submission, const Base &base, const ConfigHead &next,
-                            std::size_t written, TimePoint end);
+    SubmissionResult swapHead(const Submission &submission, const StoredHead &base,
+                              const ConfigHead &next, std::size_t written, TimePoint end);
     std::optional<ConfigDelta> deltaFrom(const ConfigHead &base,
                                          const std::vector<StoredPiece> &after);
-    ConfigHead successor(const Base &base, const Submission &submission,
-                         const std::string &manifestSha256) const;
+    ConfigHead makeNextHead(const StoredHead &base, const Submission &submission,
+                            const std::string &manifestSha256) const;
     bool waitBeforeRetry(TimePoint end);
 
     KeyValueStore &m_store;
--- a/include/fordwood/tenure.hpp
+++ b/include/fordwood/tenure.hpp
@@ -60,9 +60,9 @@
 int keyHolderIndex(std::uint32_t partition, const std::vector<std::uint64_t> &nodeHashes);
 
 // Likewise the node that extends the tenures of a stored value.
-int keeperIndex(std::uint32_t value, const std::vector<std::uint64_t> &nodeHashes);
+int tenureExtenderIndex(std::uint32_t value, const std::vector<std::uint64_t> &nodeHashes);
 
-struct TenureLimits
+struct TenureTimings
 {
     Duration horizon = std::chrono::seconds(10); // how far a tenure reaches ahead
     Duration period = std::chrono::seconds(3); // between two extensions
@@ -74,8 +74,8 @@
 // begins where the last one ends. Tenures that ended before the window are dropped.
 std::map<std::uint32_t, TenureChain>
 extendTenures(std::map<std::uint32_t, TenureChain> chains, std::uint32_t value,
-              const std::function<KeyHolder(std::uint32_t partition)> &wanted, WallTime now,
-              const TenureLimits &limits);
+              const std::function<KeyHolder(std::uint32_t partition)> &holderOf, WallTime now,
+              const TenureTimings &timings);
 
 // The chains of one stored value after a process has handed its tenures to those that `successor`
 // names; partitions without one stay as they are.
--- a/src/adapters/grpc/peer_codec.cpp
+++ b/src/adapters/grpc/peer_codec.cpp
@@ -70,15 +70,15 @@
         life->set_incarnation(it.incarnation);
         life->set_suspected(it.suspected);
     }
-    for (const std::string &it : update.wants)
+    for (const std::string &it : update.requestedDigests)
         message.add_wants(it);
     for (const Blob &it : update.blobs) {
         wire::NamedBytes *blob = message.add_blobs();
         blob->set_sha256(it.sha256);
         blob->set_content(it.bytes);
     }
-    message.set_wants_head(update.wantsHead);
-    message.set_wants_list(update.wantsList);
+    message.set_wants_head(update.requestsHead);
+    message.set_wants_list(update.requestsList);
     message.set_leaving(update.leaving);
     return message;
 }
@@ -94,11 +94,11 @@
         update.list = fromWire(message.list());
     for (const wire::MemberLife &it : message.lives())
         update.liveness.push_back({it.member(), it.incarnation(), it.suspected()});
-    update.wants.assign(message.wants().begin(), message.wants().end());
+    update.requestedDigests.assign(message.wants().begin(), message.wants().end());
     for (const wire::NamedBytes &it : message.blobs())
         update.blobs.push_back({it.sha256(), it.content()});
-    update.wantsHead = message.wants_head();
-    update.wantsList = message.wants_list();
+    update.requestsHead = message.wants_head();
+    update.requestsList = message.wants_list();
     update.leaving = message.leaving();
     return update;
 }
--- a/src/adapters/platform/proto_head_codec.cpp
+++ b/src/adapters/platform/proto_head_codec.cpp
@@ -14,8 +14,8 @@
     for (const PieceSplice &it : delta.splices) {
         wire::Splice *splice = message.add_splices();
         splice->set_name(it.name);
-        splice->set_keep_front(it.keepFront);
-        splice->set_keep_back(it.keepBack);
+        splice->set_keep_front(it.prefixLength);
+        splice->set_keep_back(it.suffixLength);
         splice->set_middle(it.middle);
         splice->set_sha256(it.sha256);
     }
--- a/src/apps/controld/control_node.cpp
+++ b/src/apps/controld/control_node.cpp
@@ -209,12 +209,12 @@
 {
     if (const auto *update = std::get_if<SendUpdate>(&action)) {
         m_links.send(update->peer, update->update);
-    } else if (const auto *keep = std::get_if<KeepLinks>(&action)) {
+    } else if (const auto *keep = std::get_if<SetOutgoingLinks>(&action)) {
         std::vector<std::string> addresses;
         for (const Member &it : keep->peers)
             addresses.push_back(it.controlAddress);
         m_links.dial(addresses);
-    } else if (const auto *reading = std::get_if<ReadPlatform>(&action)) {
+    } else if (const auto *reading = std::get_if<SetPlatformReading>(&action)) {
         m_platform.setReading(reading->enabled);
     } else if (const auto *fetch = std::get_if<FetchBlobs>(&action)) {
         m_platform.fetch(*fetch);
@@ -257,15 +257,16 @@
 {
     switch (alarm.kind) {
     case ReplicatorAlarm::Kind::OlderHead:
-        logEvent(Event::OlderHeadSeen, {{"seen", alarm.seen}, {"kept", alarm.kept}});
+        logEvent(Event::OlderHeadSeen,
+                 {{"seen", alarm.offeredVersion}, {"kept", alarm.currentVersion}});
         m_metrics.count("fordwood_older_head_total");
         break;
     case ReplicatorAlarm::Kind::DamagedConfiguration:
-        logEvent(Event::ConfigurationDamaged, {{"version", alarm.seen}});
+        logEvent(Event::ConfigurationDamaged, {{"version", alarm.offeredVersion}});
         m_metrics.count("fordwood_configuration_damaged_total");
         break;
     case ReplicatorAlarm::Kind::Orphaned:
-        logEvent(Event::Orphaned, {{"version", alarm.kept}});
+        logEvent(Event::Orphaned, {{"version", alarm.currentVersion}});
         m_metrics.count("fordwood_orphaned_total");
         break;
     }
--- a/src/apps/controld/tenure_duty.cpp
+++ b/src/apps/controld/tenure_duty.cpp
@@ -94,7 +94,7 @@
         }
         const auto hashes = hashesOf(members);
         for (std::uint32_t value = 0; value < kTenureValues; ++value) {
-            const int keeper = keeperIndex(value, hashes);
+            const int keeper = tenureExtenderIndex(value, hashes);
             if (keeper >= 0 && members[static_cast<std::size_t>(keeper)].holder.node == m_self)
                 extend(value, members);
         }
--- a/src/apps/controld/tenure_duty.hpp
+++ b/src/apps/controld/tenure_duty.hpp
@@ -91,7 +91,7 @@
     const Clock &m_clock;
     TenureListener &m_listener;
     adapters::Metrics &m_metrics;
-    TenureLimits m_limits;
+    TenureTimings m_limits;
     std::map<std::string, std::unique_ptr<wire::Keys::Stub>> m_stubs; // by address
     std::thread m_thread;
     std::mutex m_mutex;
--- a/src/core/config_delta.cpp
+++ b/src/core/config_delta.cpp
@@ -8,20 +8,21 @@
 
 namespace {
 
-PieceSplice spliceOf(const std::string &before, const StoredPiece &after)
+PieceSplice makeSplice(const std::string &before, const StoredPiece &after)
 {
     PieceSplice splice;
     splice.name = after.name;
     splice.sha256 = after.sha256;
     const std::size_t shorter = std::min(before.size(), after.text.size());
-    while (splice.keepFront < shorter && before[splice.keepFront] == after.text[splice.keepFront])
-        ++splice.keepFront;
-    while (splice.keepBack < shorter - splice.keepFront
-           && before[before.size() - 1 - splice.keepBack]
-                  == after.text[after.text.size() - 1 - splice.keepBack])
-        ++splice.keepBack;
-    splice.middle = after.text.substr(splice.keepFront,
-                                      after.text.size() - splice.keepFront - splice.keepBack);
+    while (splice.prefixLength < shorter
+           && before[splice.prefixLength] == after.text[splice.prefixLength])
+        ++splice.prefixLength;
+    while (splice.suffixLength < shorter - splice.prefixLength
+           && before[before.size() - 1 - splice.suffixLength]
+                  == after.text[after.text.size() - 1 - splice.suffixLength])
+        ++splice.suffixLength;
+    splice.middle = after.text.substr(splice.prefixLength, after.text.size() - splice.prefixLength
+                                                               - splice.suffixLength);
     return splice;
 }
 
@@ -42,7 +43,7 @@
             continue;
         }
         if (known->second->sha256 != it.sha256)
-            delta.splices.push_back(spliceOf(known->second->text, it));
+            delta.splices.push_back(makeSplice(known->second->text, it));
         old.erase(known);
     }
     for (const auto &[name, piece] : old)
@@ -64,11 +65,12 @@
     for (const PieceSplice &it : delta.splices) {
         StoredPiece &piece = pieces[it.name];
         const std::string old = std::move(piece.text);
-        if (it.keepFront > old.size() || it.keepBack > old.size() - it.keepFront)
+        if (it.prefixLength > old.size() || it.suffixLength > old.size() - it.prefixLength)
             return std::nullopt;
         piece.name = it.name;
         piece.sha256 = it.sha256;
-        piece.text = old.substr(0, it.keepFront) + it.middle + old.substr(old.size() - it.keepBack);
+        piece.text
+            = old.substr(0, it.prefixLength) + it.middle + old.substr(old.size() - it.suffixLength);
         if (digest(piece.text) != it.sha256)
             return std::nullopt;
     }
--- a/src/core/configuration_copy.cpp
+++ b/src/core/configuration_copy.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-constexpr std::size_t kMostWants = 64; // digests asked for in one update
+constexpr std::size_t kMaxRequestedDigests = 64; // digests asked for in one update
 
 } // namespace
 
-ConfigurationCopy::Offer ConfigurationCopy::offer(const ConfigHead &head)
+ConfigurationCopy::OfferResult ConfigurationCopy::offer(const ConfigHead &head)
 {
     if (head.version < m_head.version)
-        return Offer::Older;
-    if (head.version == m_head.version || collecting() >= head.version)
-        return Offer::Known;
-    if (applyChange(head))
-        return Offer::InForce;
-    m_next = Next{head, std::nullopt};
-    return Offer::NeedsParts;
+        return OfferResult::Older;
+    if (head.version == m_head.version || pendingVersion() >= head.version)
+        return OfferResult::AlreadyKnown;
+    if (applyDeltaOf(head))
+        return OfferResult::Applied;
+    m_pending = Pending{head, std::nullopt};
+    return OfferResult::NeedsParts;
 }
 
-bool ConfigurationCopy::applyChange(const ConfigHead &head)
+bool ConfigurationCopy::applyDeltaOf(const ConfigHead &head)
 {
     if (!head.delta || head.delta->fromManifestSha256 != m_head.manifestSha256)
         return false;
@@ -31,80 +31,80 @@
                              [this](const std::string &bytes) { return m_codec.digest(bytes); });
     if (!pieces || m_codec.digest(m_codec.encodeManifest(*pieces)) != head.manifestSha256)
         return false;
-    putInForce(head, std::move(*pieces));
+    activate(head, std::move(*pieces));
     return true;
 }
 
-ConfigurationCopy::Progress ConfigurationCopy::take(const std::vector<Blob> &blobs)
+ConfigurationCopy::Progress ConfigurationCopy::addBlobs(const std::vector<Blob> &blobs)
 {
     for (const Blob &it : blobs) {
-        if (!m_next || m_codec.digest(it.bytes) != it.sha256)
+        if (!m_pending || m_codec.digest(it.bytes) != it.sha256)
             continue;
-        if (it.sha256 != m_next->head.manifestSha256) {
-            m_texts[it.sha256] = it.bytes;
-        } else if (!takeManifest(it)) {
-            m_next.reset();
+        if (it.sha256 != m_pending->head.manifestSha256) {
+            m_pendingTexts[it.sha256] = it.bytes;
+        } else if (!setManifest(it)) {
+            m_pending.reset();
             return Progress::Damaged;
         }
     }
-    if (!m_next || !m_next->pieces)
+    if (!m_pending || !m_pending->pieces)
         return Progress::Idle;
-    return complete() ? Progress::InForce : Progress::NeedsParts;
+    return applyIfComplete() ? Progress::Applied : Progress::NeedsParts;
 }
 
-bool ConfigurationCopy::takeManifest(const Blob &blob)
+bool ConfigurationCopy::setManifest(const Blob &blob)
 {
-    m_next->pieces = m_codec.decodeManifest(blob.bytes);
-    if (!m_next->pieces)
+    m_pending->pieces = m_codec.decodeManifest(blob.bytes);
+    if (!m_pending->pieces)
         return false;
     // Pieces that did not change need not be asked for.
     for (const StoredPiece &it : m_pieces)
-        m_texts[it.sha256] = it.text;
+        m_pendingTexts[it.sha256] = it.text;
     return true;
 }
 
-bool ConfigurationCopy::complete()
+bool ConfigurationCopy::applyIfComplete()
 {
-    for (StoredPiece &it : *m_next->pieces) {
-        const auto text = m_texts.find(it.sha256);
-        if (text == m_texts.end())
+    for (StoredPiece &it : *m_pending->pieces) {
+        const auto text = m_pendingTexts.find(it.sha256);
+        if (text == m_pendingTexts.end())
             return false;
         it.text = text->second;
     }
-    ConfigHead head = std::move(m_next->head);
-    std::vector<StoredPiece> pieces = std::move(*m_next->pieces);
-    m_next.reset();
-    putInForce(std::move(head), std::move(pieces));
+    ConfigHead head = std::move(m_pending->head);
+    std::vector<StoredPiece> pieces = std::move(*m_pending->pieces);
+    m_pending.reset();
+    activate(std::move(head), std::move(pieces));
     return true;
 }
 
-void ConfigurationCopy::putInForce(ConfigHead head, std::vector<StoredPiece> pieces)
+void ConfigurationCopy::activate(ConfigHead head, std::vector<StoredPiece> pieces)
 {
     m_head = std::move(head);
     m_pieces = std::move(pieces);
     m_manifest = m_codec.encodeManifest(m_pieces);
-    m_texts.clear();
-    if (collecting() <= m_head.version)
-        m_next.reset();
+    m_pendingTexts.clear();
+    if (pendingVersion() <= m_head.version)
+        m_pending.reset();
 }
 
 ConfigurationCopy::Missing ConfigurationCopy::missing() const
 {
     Missing missing;
-    if (!m_next)
+    if (!m_pending)
         return missing;
-    if (!m_next->pieces) {
-        missing.manifests.push_back(m_next->head.manifestSha256);
+    if (!m_pending->pieces) {
+        missing.manifests.push_back(m_pending->head.manifestSha256);
         return missing;
     }
-    for (const StoredPiece &it : *m_next->pieces) {
-        if (m_texts.count(it.sha256) == 0 && missing.pieces.size() < kMostWants)
+    for (const StoredPiece &it : *m_pending->pieces) {
+        if (m_pendingTexts.count(it.sha256) == 0 && missing.pieces.size() < kMaxRequestedDigests)
             missing.pieces.push_back(it.sha256);
     }
     return missing;
 }
 
-std::optional<std::string> ConfigurationCopy::bytesOf(const std::string &sha256) const
+std::optional<std::string> ConfigurationCopy::findBytes(const std::string &sha256) const
 {
     if (sha256 == m_head.manifestSha256 && m_head.version > 0)
         return m_manifest;
--- a/src/core/spreading_tree.cpp
+++ b/src/core/distribution_tree.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "fordwood/spreading_tree.hpp"
+#include "fordwood/distribution_tree.hpp"
 
 #include <algorithm>
 #include <map>
@@ -12,34 +12,34 @@
 
 namespace {
 
-using Ranks = std::vector<std::string>;
+using RankedNames = std::vector<std::string>;
 using NamesByDomain = std::map<std::string, std::set<std::string_view>>;
 
-constexpr std::size_t kChords = 2; // links of a relay beside those to the next domain
+constexpr std::size_t kExtraLinks = 2; // links of a relay beside those to the next domain
 
 // The members of a domain in the order of their ranks.
-Ranks ranked(const std::string &domain, const std::set<std::string_view> &names)
+RankedNames rankMembers(const std::string &domain, const std::set<std::string_view> &names)
 {
     const std::vector<std::string_view> list(names.begin(), names.end());
     std::vector<std::uint64_t> hashes;
     hashes.reserve(list.size());
     for (const std::string_view it : list)
         hashes.push_back(stableHash(it));
-    Ranks ranks;
+    RankedNames result;
     for (const std::size_t it : rendezvousOrder(stableHash("relay/" + domain), hashes, list.size()))
-        ranks.emplace_back(list[it]);
-    return ranks;
+        result.emplace_back(list[it]);
+    return result;
 }
 
-std::size_t firstParent(std::size_t position)
+std::size_t firstParent(std::size_t rank)
 {
-    return (position - kRelaysPerDomain) / kFanOut;
+    return (rank - kRelaysPerDomain) / kFanOut;
 }
 
 // Places go in pairs: the second parent is the neighbour of the first.
-std::size_t secondParent(std::size_t position)
+std::size_t secondParent(std::size_t rank)
 {
-    return firstParent(position) ^ 1U;
+    return firstParent(rank) ^ 1U;
 }
 
 // Relays of different domains form a ring over the domains, with a few chords, so that a domain
@@ -58,48 +58,48 @@
     hashes.reserve(names.size());
     for (const std::string &it : names)
         hashes.push_back(stableHash(it));
-    for (const std::size_t it : rendezvousOrder(stableHash(self), hashes, kChords))
+    for (const std::size_t it : rendezvousOrder(stableHash(self), hashes, kExtraLinks))
         chosen.insert(names[it]);
     chosen.erase(ownDomain);
     std::vector<std::string> neighbours;
     for (const std::string &it : chosen) {
-        const Ranks ranks = ranked(it, domains.at(it));
-        const std::size_t pick = stableHash(self) % std::min(kRelaysPerDomain, ranks.size());
-        neighbours.push_back(ranks[pick]);
+        const RankedNames rankedNames = rankMembers(it, domains.at(it));
+        const std::size_t pick = stableHash(self) % std::min(kRelaysPerDomain, rankedNames.size());
+        neighbours.push_back(rankedNames[pick]);
     }
     return neighbours;
 }
 
 } // namespace
 
-SpreadingPlace spreadingPlace(const std::string &self, const std::string &ownFailureDomain,
-                              const std::vector<Member> &members)
+TreePosition treePosition(const std::string &self, const std::string &ownFailureDomain,
+                          const std::vector<Member> &members)
 {
     NamesByDomain domains;
     for (const Member &it : members)
         domains[it.failureDomain].insert(it.name);
     domains[ownFailureDomain].insert(self);
     // Of the other domains only those are ranked whose relays are neighbours.
-    const Ranks own = ranked(ownFailureDomain, domains[ownFailureDomain]);
-    const auto position
+    const RankedNames own = rankMembers(ownFailureDomain, domains[ownFailureDomain]);
+    const auto rank
         = static_cast<std::size_t>(std::find(own.begin(), own.end(), self) - own.begin());
-    SpreadingPlace place;
-    place.relay = position < kRelaysPerDomain;
-    if (place.relay) {
-        place.neighbours = neighboursOf(self, ownFailureDomain, domains);
+    TreePosition position;
+    position.relay = rank < kRelaysPerDomain;
+    if (position.relay) {
+        position.neighbours = neighboursOf(self, ownFailureDomain, domains);
         // The two relays of a domain are each other's neighbours as well; one of them links.
-        if (position == 1)
-            place.neighbours.push_back(own[0]);
+        if (rank == 1)
+            position.neighbours.push_back(own[0]);
     } else {
-        place.parents = {own[firstParent(position)], own[secondParent(position)]};
+        position.parents = {own[firstParent(rank)], own[secondParent(rank)]};
     }
     for (std::size_t it = kRelaysPerDomain; it < own.size(); ++it) {
-        if (firstParent(it) == position || secondParent(it) == position)
-            place.children.push_back(own[it]);
-        if (firstParent(it) == position)
-            place.firstChildren.push_back(own[it]);
+        if (firstParent(it) == rank || secondParent(it) == rank)
+            position.children.push_back(own[it]);
+        if (firstParent(it) == rank)
+            position.firstChildren.push_back(own[it]);
     }
-    return place;
+    return position;
 }
 
 } // namespace fordwood
--- a/src/core/fleet_view.cpp
+++ b/src/core/fleet_view.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kOwnDomain = 0;
 constexpr std::size_t kOwnRegion = 1;
-constexpr std::size_t kElsewhere = 2;
+constexpr std::size_t kOtherRegion = 2;
 
 } // namespace
 
@@ -23,21 +23,21 @@
       m_leaving(std::move(leavingUpstreams)), m_ownFailureDomain(std::move(ownFailureDomain)),
       m_listedMembers(std::max(listedMembers, m_members.size()))
 {
-    const auto rings = ringsByDomain();
+    const auto proximities = proximityByDomain();
     for (const auto &[name, it] : m_configuration->upstreams) {
         if (it.leaving || m_leaving.count(name) != 0)
             continue;
-        const auto domain = rings.find(it.failureDomain);
-        const std::size_t ring = domain == rings.end() ? kElsewhere : domain->second;
+        const auto domain = proximities.find(it.failureDomain);
+        const std::size_t proximity = domain == proximities.end() ? kOtherRegion : domain->second;
         // Context is found again only if all nodes of a region choose alike: a prompt computed anew
         // costs a thousand times more than the way to another failure domain.
-        const std::size_t engineRing = ring == kElsewhere ? kElsewhere : kOwnRegion;
+        const std::size_t engineProximity = proximity == kOtherRegion ? kOtherRegion : kOwnRegion;
         for (const std::string &model : it.models)
-            addCandidate(m_engines[model][engineRing], it);
+            addCandidate(m_engines[model][engineProximity], it);
         if (it.kind == UpstreamKind::Service)
-            addCandidate(m_services[it.service][ring], it);
+            addCandidate(m_services[it.service][proximity], it);
     }
-    const auto addOwner = [](Owners &owners, const Member &member) {
+    const auto addOwner = [](OwnerCandidates &owners, const Member &member) {
         owners.members.push_back(&member);
         owners.hashes.push_back(stableHash(member.name));
     };
@@ -53,19 +53,19 @@
 std::vector<const UpstreamConfig *>
 FleetView::engines(const std::string &model, std::uint64_t prefixHash, std::size_t count) const
 {
-    return choose(m_engines, model, prefixHash, count);
+    return selectBest(m_engines, model, prefixHash, count);
 }
 
 std::vector<const UpstreamConfig *>
 FleetView::services(const std::string &service, std::uint64_t prefixHash, std::size_t count) const
 {
-    return choose(m_services, service, prefixHash, count);
+    return selectBest(m_services, service, prefixHash, count);
 }
 
 const Member *FleetView::owner(const UpstreamConfig &upstream) const
 {
     const std::uint64_t key = stableHash(upstream.name);
-    const auto winner = [&](const Owners &owners) -> const Member * {
+    const auto winner = [&](const OwnerCandidates &owners) -> const Member * {
         const int index = rendezvousWinner(key, owners.hashes);
         return index < 0 ? nullptr : owners.members[static_cast<std::size_t>(index)];
     };
@@ -130,7 +130,7 @@
 const Member *FleetView::member(const std::string &name) const
 {
     const auto it = std::find_if(m_members.begin(), m_members.end(),
-                                 [&](const Member &known) { return known.name == name; });
+                                 [&](const Member &candidate) { return candidate.name == name; });
     return it == m_members.end() ? nullptr : &*it;
 }
 
@@ -143,14 +143,14 @@
 }
 
 // How near each failure domain is to this node's own.
-std::map<std::string, std::size_t> FleetView::ringsByDomain() const
+std::map<std::string, std::size_t> FleetView::proximityByDomain() const
 {
     const std::string &ownRegion = regionOf(m_ownFailureDomain);
-    std::map<std::string, std::size_t> rings;
+    std::map<std::string, std::size_t> proximities;
     for (const auto &[name, it] : m_configuration->failureDomains)
-        rings[name] = it.region == ownRegion ? kOwnRegion : kElsewhere;
-    rings[m_ownFailureDomain] = kOwnDomain;
-    return rings;
+        proximities[name] = it.region == ownRegion ? kOwnRegion : kOtherRegion;
+    proximities[m_ownFailureDomain] = kOwnDomain;
+    return proximities;
 }
 
 const std::string &FleetView::regionOf(const std::string &failureDomain) const
@@ -166,15 +166,15 @@
     candidates.hashes.push_back(stableHash(upstream.name));
 }
 
-std::vector<const UpstreamConfig *> FleetView::choose(const std::map<std::string, Rings> &from,
-                                                      const std::string &name,
-                                                      std::uint64_t prefixHash, std::size_t count)
+std::vector<const UpstreamConfig *>
+FleetView::selectBest(const std::map<std::string, CandidatesByProximity> &from,
+                      const std::string &name, std::uint64_t prefixHash, std::size_t count)
 {
     std::vector<const UpstreamConfig *> result;
-    const auto rings = from.find(name);
-    if (rings == from.end())
+    const auto byProximity = from.find(name);
+    if (byProximity == from.end())
         return result;
-    for (const Candidates &it : rings->second) {
+    for (const Candidates &it : byProximity->second) {
         if (result.size() >= count)
             break;
         for (const std::size_t index :
--- a/src/core/homes.cpp
+++ b/src/core/homes.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 Homes::Homes(const ServiceRoute &route, const ServingTeam *team)
-    : m_ofRoute(route.homeRegions), m_ofTeam(team != nullptr ? team->homeRegions : kAnywhere)
+    : m_ofRoute(route.allowedRegions), m_ofTeam(team != nullptr ? team->allowedRegions : kAnywhere)
 { }
 
 bool Homes::allows(const std::string &failureDomain, const DomainRegions &regions) const
--- a/src/core/load_sums.cpp
+++ b/src/core/load_sums.cpp
@@ -27,7 +27,7 @@
 {
     // Nodes come and go under ever new names; those that are gone need no room.
     if (!m_nodes.contains(node))
-        std::erase_if(m_nodes, [this](const auto &it) { return !counts(it.second); });
+        std::erase_if(m_nodes, [this](const auto &it) { return !isCurrent(it.second); });
     m_nodes[node] = {std::move(report), number, m_clock.now()};
 }
 
@@ -36,32 +36,33 @@
     m_domains[failureDomain] = {std::move(report), 0, m_clock.now()};
 }
 
-LoadReport LoadSums::sumOf(const std::map<std::string, Told> &told, LoadReport sum) const
+LoadReport LoadSums::addCurrent(const std::map<std::string, ReceivedReport> &reports,
+                                LoadReport sum) const
 {
-    for (const auto &[name, it] : told) {
-        if (counts(it))
+    for (const auto &[name, it] : reports) {
+        if (isCurrent(it))
             sum += it.report;
     }
     return sum;
 }
 
-LoadReport LoadSums::ofDomain() const
+LoadReport LoadSums::domainSum() const
 {
-    return sumOf(m_nodes, m_own);
+    return addCurrent(m_nodes, m_own);
 }
 
-LoadReport LoadSums::ofOthers() const
+LoadReport LoadSums::othersSum() const
 {
     LoadReport none;
     none.nodes = 0;
-    return sumOf(m_domains, sumOf(m_nodes, std::move(none)));
+    return addCurrent(m_domains, addCurrent(m_nodes, std::move(none)));
 }
 
-std::map<std::string, std::uint64_t> LoadSums::numbers() const
+std::map<std::string, std::uint64_t> LoadSums::reportNumbers() const
 {
     std::map<std::string, std::uint64_t> numbers;
     for (const auto &[name, it] : m_nodes) {
-        if (counts(it))
+        if (isCurrent(it))
             numbers[name] = it.number;
     }
     return numbers;
@@ -70,16 +71,16 @@
 std::uint64_t SentReports::add(LoadReport report)
 {
     m_sent.push_back(std::move(report));
-    if (m_sent.size() > kMost)
+    if (m_sent.size() > kMaxReports)
         m_sent.pop_front();
-    return ++m_last;
+    return ++m_lastNumber;
 }
 
 LoadReport SentReports::withoutOwn(LoadReport sum, std::optional<std::uint64_t> number) const
 {
-    if (!number || *number > m_last || m_last - *number >= m_sent.size())
+    if (!number || *number > m_lastNumber || m_lastNumber - *number >= m_sent.size())
         return sum;
-    const std::size_t age = m_last - *number;
+    const std::size_t age = m_lastNumber - *number;
     return withoutPart(std::move(sum), m_sent[m_sent.size() - 1 - age]);
 }
 
--- a/src/core/member_table.cpp
+++ b/src/core/member_table.cpp
@@ -16,10 +16,10 @@
 MemberTable::MemberTable(std::string self, std::uint64_t boot)
     : m_self(std::move(self)), m_incarnation(boot << kBootShift)
 {
-    m_liveness.offer({m_self, m_incarnation, false});
+    m_liveness.merge({m_self, m_incarnation, false});
 }
 
-std::optional<VmListDelta> MemberTable::take(const VmList &list)
+std::optional<VmListDelta> MemberTable::update(const VmList &list)
 {
     if (list.revision <= m_list.revision)
         return std::nullopt;
@@ -30,46 +30,46 @@
     return delta;
 }
 
-MemberTable::News MemberTable::take(const std::vector<LivenessRecord> &records)
+MemberTable::MergeResult MemberTable::update(const std::vector<LivenessRecord> &records)
 {
-    News news;
+    MergeResult result;
     for (const LivenessRecord &it : records) {
         if (it.member == m_self) {
             if (it.suspected && it.incarnation >= m_incarnation) {
                 m_incarnation = it.incarnation;
-                news.selfSuspected = true;
+                result.isSelfSuspected = true;
             }
             continue;
         }
         const bool before = m_liveness.isSuspected(it.member);
-        if (!m_liveness.offer(it))
+        if (!m_liveness.merge(it))
             continue;
-        news.records.push_back(it);
-        news.membersChanged = news.membersChanged || before != it.suspected;
+        result.records.push_back(it);
+        result.membersChanged = result.membersChanged || before != it.suspected;
     }
-    return news;
+    return result;
 }
 
-LivenessRecord MemberTable::answerSuspicion()
+LivenessRecord MemberTable::refuteSuspicion()
 {
     ++m_incarnation;
     LivenessRecord self{m_self, m_incarnation, false};
-    m_liveness.offer(self);
+    m_liveness.merge(self);
     return self;
 }
 
-std::optional<LivenessRecord> MemberTable::suspicionOf(const std::string &member) const
+std::optional<LivenessRecord> MemberTable::makeSuspicion(const std::string &member) const
 {
     if (m_liveness.isSuspected(member) || !isListed(member))
         return std::nullopt;
-    LivenessRecord record = m_liveness.of(member);
+    LivenessRecord record = m_liveness.recordOf(member);
     record.suspected = true;
     return record;
 }
 
 std::uint64_t MemberTable::bootOf(const std::string &member) const
 {
-    return m_liveness.of(member).incarnation >> kBootShift;
+    return m_liveness.recordOf(member).incarnation >> kBootShift;
 }
 
 std::vector<Member> MemberTable::members() const
--- a/src/core/relay_role.cpp
+++ b/src/core/relay_role.cpp
@@ -23,28 +23,28 @@
 
 bool RelayRole::isNeeded(const Peers &peers) const
 {
-    if (peers.liveNodes <= std::min(m_limits.smallFleet, m_mostReaders))
+    if (peers.liveNodes <= std::min(m_limits.smallFleet, m_maxReaders))
         return true;
-    return strengthRank("relay", m_self, peers.reachingInDomain) < m_limits.relaysPerDomain;
+    return strengthRank("relay", m_self, peers.relaysReachingStore) < m_limits.relaysPerDomain;
 }
 
 // The ranks 0 and 1 at once, 2 and 3 after a pause, 4 to 7 after two.
-Duration RelayRole::standInAfter(std::size_t rank) const
+Duration RelayRole::takeoverDelay(std::size_t rank) const
 {
     const auto pauses = std::bit_width(rank / m_limits.relaysPerDomain);
-    return m_limits.standInPause * static_cast<std::int64_t>(pauses);
+    return m_limits.takeoverStep * static_cast<std::int64_t>(pauses);
 }
 
 void RelayRole::update(const Peers &peers)
 {
-    if (m_isLearning) {
-        m_isLearning = m_clock.now() - m_begun < m_limits.learning;
-        if (m_isLearning)
+    if (m_isDiscovering) {
+        m_isDiscovering = m_clock.now() - m_startedAt < m_limits.discovery;
+        if (m_isDiscovering)
             return;
     }
     updateRelay(peers);
-    updateAsking(peers);
-    m_followsContext = m_isRelay && strengthRank("relay", m_self, peers.relays) < m_mostReaders;
+    updateFallback(peers);
+    m_followsContext = m_isRelay && strengthRank("relay", m_self, peers.relays) < m_maxReaders;
 }
 
 void RelayRole::updateRelay(const Peers &peers)
@@ -54,32 +54,32 @@
         m_notNeededSince.reset();
         if (!m_neededSince)
             m_neededSince = now;
-        if (now - *m_neededSince >= standInAfter(peers.knownBefore))
+        if (now - *m_neededSince >= takeoverDelay(peers.higherRanked))
             m_isRelay = true;
         return;
     }
     m_neededSince.reset();
     if (!m_notNeededSince)
         m_notNeededSince = now;
-    if (now - *m_notNeededSince >= m_limits.stepDown)
+    if (now - *m_notNeededSince >= m_limits.stepDownDelay)
         m_isRelay = false;
 }
 
-void RelayRole::updateAsking(const Peers &peers)
+void RelayRole::updateFallback(const Peers &peers)
 {
     const TimePoint now = m_clock.now();
     // One that is answered goes on until a relay is: what the relays hear, they hear from it.
-    const bool goesOn = m_asksToo && peers.isAnswered && !peers.relayAnswered;
-    if (peers.relayHears && !goesOn) {
-        m_unheardSince.reset();
-        m_asksToo = false;
+    const bool mustContinue = m_isFallbackReader && peers.reachesStore && !peers.relayReachesStore;
+    if (peers.relayGetsStoreChanges && !mustContinue) {
+        m_noChangesSince.reset();
+        m_isFallbackReader = false;
         return;
     }
-    if (!m_unheardSince)
-        m_unheardSince = now;
-    const auto rank = static_cast<std::int64_t>(peers.knownBefore);
-    if (now - *m_unheardSince >= m_limits.askPause * rank)
-        m_asksToo = true;
+    if (!m_noChangesSince)
+        m_noChangesSince = now;
+    const auto rank = static_cast<std::int64_t>(peers.higherRanked);
+    if (now - *m_noChangesSince >= m_limits.fallbackStep * rank)
+        m_isFallbackReader = true;
 }
 
 } // namespace fordwood
--- a/src/core/replicator.cpp
+++ b/src/core/replicator.cpp
@@ -32,23 +32,23 @@
 } // namespace
 
 Replicator::Replicator(Member self, std::uint64_t boot, const Clock &clock, const HeadCodec &codec,
-                       ReplicatorLimits limits, std::uint64_t seed)
-    : m_self(std::move(self)), m_clock(clock), m_limits(limits), m_random(seed),
+                       ReplicatorTimings timings, std::uint64_t seed)
+    : m_self(std::move(self)), m_clock(clock), m_timings(timings), m_random(seed),
       m_configuration(codec), m_members(m_self.name, boot), m_peers(clock)
 { }
 
 void Replicator::start()
 {
     m_started = m_clock.now();
-    setReading(true);
+    setPlatformReading(true);
 }
 
 // ---------------------------------------------------------------- configuration
 
 void Replicator::platformHead(const ConfigHead &head)
 {
-    if (mustHearPeersFirst()) {
-        m_firstHead = head;
+    if (mustWaitForPeers()) {
+        m_deferredHead = head;
         return;
     }
     offerHead(head, "");
@@ -56,79 +56,79 @@
 
 // A platform that was restored from an old copy shows an older version. A fresh node has nothing to
 // compare it with, so it gives its peers a moment to name a newer one before it serves any.
-bool Replicator::mustHearPeersFirst() const
+bool Replicator::mustWaitForPeers() const
 {
     const bool onlyMember = list().revision > 0 && members().size() <= 1;
-    return head().version == 0 && !m_heardPeer && !onlyMember
-           && m_clock.now() - m_started < m_limits.firstWord;
+    return head().version == 0 && !m_peerVersionSeen && !onlyMember
+           && m_clock.now() - m_started < m_timings.peerVersionWait;
 }
 
 void Replicator::offerHead(const ConfigHead &offered, const std::string &from)
 {
     switch (m_configuration.offer(offered)) {
-    case ConfigurationCopy::Offer::Older:
+    case ConfigurationCopy::OfferResult::Older:
         if (from.empty())
             m_actions.emplace_back(
                 ReplicatorAlarm{ReplicatorAlarm::Kind::OlderHead, offered.version, head().version});
         break;
-    case ConfigurationCopy::Offer::Known:
+    case ConfigurationCopy::OfferResult::AlreadyKnown:
         break;
-    case ConfigurationCopy::Offer::InForce:
-        applied();
+    case ConfigurationCopy::OfferResult::Applied:
+        announceConfiguration();
         break;
-    case ConfigurationCopy::Offer::NeedsParts:
-        m_collecting = Collecting{from, m_clock.now(), 0};
-        askForParts();
+    case ConfigurationCopy::OfferResult::NeedsParts:
+        m_fetch = FetchState{from, m_clock.now(), 0};
+        requestParts();
         break;
     }
 }
 
 // Asks for what the collected configuration lacks: first the peer that offered it, then others in
 // turn, and the platform if this node reads it.
-void Replicator::askForParts()
+void Replicator::requestParts()
 {
-    m_collecting.askedAt = m_clock.now();
+    m_fetch.requestedAt = m_clock.now();
     ConfigurationCopy::Missing missing = m_configuration.missing();
     if (missing.manifests.empty() && missing.pieces.empty())
         return;
     // Platform and peers in turn, beginning with whoever offered it: either may not answer.
-    const std::size_t platformsTurn = m_collecting.from.empty() ? 0 : 1;
+    const std::size_t platformsTurn = m_fetch.from.empty() ? 0 : 1;
     const bool fromPlatform
-        = m_reading && (m_peers.links().empty() || m_collecting.tries % 2 == platformsTurn);
-    ++m_collecting.tries;
+        = m_readsPlatform && (m_peers.links().empty() || m_fetch.attempts % 2 == platformsTurn);
+    ++m_fetch.attempts;
     if (fromPlatform) {
         m_actions.emplace_back(FetchBlobs{missing.manifests, missing.pieces});
         return;
     }
-    const bool offerer = m_collecting.tries == 1 && m_peers.has(m_collecting.from);
-    const std::string peer = offerer ? m_collecting.from : m_peers.inTurn(m_collecting.tries);
+    const bool offerer = m_fetch.attempts == 1 && m_peers.has(m_fetch.from);
+    const std::string peer = offerer ? m_fetch.from : m_peers.roundRobin(m_fetch.attempts);
     if (peer.empty())
         return;
     PeerUpdate update = baseUpdate();
-    update.wants = missing.manifests.empty() ? missing.pieces : missing.manifests;
+    update.requestedDigests = missing.manifests.empty() ? missing.pieces : missing.manifests;
     send(peer, std::move(update));
 }
 
 void Replicator::platformBlobs(const std::vector<Blob> &blobs)
 {
-    takeBlobs(blobs);
+    receiveBlobs(blobs);
 }
 
-void Replicator::takeBlobs(const std::vector<Blob> &blobs)
+void Replicator::receiveBlobs(const std::vector<Blob> &blobs)
 {
-    const std::uint64_t collected = m_configuration.collecting();
+    const std::uint64_t collected = m_configuration.pendingVersion();
     const bool hadManifest = m_configuration.hasManifest();
-    const ConfigurationCopy::Progress progress = m_configuration.take(blobs);
+    const ConfigurationCopy::Progress progress = m_configuration.addBlobs(blobs);
     if (!hadManifest && m_configuration.hasManifest())
-        m_collecting.tries = 0;
+        m_fetch.attempts = 0;
     switch (progress) {
     case ConfigurationCopy::Progress::Idle:
         break;
     case ConfigurationCopy::Progress::NeedsParts:
-        askForParts();
+        requestParts();
         break;
-    case ConfigurationCopy::Progress::InForce:
-        applied();
+    case ConfigurationCopy::Progress::Applied:
+        announceConfiguration();
         break;
     case ConfigurationCopy::Progress::Damaged:
         m_actions.emplace_back(ReplicatorAlarm{ReplicatorAlarm::Kind::DamagedConfiguration,
@@ -138,7 +138,7 @@
 }
 
 // A newer configuration is in force.
-void Replicator::applied()
+void Replicator::announceConfiguration()
 {
     m_actions.emplace_back(ApplyConfiguration{head(), m_configuration.pieces()});
     announceHead();
@@ -152,7 +152,7 @@
         if (link.headVersion >= head().version)
             continue;
         PeerUpdate update = baseUpdate();
-        if (getsWholeChanges(peer)) {
+        if (sendsWholeHeadTo(peer)) {
             link.headVersion = head().version;
             update.head = withoutSubmissionIds(head());
         }
@@ -160,28 +160,29 @@
     }
 }
 
-bool Replicator::getsWholeChanges(const std::string &peer) const
+bool Replicator::sendsWholeHeadTo(const std::string &peer) const
 {
-    if (contains(m_place.firstChildren, peer))
+    if (contains(m_position.firstChildren, peer))
         return true;
-    return !contains(m_place.children, peer) && !contains(m_place.parents, peer);
+    return !contains(m_position.children, peer) && !contains(m_position.parents, peer);
 }
 
 // Asks a peer that has a newer version, once the first parent has had time to send it unasked.
-void Replicator::askForNewer()
+void Replicator::requestNewerHead()
 {
-    if (!m_newer)
+    if (!m_newerVersion)
         return;
-    if (m_newer->version <= head().version || m_configuration.collecting() >= m_newer->version) {
-        m_newer.reset();
+    if (m_newerVersion->version <= head().version
+        || m_configuration.pendingVersion() >= m_newerVersion->version) {
+        m_newerVersion.reset();
         return;
     }
-    if (m_clock.now() - m_newer->since < m_limits.firstParentGrace)
+    if (m_clock.now() - m_newerVersion->since < m_timings.firstParentGrace)
         return;
     PeerUpdate update = baseUpdate();
-    update.wantsHead = true;
-    send(m_newer->peer, std::move(update));
-    m_newer.reset();
+    update.requestsHead = true;
+    send(m_newerVersion->peer, std::move(update));
+    m_newerVersion.reset();
 }
 
 // ---------------------------------------------------------------- VM list and members
@@ -193,7 +194,7 @@
 
 void Replicator::offerList(const VmList &offered, const std::string &from)
 {
-    const auto delta = m_members.take(offered);
+    const auto delta = m_members.update(offered);
     if (!delta)
         return;
     for (auto &[peer, link] : m_peers.links()) {
@@ -205,10 +206,10 @@
         link.listRevision = list().revision;
         send(peer, std::move(update));
     }
-    changed();
+    updateMembers();
 }
 
-void Replicator::takeListDelta(const VmListDelta &delta, const std::string &from)
+void Replicator::applyListDelta(const VmListDelta &delta, const std::string &from)
 {
     if (delta.toRevision <= list().revision)
         return;
@@ -216,23 +217,22 @@
     if (newer)
         return offerList(*newer, from);
     PeerUpdate update = baseUpdate();
-    update.wantsList = true;
+    update.requestsList = true;
     send(from, std::move(update));
 }
 
-void Replicator::takeLiveness(const std::vector<LivenessRecord> &records, const std::string &from)
+void Replicator::mergeLiveness(const std::vector<LivenessRecord> &records, const std::string &from)
 {
-    const MemberTable::News news = m_members.take(records);
-    if (news.selfSuspected && !m_stopping)
-        spreadLiveness({m_members.answerSuspicion()}, "");
-    m_membersChanged = m_membersChanged || news.membersChanged;
-    if (!news.records.empty())
-        spreadLiveness(news.records, from);
+    const MemberTable::MergeResult result = m_members.update(records);
+    if (result.isSelfSuspected && !m_stopping)
+        sendLiveness({m_members.refuteSuspicion()}, "");
+    m_membersChanged = m_membersChanged || result.membersChanged;
+    if (!result.records.empty())
+        sendLiveness(result.records, from);
 }
 
 // Passes records on to all links but the one that they came from.
-void Replicator::spreadLiveness(const std::vector<LivenessRecord> &records,
-                                const std::string &except)
+void Replicator::sendLiveness(const std::vector<LivenessRecord> &records, const std::string &except)
 {
     for (const auto &[peer, link] : m_peers.links()) {
         if (peer == except)
@@ -245,51 +245,51 @@
 
 void Replicator::suspect(const std::string &member)
 {
-    if (const auto record = m_members.suspicionOf(member))
-        takeLiveness({*record}, "");
+    if (const auto record = m_members.makeSuspicion(member))
+        mergeLiveness({*record}, "");
 }
 
 // Members, suspicions or the list have changed: tell the node, and find the new place in the tree.
-void Replicator::changed()
+void Replicator::updateMembers()
 {
     ApplyMembers now{members(), list().leavingUpstreams, list().entryVms.size()};
     if (now != m_lastMembers) {
         m_lastMembers = now;
         m_actions.emplace_back(std::move(now));
     }
-    rearrange();
+    updateTreePosition();
 }
 
-void Replicator::rearrange()
+void Replicator::updateTreePosition()
 {
     const std::vector<Member> now = members();
-    m_place = spreadingPlace(m_self.name, m_self.failureDomain, now);
-    std::vector<std::string> wanted = m_place.parents;
-    wanted.insert(wanted.end(), m_place.neighbours.begin(), m_place.neighbours.end());
-    KeepLinks keep;
+    m_position = treePosition(m_self.name, m_self.failureDomain, now);
+    std::vector<std::string> wanted = m_position.parents;
+    wanted.insert(wanted.end(), m_position.neighbours.begin(), m_position.neighbours.end());
+    SetOutgoingLinks keep;
     for (const Member &it : now) {
         if (it.name != m_self.name && contains(wanted, it.name))
             keep.peers.push_back(it);
     }
-    std::set<std::string> expected(m_place.children.begin(), m_place.children.end());
-    expected.insert(m_place.parents.begin(), m_place.parents.end());
-    m_peers.expect(std::move(expected));
+    std::set<std::string> expected(m_position.children.begin(), m_position.children.end());
+    expected.insert(m_position.parents.begin(), m_position.parents.end());
+    m_peers.setExpected(std::move(expected));
     const std::vector<std::string> names = namesOf(keep.peers);
-    if (names != m_lastKept) {
-        m_lastKept = names;
+    if (names != m_lastLinks) {
+        m_lastLinks = names;
         m_actions.emplace_back(std::move(keep));
     }
-    if (list().revision > 0 && !m_aloneSince)
-        setReading(m_place.relay);
+    if (list().revision > 0 && !m_noLinksSince)
+        setPlatformReading(m_position.relay);
 }
 
 // ---------------------------------------------------------------- links
 
 void Replicator::linkUp(const std::string &peer)
 {
-    m_peers.up(peer);
-    if (std::exchange(m_aloneSince, std::nullopt) && list().revision > 0)
-        setReading(m_place.relay);
+    m_peers.addLink(peer);
+    if (std::exchange(m_noLinksSince, std::nullopt) && list().revision > 0)
+        setPlatformReading(m_position.relay);
     // Each side says what it has; the versions in the update bring out what the other lacks.
     PeerUpdate update = baseUpdate();
     update.liveness = m_members.records();
@@ -298,8 +298,8 @@
 
 void Replicator::linkDown(const std::string &peer)
 {
-    if (m_peers.down(peer) && m_collecting.from == peer)
-        m_collecting.from.clear();
+    if (m_peers.removeLink(peer) && m_fetch.from == peer)
+        m_fetch.from.clear();
 }
 
 void Replicator::updateArrived(const std::string &peer, const PeerUpdate &update)
@@ -307,52 +307,52 @@
     PeerTable::Link *link = m_peers.find(peer);
     if (link == nullptr)
         return;
-    link->lastHeard = m_clock.now();
+    link->lastReceived = m_clock.now();
     link->headVersion = std::max(link->headVersion, update.headVersion);
     link->listRevision = std::max(link->listRevision, update.listRevision);
     // A peer that is fresh itself has no word to give.
-    m_heardPeer = m_heardPeer || update.headVersion > 0;
+    m_peerVersionSeen = m_peerVersionSeen || update.headVersion > 0;
     if (update.leaving) {
         m_peers.closedByPeer(peer);
         suspect(peer); // by its own word, without waiting for its silence
         return;
     }
-    takeLiveness(update.liveness, peer);
+    mergeLiveness(update.liveness, peer);
     if (update.list)
-        takeListDelta(*update.list, peer);
+        applyListDelta(*update.list, peer);
     if (update.head)
         offerHead(*update.head, peer);
     if (!update.blobs.empty())
-        takeBlobs(update.blobs);
-    answer(peer, *link, update);
-    noteNewer(peer, update);
+        receiveBlobs(update.blobs);
+    sendReply(peer, *link, update);
+    recordNewerVersion(peer, update);
 }
 
 // Sends a peer what it asked for, and what its versions show that it lacks.
-void Replicator::answer(const std::string &peer, PeerTable::Link &link, const PeerUpdate &update)
+void Replicator::sendReply(const std::string &peer, PeerTable::Link &link, const PeerUpdate &update)
 {
     PeerUpdate reply = baseUpdate();
     bool needed = false;
-    for (const std::string &it : update.wants) {
-        if (auto bytes = m_configuration.bytesOf(it)) {
+    for (const std::string &it : update.requestedDigests) {
+        if (auto bytes = m_configuration.findBytes(it)) {
             reply.blobs.push_back({it, std::move(*bytes)});
             needed = true;
         }
     }
     // Who is behind is helped, unless its first parent does that.
-    const bool helped = getsWholeChanges(peer) && update.headVersion < head().version;
-    if (update.wantsHead || (helped && link.headVersion < head().version)) {
+    const bool helped = sendsWholeHeadTo(peer) && update.headVersion < head().version;
+    if (update.requestsHead || (helped && link.headVersion < head().version)) {
         link.headVersion = head().version;
         reply.head = withoutSubmissionIds(head());
         needed = true;
     }
-    if (update.wantsList || link.listRevision < list().revision) {
+    if (update.requestsList || link.listRevision < list().revision) {
         link.listRevision = list().revision;
         reply.list = makeDelta(VmList{}, list());
         needed = true;
     }
     if (update.listRevision > list().revision && !update.list) {
-        reply.wantsList = true;
+        reply.requestsList = true;
         needed = true;
     }
     if (needed)
@@ -360,59 +360,59 @@
 }
 
 // Remembers a peer that names a newer version without sending it.
-void Replicator::noteNewer(const std::string &peer, const PeerUpdate &update)
+void Replicator::recordNewerVersion(const std::string &peer, const PeerUpdate &update)
 {
     const bool behind = update.headVersion > head().version && !update.head
-                        && m_configuration.collecting() < update.headVersion;
-    if (behind && (!m_newer || m_newer->version < update.headVersion))
-        m_newer = Newer{update.headVersion, peer, m_clock.now()};
+                        && m_configuration.pendingVersion() < update.headVersion;
+    if (behind && (!m_newerVersion || m_newerVersion->version < update.headVersion))
+        m_newerVersion = NewerVersion{update.headVersion, peer, m_clock.now()};
 }
 
 // ---------------------------------------------------------------- time
 
 void Replicator::tick()
 {
-    if (m_firstHead && !mustHearPeersFirst())
-        offerHead(*std::exchange(m_firstHead, std::nullopt), "");
-    heartbeat();
-    lookForSilence();
-    lookForOrphanhood();
-    askForNewer();
-    const bool collecting = m_configuration.collecting() != 0;
-    if (collecting && m_clock.now() - m_collecting.askedAt >= m_limits.askAgain)
-        askForParts();
+    if (m_deferredHead && !mustWaitForPeers())
+        offerHead(*std::exchange(m_deferredHead, std::nullopt), "");
+    sendHeartbeats();
+    suspectSilentPeers();
+    checkOrphaned();
+    requestNewerHead();
+    const bool pendingVersion = m_configuration.pendingVersion() != 0;
+    if (pendingVersion && m_clock.now() - m_fetch.requestedAt >= m_timings.retryRequestAfter)
+        requestParts();
 }
 
-void Replicator::heartbeat()
+void Replicator::sendHeartbeats()
 {
-    for (const std::string &it : m_peers.unsentFor(m_limits.heartbeat))
+    for (const std::string &it : m_peers.sentNothingFor(m_timings.heartbeat))
         send(it, baseUpdate());
 }
 
-void Replicator::lookForSilence()
+void Replicator::suspectSilentPeers()
 {
-    for (const std::string &it : m_peers.silentFor(m_limits.suspectAfter))
+    for (const std::string &it : m_peers.silentFor(m_timings.suspectAfter))
         suspect(it);
 }
 
 // Without any link for long, a node that is no relay reads the platform by itself, at a moment of
 // its own so that a whole domain does not come at once.
-void Replicator::lookForOrphanhood()
+void Replicator::checkOrphaned()
 {
-    const bool alone = m_peers.links().empty() && !m_place.relay && list().revision > 0;
+    const bool alone = m_peers.links().empty() && !m_position.relay && list().revision > 0;
     if (!alone) {
-        m_aloneSince.reset();
+        m_noLinksSince.reset();
         return;
     }
     const TimePoint now = m_clock.now();
-    if (!m_aloneSince) {
-        m_aloneSince = now;
+    if (!m_noLinksSince) {
+        m_noLinksSince = now;
         m_jitter = Duration(static_cast<std::int64_t>(
-            m_random() % static_cast<std::uint64_t>(m_limits.orphanAfter.count())));
+            m_random() % static_cast<std::uint64_t>(m_timings.orphanAfter.count())));
     }
-    if (!m_reading && now - *m_aloneSince >= m_limits.orphanAfter + m_jitter) {
+    if (!m_readsPlatform && now - *m_noLinksSince >= m_timings.orphanAfter + m_jitter) {
         m_actions.emplace_back(ReplicatorAlarm{ReplicatorAlarm::Kind::Orphaned, 0, head().version});
-        setReading(true);
+        setPlatformReading(true);
     }
 }
 
@@ -430,14 +430,14 @@
 {
     // Once for all that the events since the last call have changed.
     if (std::exchange(m_membersChanged, false))
-        changed();
+        updateMembers();
     return std::exchange(m_actions, {});
 }
 
-void Replicator::setReading(bool enabled)
+void Replicator::setPlatformReading(bool enabled)
 {
-    if (std::exchange(m_reading, enabled) != enabled)
-        m_actions.emplace_back(ReadPlatform{enabled});
+    if (std::exchange(m_readsPlatform, enabled) != enabled)
+        m_actions.emplace_back(SetPlatformReading{enabled});
 }
 
 PeerUpdate Replicator::baseUpdate() const
--- a/src/core/submission.cpp
+++ b/src/core/submission.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kRecentIds = 64; // a minute and a half of changes at the target rate
-constexpr std::size_t kMostDeltaBytes = 32'768; // a larger change is fetched piece by piece
+constexpr std::size_t kMaxRecentIds = 64; // a minute and a half of changes at the target rate
+constexpr std::size_t kMaxDeltaBytes = 32'768; // a larger change is fetched piece by piece
 constexpr std::size_t kWritesPerCall = 64; // below the usual limit of operations per transaction
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr Duration kRetryPause = std::chrono::milliseconds(200);
@@ -70,24 +70,24 @@
             lastError = written.error().text;
             continue;
         }
-        ConfigHead next = successor(*base, submission, manifestSha256);
+        ConfigHead next = makeNextHead(*base, submission, manifestSha256);
         next.delta = deltaFrom(base->head, pieces);
-        return settle(submission, *base, next, *written, end);
+        return swapHead(submission, *base, next, *written, end);
     } while (waitBeforeRetry(end));
     return {SubmissionOutcome::NotStored, 0, lastError, 0};
 }
 
-StoreResult<Submitter::Base> Submitter::readHead()
+StoreResult<Submitter::StoredHead> Submitter::readHead()
 {
     const auto stored = m_store.get(headKey(), kCallTimeout);
     if (!stored)
         return tl::make_unexpected(stored.error());
     if (!*stored)
-        return Base{};
+        return StoredHead{};
     const auto head = m_codec.decodeHead((*stored)->value);
     if (!head)
         return tl::make_unexpected(StoreError{RunState::NotRun, "the stored head is damaged"});
-    return Base{*head, (*stored)->revision};
+    return StoredHead{*head, (*stored)->revision};
 }
 
 StoreResult<std::size_t> Submitter::writePieces(const Submission &submission,
@@ -161,13 +161,13 @@
     std::size_t bytes = 0;
     for (const PieceSplice &it : delta.splices)
         bytes += it.middle.size() + it.name.size() + it.sha256.size();
-    if (bytes > kMostDeltaBytes)
+    if (bytes > kMaxDeltaBytes)
         return std::nullopt;
     return delta;
 }
 
-SubmissionResult Submitter::settle(const Submission &submission, const Base &base,
-                                   const ConfigHead &next, std::size_t written, TimePoint end)
+SubmissionResult Submitter::swapHead(const Submission &submission, const StoredHead &base,
+                                     const ConfigHead &next, std::size_t written, TimePoint end)
 {
     const std::vector<ConditionalWrite> swap{{headKey(), base.revision, m_codec.encodeHead(next)}};
     bool mayHaveRun = false;
@@ -197,8 +197,8 @@
             lastError, written};
 }
 
-ConfigHead Submitter::successor(const Base &base, const Submission &submission,
-                                const std::string &manifestSha256) const
+ConfigHead Submitter::makeNextHead(const StoredHead &base, const Submission &submission,
+                                   const std::string &manifestSha256) const
 {
     ConfigHead next;
     next.version = base.head.version + 1;
@@ -207,7 +207,7 @@
     next.submissionId = submission.id;
     next.recentSubmissionIds = base.head.recentSubmissionIds;
     next.recentSubmissionIds.push_back(submission.id);
-    if (next.recentSubmissionIds.size() > kRecentIds)
+    if (next.recentSubmissionIds.size() > kMaxRecentIds)
         next.recentSubmissionIds.erase(next.recentSubmissionIds.begin());
     next.accepted = m_clock.wallNow();
     return next;
--- a/src/core/tenure.cpp
+++ b/src/core/tenure.cpp
@@ -22,22 +22,22 @@
     return rendezvousWinner(stableHash("partition/" + std::to_string(partition)), nodeHashes);
 }
 
-int keeperIndex(std::uint32_t value, const std::vector<std::uint64_t> &nodeHashes)
+int tenureExtenderIndex(std::uint32_t value, const std::vector<std::uint64_t> &nodeHashes)
 {
     return rendezvousWinner(stableHash("keeper/" + std::to_string(value)), nodeHashes);
 }
 
 std::map<std::uint32_t, TenureChain>
 extendTenures(std::map<std::uint32_t, TenureChain> chains, std::uint32_t value,
-              const std::function<KeyHolder(std::uint32_t partition)> &wanted, WallTime now,
-              const TenureLimits &limits)
+              const std::function<KeyHolder(std::uint32_t partition)> &holderOf, WallTime now,
+              const TenureTimings &timings)
 {
-    const auto ms
+    const auto toMilliseconds
         = [](Duration time) { return std::chrono::duration_cast<std::chrono::milliseconds>(time); };
-    const WallTime until = now + ms(limits.horizon);
-    const WallTime oldest = now - ms(limits.window);
+    const WallTime until = now + toMilliseconds(timings.horizon);
+    const WallTime oldest = now - toMilliseconds(timings.window);
     for (std::uint32_t partition = value; partition < kKeyPartitions; partition += kTenureValues) {
-        const KeyHolder holder = wanted(partition);
+        const KeyHolder holder = holderOf(partition);
         TenureChain &chain = chains[partition];
         std::erase_if(chain, [&](const Tenure &it) { return it.until <= oldest; });
         if (holder.node.empty())
@@ -46,7 +46,8 @@
             chain.back().until = std::max(chain.back().until, until);
             continue;
         }
-        const WallTime from = chain.empty() ? now - ms(limits.horizon) : chain.back().until;
+        const WallTime from
+            = chain.empty() ? now - toMilliseconds(timings.horizon) : chain.back().until;
         if (from < until)
             chain.push_back({holder, from, until});
     }
--- a/src/node/control_duty.cpp
+++ b/src/node/control_duty.cpp
@@ -299,7 +299,7 @@
     m_hasConfiguration = true;
     m_contexts.setStores(config.stores);
     if (const std::size_t most = mostContextReaders(config); most > 0)
-        m_role.setMostReaders(most);
+        m_role.setMaxReaders(most);
     tell(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
 }
 
@@ -659,7 +659,7 @@
     peers.relays = roster.relays();
     if (!usesSums()) {
         peers.liveNodes = m_liveNodes;
-        peers.reachingInDomain = roster.reachingStoreNear();
+        peers.relaysReachingStore = roster.reachingStoreNear();
         return peers;
     }
     const auto relays = roster.relaysNear();
@@ -669,11 +669,11 @@
     };
     // Known ones, as a node that has just started hears nobody yet.
     peers.liveNodes = roster.size() + 1;
-    peers.reachingInDomain = roster.relayCandidatesNear();
-    peers.knownBefore = roster.knownBefore();
-    peers.relayAnswered = anyRelay(&PeerRoster::Peer::reachesStore);
-    peers.relayHears = anyRelay(&PeerRoster::Peer::hearsStore);
-    peers.isAnswered = m_store.isReachable();
+    peers.relaysReachingStore = roster.relayCandidatesNear();
+    peers.higherRanked = roster.knownBefore();
+    peers.relayReachesStore = anyRelay(&PeerRoster::Peer::reachesStore);
+    peers.relayGetsStoreChanges = anyRelay(&PeerRoster::Peer::hearsStore);
+    peers.reachesStore = m_store.isReachable();
     return peers;
 }
 
--- a/src/node/control_limits.cpp
+++ b/src/node/control_limits.cpp
@@ -37,11 +37,11 @@
             least = n;
     };
     for (const ContextStore &it : config.stores)
-        note(it.mostReaders);
+        note(it.maxReaders);
     if (least > 0)
         return least;
     for (const ServicePool &it : config.services)
-        note(it.engine ? it.engine->mostReaders : 0);
+        note(it.engine ? it.engine->maxReaders : 0);
     return least;
 }
 
@@ -57,7 +57,7 @@
     if (!settings.mechanisms.relays)
         limits.smallFleet = std::numeric_limits<std::size_t>::max();
     else if (settings.mechanisms.loadSums)
-        limits.learning = kLearning;
+        limits.discovery = kLearning;
     return limits;
 }
 
--- a/src/node/load_exchange.cpp
+++ b/src/node/load_exchange.cpp
@@ -23,7 +23,7 @@
     const PeerRoster::Self &self = m_peers.roster().self();
     const bool isNear = message.failureDomain == self.failureDomain;
     if (message.leaving) {
-        m_sums.forgetNode(message.node);
+        m_sums.removeNode(message.node);
         return;
     }
     switch (message.scope) {
@@ -73,13 +73,13 @@
 Duration LoadExchange::tellSums(Gossip message)
 {
     message.scope = LoadScope::Domain;
-    message.load = m_sums.ofDomain();
+    message.load = m_sums.domainSum();
     std::size_t bytes = m_peers.sendAcross(message);
-    LoadReport others = m_sums.ofOthers();
+    LoadReport others = m_sums.othersSum();
     message.scope = LoadScope::Fleet;
     message.load = others;
     message.load += m_sums.own();
-    message.numbers = m_sums.numbers();
+    message.numbers = m_sums.reportNumbers();
     bytes += m_peers.sendNear(message);
     noteOthers(std::move(others));
     const std::chrono::duration<double> onLink(static_cast<double>(bytes)
--- a/src/node/load_exchange.hpp
+++ b/src/node/load_exchange.hpp
@@ -44,7 +44,7 @@
     std::size_t liveNodes() const { return m_liveNodes; }
 
     // Nodes that report to this one.
-    std::size_t reportingNodes() const { return m_sums.keptNodes(); }
+    std::size_t reportingNodes() const { return m_sums.nodeCount(); }
 
 private:
     void report(Gossip message);
--- a/src/node/quarantine_duty.hpp
+++ b/src/node/quarantine_duty.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fordwood/news_spreader.hpp"
+#include "fordwood/gossip_queue.hpp"
 #include "fordwood/quarantine.hpp"
 #include "fordwood/store_replica.hpp"
 #include "node/store_link.hpp"
@@ -37,8 +37,8 @@
     void takeStored(const RequestFingerprint &request, const std::vector<std::uint64_t> &lives);
 
     // What goes into the next message to peers, and whether that should go soon.
-    std::vector<RequestNews> newsForPeers() { return m_spreader.next(); }
-    bool hasNews() const { return m_spreader.hasNew(); }
+    std::vector<RequestNews> newsForPeers() { return m_spreader.takeDue(); }
+    bool hasNews() const { return m_spreader.hasUnsent(); }
 
     void tick();
 
@@ -74,7 +74,7 @@
     const StoreReplica &m_replica;
     Tell m_tell;
     Quarantine m_quarantine;
-    NewsSpreader m_spreader;
+    GossipQueue m_spreader;
     std::set<RequestFingerprint> m_own; // suspects under this node's own sends
     std::map<RequestFingerprint, Write> m_writes;
     TimePoint m_nextSweep{};
--- a/tests/node/load_exchange_test.cpp
+++ b/tests/node/load_exchange_test.cpp
@@ -30,10 +30,10 @@
         RelayFleet fleet(3, nodesInEach, subnet);
         fleet.withRelays().run(5);
         const std::size_t last = fleet.nodes().size() - 1;
-        const std::size_t heard = fleet.nodes()[last].heard;
+        const std::size_t heard = fleet.nodes()[last].received;
         const std::size_t sent = fleet.nodes()[last].links->datagramsSent();
         fleet.run(10);
-        return std::pair(fleet.nodes()[last].heard - heard,
+        return std::pair(fleet.nodes()[last].received - heard,
                          fleet.nodes()[last].links->datagramsSent() - sent);
     };
     // Ten rounds: one message of either relay, and one to either, in each.
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -238,7 +238,7 @@
     CHECK(config->services[1].coldRequestsPerSecond == 14.0);
     REQUIRE(config->stores.size() == 1);
     CHECK(config->stores[0].address == "10.0.0.9:80");
-    CHECK(config->stores[0].mostReaders == 12);
+    CHECK(config->stores[0].maxReaders == 12);
     CHECK(config->limits.idleTimeout == 15s);
     CHECK(config->limits.maxBodyBytes == 4'194'304);
     REQUIRE(config->teams.size() == 2);
--- a/tests/node/quarantine_duty_test.cpp
+++ b/tests/node/quarantine_duty_test.cpp
@@ -48,7 +48,7 @@
 {
     RelayFleet fleet(3, 20, 88);
     fleet.withRelays().run(6);
-    fleet.loseEach(3);
+    fleet.dropEveryNth(3);
     for (const std::size_t n : {57U, 58U, 59U})
         fleet.nodes()[n].quarantine->takeOwn({{kFatal, n}});
     fleet.run(30);
--- a/tests/node/weights_fleet.hpp
+++ b/tests/node/weights_fleet.hpp
@@ -15,7 +15,7 @@
 #include "node/control_duty.hpp"
 #include "node/traffic.hpp"
 #include "process/platform_standins.hpp"
-#include "support/counted_clock.hpp"
+#include "support/counting_clock.hpp"
 
 namespace fordwood::node {
 
@@ -29,7 +29,7 @@
     WeightsNode(const WeightsNode &) = delete;
     WeightsNode &operator=(const WeightsNode &) = delete;
 
-    CountedClock &clock() { return m_clock; }
+    CountingClock &clock() { return m_clock; }
 
     // The newest weights that the serving thread knows of; zero: none.
     std::uint64_t newestWeights();
@@ -50,7 +50,7 @@
     void takeUpdates();
 
     const config::OneProcessSettings m_settings;
-    CountedClock m_clock;
+    CountingClock m_clock;
     adapters::Metrics m_metrics;
     net::io_context m_context; // of the serving thread; never runs
     Traffic m_traffic;
--- a/tests/support/counted_clock.hpp
+++ b/tests/support/counting_clock.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_TESTS_SUPPORT_COUNTED_CLOCK_HPP_INCLUDED
-#define FORDWOOD_TESTS_SUPPORT_COUNTED_CLOCK_HPP_INCLUDED
+#ifndef FORDWOOD_TESTS_SUPPORT_COUNTING_CLOCK_HPP_INCLUDED
+#define FORDWOOD_TESTS_SUPPORT_COUNTING_CLOCK_HPP_INCLUDED
 
 #include <atomic>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 // A paused clock that other threads may read while a test moves it. It counts how often it was
 // read, so that the test can wait until a thread has seen the new time.
-class CountedClock : public Clock
+class CountingClock : public Clock
 {
 public:
     TimePoint now() const override
--- a/tests/support/relay_fleet.hpp
+++ b/tests/support/relay_fleet.hpp
@@ -50,7 +50,7 @@
         Node &node = m_nodes[n];
         node.links = std::make_unique<PeerLinks>(
             m_context, m_clock, PeerLinks::Self{node.name, node.domain, node.strength}, kSmallFleet,
-            [this, n](const Gossip &it) { heard(m_nodes[n], it); });
+            [this, n](const Gossip &it) { onMessage(m_nodes[n], it); });
         node.exchange = std::make_unique<LoadExchange>(
             m_clock, *node.links, LoadExchange::Pace{200ms, kLinkBytesPerSecond},
             [this, n](LoadReport it) { m_nodes[n].others = std::move(it); });
@@ -81,7 +81,7 @@
     }
 
     // From now on each so many-th message that arrives anywhere is lost; zero: none.
-    void loseEach(std::size_t nth) { m_loseEach = nth; }
+    void dropEveryNth(std::size_t nth) { m_dropEvery = nth; }
 
     // Each live node sends what is due, `rounds` times in 100 ms.
     void run(int rounds)
@@ -91,13 +91,13 @@
                 if (it.links)
                     send(it);
             }
-            settle();
+            deliverAll();
             m_clock.advance(100ms);
         }
     }
 
     // Datagrams on loopback have arrived when they are sent.
-    void settle()
+    void deliverAll()
     {
         while (m_context.poll() > 0) { }
     }
@@ -114,7 +114,7 @@
         std::optional<LoadReport> others;
         std::unique_ptr<QuarantineDuty> quarantine;
         std::vector<RequestNews> requestNews; // told by others
-        std::size_t heard = 0;
+        std::size_t received = 0;
     };
 
     std::size_t runningElsewhere(std::size_t n) const
@@ -128,7 +128,7 @@
 
 private:
     // Hears nothing of a store that is not there.
-    struct DeafListener : StoreListener
+    struct NullListener : StoreListener
     {
         void storeTold(const StoreChanges & /*changes*/,
                        const StoreAnswerTimes & /*times*/) override
@@ -136,12 +136,12 @@
         void storeReachable(bool /*reachable*/) override { }
     };
 
-    void heard(Node &node, const Gossip &message)
+    void onMessage(Node &node, const Gossip &message)
     {
-        m_arrived += 1;
-        if (m_loseEach > 0 && m_arrived % m_loseEach == 0)
+        m_receivedCount += 1;
+        if (m_dropEvery > 0 && m_receivedCount % m_dropEvery == 0)
             return;
-        node.heard += 1;
+        node.received += 1;
         node.exchange->take(message, node.isRelay);
         node.quarantine->takeHeard(message.requestNews, node.isRelay);
     }
@@ -168,11 +168,11 @@
     net::io_context m_context;
     HttpCaller m_caller{m_context, m_clock};
     StoreReplica m_replica;
-    DeafListener m_deaf;
-    StoreLink m_store{m_context, m_caller, m_clock, "127.0.0.1:1", m_replica, m_deaf};
+    NullListener m_listener;
+    StoreLink m_store{m_context, m_caller, m_clock, "127.0.0.1:1", m_replica, m_listener};
     std::vector<Node> m_nodes;
-    std::size_t m_loseEach = 0;
-    std::size_t m_arrived = 0;
+    std::size_t m_dropEvery = 0;
+    std::size_t m_receivedCount = 0;
 };
 
 } // namespace fordwood::node
--- a/tests/support/replica_fleet.cpp
+++ b/tests/support/replica_fleet.cpp
@@ -27,7 +27,7 @@
         m_list.entryVms.push_back(node.member);
         m_nodes.push_back(std::move(node));
     }
-    changeList();
+    publishList();
     for (int it = 0; it < nodes; ++it)
         restart(it);
 }
@@ -42,7 +42,7 @@
     const SubmissionResult result = submitter.submit(submission, std::chrono::seconds(2));
     if (result.outcome != SubmissionOutcome::Accepted)
         return 0;
-    m_heads.push_back(*codec.decodeHead(store.values.at(headKey()).value));
+    m_acceptedHeads.push_back(*codec.decodeHead(store.values.at(headKey()).value));
     return result.version;
 }
 
@@ -52,7 +52,7 @@
         step();
 }
 
-bool ReplicaFleet::runUntilServed(std::uint64_t wanted, Duration most, Duration *took)
+bool ReplicaFleet::runUntilServed(std::uint64_t wanted, Duration limit, Duration *took)
 {
     const TimePoint begin = clock.now();
     while (true) {
@@ -61,7 +61,7 @@
         });
         if (took != nullptr)
             *took = clock.now() - begin;
-        if (all || clock.now() - begin > most)
+        if (all || clock.now() - begin > limit)
             return all;
         step();
     }
@@ -90,7 +90,7 @@
         it = m_linked.erase(it);
     }
     node.replicator = nullptr;
-    node.dialled.clear();
+    node.dialledPeers.clear();
     node.reading = false;
     node.served = 0;
     node.firstServed = 0;
@@ -103,15 +103,15 @@
     Node &node = m_nodes[static_cast<std::size_t>(index)];
     node.paused = false;
     node.replicator = std::make_unique<Replicator>(node.member, node.boot = ++m_boots, clock, codec,
-                                                   ReplicatorLimits{}, m_random());
+                                                   ReplicatorTimings{}, m_random());
     if (m_seeds) {
         for (const Node &it : m_nodes) {
-            if (it.member.name != node.member.name && it.replicator && node.dialled.size() < 2)
-                node.dialled.insert(it.member.name);
+            if (it.member.name != node.member.name && it.replicator && node.dialledPeers.size() < 2)
+                node.dialledPeers.insert(it.member.name);
         }
     }
     node.replicator->start();
-    carryOut(node);
+    executeActions(node);
 }
 
 void ReplicaFleet::setPaused(int node, bool paused)
@@ -119,12 +119,12 @@
     m_nodes[static_cast<std::size_t>(node)].paused = paused;
 }
 
-void ReplicaFleet::cutDomain(const std::string &domain, bool cut)
+void ReplicaFleet::setDomainIsolated(const std::string &domain, bool isolated)
 {
-    if (cut)
-        m_cut.insert(domain);
+    if (isolated)
+        m_isolatedDomains.insert(domain);
     else
-        m_cut.erase(domain);
+        m_isolatedDomains.erase(domain);
 }
 
 void ReplicaFleet::setPlatformDown(bool down)
@@ -135,7 +135,7 @@
 
 void ReplicaFleet::restoreOldHead(std::uint64_t wanted)
 {
-    for (const ConfigHead &it : m_heads) {
+    for (const ConfigHead &it : m_acceptedHeads) {
         if (it.version == wanted)
             store.values[headKey()].value = codec.encodeHead(it);
     }
@@ -147,7 +147,7 @@
         m_list.leavingUpstreams.insert(name);
     else
         m_list.leavingUpstreams.erase(name);
-    changeList();
+    publishList();
 }
 
 std::uint64_t ReplicaFleet::version(int node) const
@@ -188,12 +188,12 @@
         it.bytes = 0;
 }
 
-std::uint64_t ReplicaFleet::mostBytesOfOneNode() const
+std::uint64_t ReplicaFleet::maxNodeBytes() const
 {
-    std::uint64_t most = 0;
+    std::uint64_t result = 0;
     for (const Node &it : m_nodes)
-        most = std::max(most, it.bytes);
-    return most;
+        result = std::max(result, it.bytes);
+    return result;
 }
 
 void ReplicaFleet::step()
@@ -214,18 +214,18 @@
 
 void ReplicaFleet::stepNow()
 {
-    connect();
+    updateLinks();
     deliver();
     for (Node &it : m_nodes) {
         if (!it.replicator || it.paused)
             continue;
         readPlatform(it);
         it.replicator->tick();
-        carryOut(it);
+        executeActions(it);
     }
 }
 
-void ReplicaFleet::carryOut(Node &node)
+void ReplicaFleet::executeActions(Node &node)
 {
     for (const ReplicatorAction &action : node.replicator->takeActions()) {
         if (const auto *update = std::get_if<SendUpdate>(&action)) {
@@ -234,12 +234,12 @@
             ++m_messages;
             m_bytes += size;
             node.bytes += size;
-            m_wire.push_back({node.member.name, update->peer, update->update});
-        } else if (const auto *keep = std::get_if<KeepLinks>(&action)) {
-            node.dialled.clear();
-            for (const Member &it : keep->peers)
-                node.dialled.insert(it.name);
-        } else if (const auto *reading = std::get_if<ReadPlatform>(&action)) {
+            m_inFlight.push_back({node.member.name, update->peer, update->update});
+        } else if (const auto *links = std::get_if<SetOutgoingLinks>(&action)) {
+            node.dialledPeers.clear();
+            for (const Member &it : links->peers)
+                node.dialledPeers.insert(it.name);
+        } else if (const auto *reading = std::get_if<SetPlatformReading>(&action)) {
             node.reading = reading->enabled;
         } else if (const auto *fetch = std::get_if<FetchBlobs>(&action)) {
             if (!platformReachable(node))
@@ -256,7 +256,7 @@
             for (const std::string &it : fetch->pieces)
                 add(pieceKey(it), it);
             node.replicator->platformBlobs(blobs);
-            carryOut(node);
+            executeActions(node);
         } else if (const auto *applied = std::get_if<ApplyConfiguration>(&action)) {
             m_wentBack = m_wentBack || applied->head.version <= node.served;
             node.served = applied->head.version;
@@ -272,13 +272,13 @@
 }
 
 // Links come up where a live node dials a live one that it can reach, and go down otherwise.
-void ReplicaFleet::connect()
+void ReplicaFleet::updateLinks()
 {
     std::set<Pair> wanted;
     for (const Node &node : m_nodes) {
         if (!node.replicator)
             continue;
-        for (const std::string &it : node.dialled) {
+        for (const std::string &it : node.dialledPeers) {
             const Node *peer = find(it);
             if (peer != nullptr && peer->replicator && reachable(node, *peer))
                 wanted.emplace(node.member.name, it);
@@ -308,7 +308,7 @@
 
 void ReplicaFleet::deliver()
 {
-    std::deque<Message> arriving = std::exchange(m_wire, {});
+    std::deque<Message> arriving = std::exchange(m_inFlight, {});
     for (Message &it : arriving) {
         Node *to = find(it.to);
         const bool linked
@@ -316,11 +316,11 @@
         if (to == nullptr || !to->replicator || !linked)
             continue;
         if (to->paused) {
-            m_wire.push_back(std::move(it)); // lies in the socket
+            m_inFlight.push_back(std::move(it)); // lies in the socket
             continue;
         }
         to->replicator->updateArrived(it.from, it.update);
-        carryOut(*to);
+        executeActions(*to);
     }
 }
 
@@ -348,12 +348,13 @@
 {
     const std::string &left = a.member.failureDomain;
     const std::string &right = b.member.failureDomain;
-    return left == right || (m_cut.count(left) == 0 && m_cut.count(right) == 0);
+    return left == right
+           || (m_isolatedDomains.count(left) == 0 && m_isolatedDomains.count(right) == 0);
 }
 
 bool ReplicaFleet::platformReachable(const Node &node) const
 {
-    return !m_platformDown && m_cut.count(node.member.failureDomain) == 0;
+    return !m_platformDown && m_isolatedDomains.count(node.member.failureDomain) == 0;
 }
 
 VmList ReplicaFleet::laggedList() const
@@ -366,7 +367,7 @@
     return *list;
 }
 
-void ReplicaFleet::changeList()
+void ReplicaFleet::publishList()
 {
     ++m_list.revision;
     m_lists.emplace_back(clock.now(), m_list);
--- a/tests/support/replica_fleet.hpp
+++ b/tests/support/replica_fleet.hpp
@@ -35,13 +35,14 @@
     void run(Duration time);
 
     // Runs until every live node serves the version; false after `most`. `took` gets the time.
-    bool runUntilServed(std::uint64_t version, Duration most, Duration *took = nullptr);
+    bool runUntilServed(std::uint64_t version, Duration limit, Duration *took = nullptr);
 
     void kill(int node);
     void stop(int node); // says goodbye, and goes on until it is killed
     void restart(int node); // with empty memory
     void setPaused(int node, bool paused); // hears and does nothing; its links stay
-    void cutDomain(const std::string &domain, bool cut); // from all others and from the platform
+    void setDomainIsolated(const std::string &domain,
+                           bool isolated); // from all others and from the platform
     void setPlatformDown(bool down);
     void setListLag(Duration lag) { m_listLag = lag; }
     Duration listLag() const { return m_listLag; }
@@ -62,7 +63,7 @@
     int relays() const;
     std::uint64_t alarms() const { return m_alarms; }
     // Did any node ever serve a lower version after a higher one?
-    bool versionsWentBack() const { return m_wentBack; }
+    bool versionEverDecreased() const { return m_wentBack; }
     bool paused(int node) const { return m_nodes[static_cast<std::size_t>(node)].paused; }
     bool platformDown() const { return m_platformDown; }
     bool reaches(int a, int b) const;
@@ -79,7 +80,7 @@
     void resetCounters();
     std::uint64_t messages() const { return m_messages; }
     std::uint64_t bytes() const { return m_bytes; }
-    std::uint64_t mostBytesOfOneNode() const;
+    std::uint64_t maxNodeBytes() const;
     std::uint64_t platformCalls() const { return m_platformCalls; }
 
     ManualClock clock;
@@ -91,7 +92,7 @@
     {
         Member member;
         std::unique_ptr<Replicator> replicator; // null: dead
-        std::set<std::string> dialled;
+        std::set<std::string> dialledPeers;
         bool reading = false;
         bool paused = false;
         std::uint64_t boot = 0;
@@ -110,24 +111,24 @@
     using Pair = std::pair<std::string, std::string>;
 
     void step();
-    void carryOut(Node &node);
-    void connect();
+    void executeActions(Node &node);
+    void updateLinks();
     void deliver();
     void readPlatform(Node &node);
     bool reachable(const Node &a, const Node &b) const;
     bool platformReachable(const Node &node) const;
     VmList laggedList() const;
-    void changeList();
+    void publishList();
     Node *find(const std::string &name);
 
     std::vector<Node> m_nodes;
     std::map<std::string, int> m_indices;
     std::set<Pair> m_linked; // dialler, peer
-    std::deque<Message> m_wire;
+    std::deque<Message> m_inFlight;
     std::vector<std::pair<TimePoint, VmList>> m_lists;
     VmList m_list;
-    std::set<std::string> m_cut; // domains
-    std::vector<ConfigHead> m_heads;
+    std::set<std::string> m_isolatedDomains; // domains
+    std::vector<ConfigHead> m_acceptedHeads;
     bool m_platformDown = false;
     bool m_seeds = false;
     Duration m_listLag{0};
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -617,7 +617,7 @@
         disturbed = disturbed || fleet.paused(it) || !fleet.reachesPlatform(it);
     if (disturbed)
         m_lastDisturbance = fleet.clock.now();
-    if (fleet.versionsWentBack())
+    if (fleet.versionEverDecreased())
         violate("a configuration version went back");
     for (const WorldResult &it : m_results) {
         if (!it.request.repeatable && it.runs > 1)
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -120,7 +120,7 @@
     void kill(int node); // the whole VM
     void restart(int node);
     void pause(int node, bool paused);
-    void cutDomain(const std::string &domain, bool cut) { fleet.cutDomain(domain, cut); }
+    void cutDomain(const std::string &domain, bool cut) { fleet.setDomainIsolated(domain, cut); }
     void setPlatformDown(bool down) { fleet.setPlatformDown(down); }
     void loseNextReplies(int n);
     void setPlatformSlow(bool slow) { fleet.store.slow = slow; }
--- a/tests/support/world_keys.cpp
+++ b/tests/support/world_keys.cpp
@@ -32,7 +32,7 @@
 void World::extendTenures(int index)
 {
     Node &node = m_nodes[static_cast<std::size_t>(index)];
-    const TenureLimits limits;
+    const TenureTimings limits;
     if (!node.view || fleet.clock.now() < node.nextTenures)
         return;
     node.nextTenures = fleet.clock.now() + limits.period;
@@ -44,7 +44,7 @@
     if (!fleet.reachesPlatform(index))
         return;
     for (std::uint32_t value = 0; value < kTenureValues; ++value) {
-        const int keeper = keeperIndex(value, seen.hashes);
+        const int keeper = tenureExtenderIndex(value, seen.hashes);
         if (keeper < 0
             || seen.holders[static_cast<std::size_t>(keeper)].node != fleet.member(index).name)
             continue;
--- a/tests/unit/configuration_test.cpp
+++ b/tests/unit/configuration_test.cpp
@@ -16,7 +16,7 @@
 
 const std::string kDigest(64, 'a');
 
-const std::string kSound = R"([[failure_domain]]
+const std::string kValid = R"([[failure_domain]]
 name = "a"
 region = "r"
 [[model]]
@@ -64,7 +64,7 @@
 
 TEST_CASE("configuration: a sound one is accepted [configuration]")
 {
-    CHECK(firstError(kSound) == "");
+    CHECK(firstError(kValid) == "");
 }
 
 TEST_CASE(
@@ -93,22 +93,22 @@
          "f.toml:2:20: limits.default_deadline: is \"soon\""},
         {"[limits]\ndefault_deadline = \"20m\"\n",
          "limits.default_deadline: is longer than max_deadline"},
-        {kSound + team + team, "team.name: \"u\" stands twice"},
-        {kSound + "[[team]]\nname = \"u\"\nkey_sha256 = [\"" + kDigest + "\"]\n", "shares a key"},
-        {kSound
+        {kValid + team + team, "team.name: \"u\" stands twice"},
+        {kValid + "[[team]]\nname = \"u\"\nkey_sha256 = [\"" + kDigest + "\"]\n", "shares a key"},
+        {kValid
              + "[[upstream]]\nname = \"x\"\nkind = \"engine\"\nfailure_domain = \"zz\"\n"
                "address = \"127.0.0.1:1\"\nmodels = [\"m\"]\nslots = 1\n",
          "upstream.failure_domain: \"zz\" is not declared"},
-        {kSound
+        {kValid
              + "[[upstream]]\nname = \"x\"\nkind = \"engin\"\nfailure_domain = \"a\"\n"
                "address = \"127.0.0.1:1\"\nmodels = [\"m\"]\nslots = 1\n",
          "upstream.kind: is \"engin\""},
-        {kSound
+        {kValid
              + "[[upstream]]\nname = \"x\"\nkind = \"service\"\nfailure_domain = \"a\"\n"
                "address = \"somewhere:1\"\nservice = \"s\"\nslots = 1\n",
          "upstream.address: is \"somewhere:1\", expected IP:port"},
-        {kSound + "[[route]]\npath = \"/v1/x\"\nservice = \"s\"\n", "route.path: is \"/v1/x\""},
-        {kSound + "[[route]]\npath = \"/x\"\nservice = \"s\"\n",
+        {kValid + "[[route]]\npath = \"/v1/x\"\nservice = \"s\"\n", "route.path: is \"/v1/x\""},
+        {kValid + "[[route]]\npath = \"/x\"\nservice = \"s\"\n",
          "route.service: \"s\" has no upstream"},
     };
     for (const Case &it : cases) {
@@ -163,7 +163,7 @@
     "configuration: put together from pieces, step by step, as if read at once [configuration]")
 {
     const auto text = [](int from, int to) {
-        std::string teams = kSound;
+        std::string teams = kValid;
         for (int it = from; it < to; ++it)
             teams += "[[team]]\nname = \"t" + std::to_string(it) + "\"\nkey_sha256 = [\""
                      + std::string(61, '0') + std::to_string(100 + it) + "\"]\n";
--- a/tests/unit/control_parts_test.cpp
+++ b/tests/unit/control_parts_test.cpp
@@ -50,12 +50,12 @@
     list.revision = 1;
     for (const std::string &it : names)
         list.entryVms.push_back({it, "x", "r", "127.0.0.1:1", false});
-    table.take(list);
+    table.update(list);
     return table;
 }
 
 // Hears of admissions.
-struct Admitted : TeamAdmission::Listener
+struct RecordingListener : TeamAdmission::Listener
 {
     void entered(CallId call) override { in.push_back(call); }
     void refused(CallId call) override { out.push_back(call); }
@@ -84,19 +84,19 @@
 {
     const StoredConfiguration stored(3);
     ConfigurationCopy copy(stored.codec);
-    CHECK(copy.offer(stored.head) == ConfigurationCopy::Offer::NeedsParts);
+    CHECK(copy.offer(stored.head) == ConfigurationCopy::OfferResult::NeedsParts);
     CHECK(copy.missing().manifests == std::vector<std::string>{stored.head.manifestSha256});
-    CHECK(copy.take({stored.manifestBlob()}) == ConfigurationCopy::Progress::NeedsParts);
+    CHECK(copy.addBlobs({stored.manifestBlob()}) == ConfigurationCopy::Progress::NeedsParts);
     CHECK(copy.missing().pieces.size() == 3);
 
     std::vector<Blob> blobs = stored.pieceBlobs();
     const Blob last = blobs.back();
     blobs.pop_back();
-    CHECK(copy.take(blobs) == ConfigurationCopy::Progress::NeedsParts);
+    CHECK(copy.addBlobs(blobs) == ConfigurationCopy::Progress::NeedsParts);
     CHECK(copy.head().version == 0);
-    CHECK(copy.take({last}) == ConfigurationCopy::Progress::InForce);
+    CHECK(copy.addBlobs({last}) == ConfigurationCopy::Progress::Applied);
     CHECK(copy.head().version == 3);
-    CHECK(copy.bytesOf(last.sha256) == last.bytes);
+    CHECK(copy.findBytes(last.sha256) == last.bytes);
 }
 
 TEST_CASE("configuration copy: bytes that are not those of their digest are passed over "
@@ -105,9 +105,9 @@
     const StoredConfiguration stored(1);
     ConfigurationCopy copy(stored.codec);
     copy.offer(stored.head);
-    CHECK(copy.take({{stored.head.manifestSha256, "other bytes"}})
+    CHECK(copy.addBlobs({{stored.head.manifestSha256, "other bytes"}})
           == ConfigurationCopy::Progress::Idle);
-    CHECK(copy.collecting() == 1);
+    CHECK(copy.pendingVersion() == 1);
 }
 
 TEST_CASE("configuration copy: an older head and one that is being collected change nothing "
@@ -117,11 +117,11 @@
     const StoredConfiguration newer(2);
     ConfigurationCopy copy(newer.codec);
     copy.offer(newer.head);
-    CHECK(copy.offer(older.head) == ConfigurationCopy::Offer::Known);
-    CHECK(copy.offer(newer.head) == ConfigurationCopy::Offer::Known);
-    copy.take({newer.manifestBlob()});
-    CHECK(copy.take(newer.pieceBlobs()) == ConfigurationCopy::Progress::InForce);
-    CHECK(copy.offer(older.head) == ConfigurationCopy::Offer::Older);
+    CHECK(copy.offer(older.head) == ConfigurationCopy::OfferResult::AlreadyKnown);
+    CHECK(copy.offer(newer.head) == ConfigurationCopy::OfferResult::AlreadyKnown);
+    copy.addBlobs({newer.manifestBlob()});
+    CHECK(copy.addBlobs(newer.pieceBlobs()) == ConfigurationCopy::Progress::Applied);
+    CHECK(copy.offer(older.head) == ConfigurationCopy::OfferResult::Older);
     CHECK(copy.head().version == 2);
 }
 
@@ -129,13 +129,13 @@
           "[replicator]")
 {
     MemberTable table = tableOf({"other", "self"});
-    const LivenessRecord ownDeath{"self", (1ULL << 10) + 7, true};
-    const LivenessRecord othersDeath{"other", 5ULL << 10, true};
-    const MemberTable::News news = table.take({ownDeath, othersDeath});
-    CHECK(news.selfSuspected);
-    CHECK(news.membersChanged);
-    CHECK(news.records == std::vector<LivenessRecord>{othersDeath});
-    CHECK(table.answerSuspicion().incarnation > ownDeath.incarnation);
+    const LivenessRecord ownSuspicion{"self", (1ULL << 10) + 7, true};
+    const LivenessRecord otherSuspicion{"other", 5ULL << 10, true};
+    const MemberTable::MergeResult result = table.update({ownSuspicion, otherSuspicion});
+    CHECK(result.isSelfSuspected);
+    CHECK(result.membersChanged);
+    CHECK(result.records == std::vector<LivenessRecord>{otherSuspicion});
+    CHECK(table.refuteSuspicion().incarnation > ownSuspicion.incarnation);
     REQUIRE(table.members().size() == 1);
     CHECK(table.members().front().name == "self");
     CHECK(table.bootOf("other") == 5);
@@ -144,12 +144,12 @@
 TEST_CASE("members: only who is on the list is suspected, and only once [replicator]")
 {
     MemberTable table = tableOf({"other", "self"});
-    CHECK_FALSE(table.suspicionOf("stranger"));
-    const auto record = table.suspicionOf("other");
+    CHECK_FALSE(table.makeSuspicion("stranger"));
+    const auto record = table.makeSuspicion("other");
     REQUIRE(record);
     CHECK(record->suspected);
-    table.take({*record});
-    CHECK_FALSE(table.suspicionOf("other"));
+    table.update({*record});
+    CHECK_FALSE(table.makeSuspicion("other"));
 }
 
 TEST_CASE("peers: an expected peer without a link is silent from when it was expected "
@@ -157,15 +157,15 @@
 {
     ManualClock clock;
     PeerTable peers(clock);
-    peers.expect({"a", "b"});
-    peers.up("b");
+    peers.setExpected({"a", "b"});
+    peers.addLink("b");
     clock.advance(4s);
     CHECK(peers.silentFor(5s).empty());
-    peers.find("b")->lastHeard = clock.now();
+    peers.find("b")->lastReceived = clock.now();
     clock.advance(2s);
     CHECK(peers.silentFor(5s) == std::vector<std::string>{"a"});
-    CHECK(peers.unsentFor(5s) == std::vector<std::string>{"b"});
-    peers.expect({"b"});
+    CHECK(peers.sentNothingFor(5s) == std::vector<std::string>{"b"});
+    peers.setExpected({"b"});
     CHECK(peers.silentFor(5s).empty());
 }
 
@@ -173,12 +173,12 @@
 {
     ManualClock clock;
     PeerTable peers(clock);
-    peers.up("a");
-    peers.up("b");
-    peers.expect({"a", "b"});
+    peers.addLink("a");
+    peers.addLink("b");
+    peers.setExpected({"a", "b"});
     peers.closedByPeer("a");
-    CHECK(peers.down("b"));
-    CHECK_FALSE(peers.down("b"));
+    CHECK(peers.removeLink("b"));
+    CHECK_FALSE(peers.removeLink("b"));
     clock.advance(8s);
     CHECK(peers.silentFor(7s) == std::vector<std::string>{"b"});
 }
@@ -214,14 +214,14 @@
 {
     ManualClock clock;
     std::vector<Action> actions;
-    Admitted heard;
-    TeamAdmission admission(clock, 500ms, heard, actions);
+    RecordingListener listener;
+    TeamAdmission admission(clock, 500ms, listener, actions);
     admission.setView(viewWithCeiling());
     for (CallId it = 1; it <= 20; ++it)
         admission.admit(it, "t");
-    REQUIRE(heard.in.size() < 20);
+    REQUIRE(listener.in.size() < 20);
     REQUIRE(actions.size() == 1);
-    const CallId firstWaiting = heard.in.size() + 1;
+    const CallId firstWaiting = listener.in.size() + 1;
     const CallId secondWaiting = firstWaiting + 1;
     admission.withdraw(firstWaiting, "t");
     Allowance allowance;
@@ -229,22 +229,22 @@
     allowance.life = 3s;
     const auto &ask = std::get<AskAllowance>(actions.front()).ask;
     admission.answered("t", ask.askId, allowance);
-    CHECK(heard.in.back() == secondWaiting);
-    CHECK(heard.out.size() + heard.in.size() == 19);
+    CHECK(listener.in.back() == secondWaiting);
+    CHECK(listener.out.size() + listener.in.size() == 19);
 }
 
 TEST_CASE("team admission: a silent owner leaves the node its own part [dispatcher]")
 {
     ManualClock clock;
     std::vector<Action> actions;
-    Admitted heard;
-    TeamAdmission admission(clock, 500ms, heard, actions);
+    RecordingListener listener;
+    TeamAdmission admission(clock, 500ms, listener, actions);
     admission.setView(viewWithCeiling());
     for (CallId it = 1; it <= 5; ++it)
         admission.admit(it, "t");
-    const std::size_t own = heard.in.size();
+    const std::size_t own = listener.in.size();
     clock.advance(600ms);
     admission.tick();
-    CHECK(heard.in.size() == own);
-    CHECK(heard.out.size() == 5 - own);
+    CHECK(listener.in.size() == own);
+    CHECK(listener.out.size() == 5 - own);
 }
--- a/tests/unit/homes_test.cpp
+++ b/tests/unit/homes_test.cpp
@@ -19,7 +19,7 @@
     }
     SUBCASE("the route alone")
     {
-        route.homeRegions = {"north", "south"};
+        route.allowedRegions = {"north", "south"};
         CHECK(Homes(route, nullptr).allows("b", regions));
         CHECK(Homes(route, &team).allows("a", regions));
         CHECK_FALSE(Homes(route, &team).allows("c", regions));
@@ -27,8 +27,8 @@
     }
     SUBCASE("both")
     {
-        route.homeRegions = {"north", "south"};
-        team.homeRegions = {"south", "west"};
+        route.allowedRegions = {"north", "south"};
+        team.allowedRegions = {"south", "west"};
         CHECK(Homes(route, &team).allows("b", regions));
         CHECK_FALSE(Homes(route, &team).allows("a", regions));
         CHECK_FALSE(Homes(route, &team).allows("c", regions));
--- a/tests/unit/key_registry_test.cpp
+++ b/tests/unit/key_registry_test.cpp
@@ -122,7 +122,7 @@
 TEST_CASE("tenures: never shortened, never overlapping, whoever extends them [keys][tenures]")
 {
     ManualClock clock;
-    const TenureLimits limits;
+    const TenureTimings limits;
     std::map<std::uint32_t, TenureChain> chains;
     std::uint64_t random = 7;
     for (int it = 0; it < 200; ++it) {
--- a/tests/unit/load_sums_test.cpp
+++ b/tests/unit/load_sums_test.cpp
@@ -32,12 +32,12 @@
     domain.nodes = 5;
     sums.setDomain("d2", domain);
     sums.setDomain("d2", domain); // from its other relay
-    CHECK(sums.ofDomain().loads.at("e").running == 4);
-    CHECK(sums.ofDomain().nodes == 2);
-    CHECK(sums.ofOthers().loads.at("e").running == 13);
-    CHECK(sums.ofOthers().nodes == 6);
-    CHECK(sums.ofOthers().shortContextTokens == 20);
-    CHECK(sums.numbers() == std::map<std::string, std::uint64_t>{{"a", 2}});
+    CHECK(sums.domainSum().loads.at("e").running == 4);
+    CHECK(sums.domainSum().nodes == 2);
+    CHECK(sums.othersSum().loads.at("e").running == 13);
+    CHECK(sums.othersSum().nodes == 6);
+    CHECK(sums.othersSum().shortContextTokens == 20);
+    CHECK(sums.reportNumbers() == std::map<std::string, std::uint64_t>{{"a", 2}});
 }
 
 TEST_CASE("load sums: the load of a node that is gone counts for a second at the most [sums]")
@@ -48,12 +48,12 @@
     sums.setNode("live", 1, report(3));
     sums.setDomain("gone", report(4));
     clock.advance(900ms);
-    CHECK(sums.ofOthers().loads.at("e").running == 9);
+    CHECK(sums.othersSum().loads.at("e").running == 9);
     sums.setNode("live", 2, report(3));
     clock.advance(200ms);
-    CHECK(sums.ofOthers().loads.at("e").running == 3);
-    CHECK(sums.ofOthers().nodes == 1);
-    CHECK(sums.numbers().size() == 1);
+    CHECK(sums.othersSum().loads.at("e").running == 3);
+    CHECK(sums.othersSum().nodes == 1);
+    CHECK(sums.reportNumbers().size() == 1);
 }
 
 TEST_CASE("load sums: nodes that were replaced take no room [sums]")
@@ -64,7 +64,7 @@
         sums.setNode("n" + std::to_string(n), 1, report(1));
         clock.advance(100ms);
     }
-    CHECK(sums.keptNodes() <= 12);
+    CHECK(sums.nodeCount() <= 12);
 }
 
 TEST_CASE("load sums: a node that leaves counts no more [sums]")
@@ -72,8 +72,8 @@
     ManualClock clock;
     LoadSums sums(clock);
     sums.setNode("a", 1, report(2));
-    sums.forgetNode("a");
-    CHECK(sums.ofOthers() == LoadReport{0, {}, 0, {}});
+    sums.removeNode("a");
+    CHECK(sums.othersSum() == LoadReport{0, {}, 0, {}});
 }
 
 TEST_CASE("load sums: a node takes out the report that the sum holds, not its newest [sums]")
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "fordwood/gossip_queue.hpp"
 #include "fordwood/manual_clock.hpp"
-#include "fordwood/news_spreader.hpp"
 #include "fordwood/quarantine_gate.hpp"
 
 using namespace fordwood;
@@ -191,27 +191,27 @@
 TEST_CASE("quarantine: news are told again for peers that miss some messages, then no more")
 {
     ManualClock clock;
-    NewsSpreader spreader(clock);
+    GossipQueue spreader(clock);
     spreader.add(ended(7));
-    CHECK(spreader.hasNew());
+    CHECK(spreader.hasUnsent());
     int told = 0;
     for (int n = 0; n < 200; ++n) {
-        told += static_cast<int>(spreader.next().size());
+        told += static_cast<int>(spreader.takeDue().size());
         clock.advance(100ms);
     }
     CHECK(told == 6);
-    CHECK_FALSE(spreader.hasNew());
+    CHECK_FALSE(spreader.hasUnsent());
 }
 
 TEST_CASE("quarantine: many news at once go out in messages of bounded size, each of them")
 {
     ManualClock clock;
-    NewsSpreader spreader(clock);
+    GossipQueue spreader(clock);
     for (std::uint64_t n = 0; n < 1'000; ++n)
         spreader.add(ended(n));
     std::size_t messages = 0;
-    while (spreader.hasNew() && messages < 100) {
-        CHECK(spreader.next().size() <= 200);
+    while (spreader.hasUnsent() && messages < 100) {
+        CHECK(spreader.takeDue().size() <= 200);
         messages += 1;
     }
     CHECK(messages <= 15);
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -30,7 +30,7 @@
     {
         for (std::size_t n = 0; n < kNodes; ++n)
             m_roles.emplace_back(m_clock, candidate(n));
-        m_isAnswered.assign(kNodes, true);
+        m_reachesStore.assign(kNodes, true);
     }
 
     void update(std::size_t liveNodes = kNodes)
@@ -40,14 +40,14 @@
         for (std::size_t n = 0; n < kNodes; ++n) {
             if (m_roles[n].isRelay())
                 relays.push_back(candidate(n));
-            if (m_roles[n].isRelay() && m_isAnswered[n])
+            if (m_roles[n].isRelay() && m_reachesStore[n])
                 reaching.push_back(candidate(n));
         }
         for (std::size_t n = 0; n < kNodes; ++n) {
             RelayRole::Peers peers{liveNodes, reaching, relays};
             const auto isSelf
                 = [n](const RelayCandidate &it) { return it.node == candidate(n).node; };
-            std::erase_if(peers.reachingInDomain, isSelf);
+            std::erase_if(peers.relaysReachingStore, isSelf);
             std::erase_if(peers.relays, isSelf);
             m_roles[n].update(peers);
         }
@@ -73,7 +73,7 @@
 
     ManualClock m_clock;
     std::vector<RelayRole> m_roles;
-    std::vector<bool> m_isAnswered;
+    std::vector<bool> m_reachesStore;
 };
 
 StoreNews news(std::uint64_t next, std::vector<StorePartChange> changes)
@@ -122,10 +122,10 @@
     Domain domain;
     domain.settle();
     const std::vector<std::size_t> before = domain.relays();
-    domain.m_isAnswered[before.front()] = false;
+    domain.m_reachesStore[before.front()] = false;
     domain.settle();
     CHECK(domain.relays().size() == 3); // it goes on trying
-    domain.m_isAnswered[before.front()] = true;
+    domain.m_reachesStore[before.front()] = true;
     domain.settle();
     CHECK(domain.relays() == before);
 }
@@ -144,7 +144,7 @@
 {
     Domain domain;
     for (RelayRole &it : domain.m_roles)
-        it.setMostReaders(1);
+        it.setMaxReaders(1);
     domain.settle();
     const auto followers = std::count_if(domain.m_roles.begin(), domain.m_roles.end(),
                                          [](const RelayRole &it) { return it.followsContext(); });
@@ -219,17 +219,17 @@
 
 // The nodes of a failure domain as they see each other in a large fleet: each knows all by their
 // keys, and hears the relays that live.
-class QuietDomain
+class LargeDomain
 {
 public:
-    QuietDomain()
+    LargeDomain()
     {
         RelayRole::Limits limits;
-        limits.learning = 750ms;
+        limits.discovery = 750ms;
         for (std::size_t n = 0; n < kNodes; ++n)
             m_roles.emplace_back(m_clock, candidate(n), limits);
         m_isLive.assign(kNodes, true);
-        m_isAnswered.assign(kNodes, true);
+        m_reachesStore.assign(kNodes, true);
     }
 
     void run(Duration time)
@@ -268,10 +268,10 @@
     ManualClock m_clock;
     std::vector<RelayRole> m_roles;
     std::vector<bool> m_isLive;
-    std::vector<bool> m_isAnswered; // by the platform's store
+    std::vector<bool> m_reachesStore; // by the platform's store
 
 private:
-    std::size_t knownBefore(std::size_t n) const
+    std::size_t higherRanked(std::size_t n) const
     {
         std::vector<RelayCandidate> others;
         for (std::size_t it = 0; it < kNodes; ++it) {
@@ -284,25 +284,26 @@
     void update()
     {
         const auto live = relays();
-        bool hears = false;
+        bool storeReached = false;
         for (std::size_t n = 0; n < kNodes; ++n)
-            hears = hears || (m_isLive[n] && m_roles[n].followsStore() && m_isAnswered[n]);
+            storeReached
+                = storeReached || (m_isLive[n] && m_roles[n].followsStore() && m_reachesStore[n]);
         for (std::size_t n = 0; n < kNodes; ++n) {
             if (!m_isLive[n])
                 continue;
             RelayRole::Peers peers;
             peers.liveNodes = kNodes;
-            peers.relayAnswered = false;
-            peers.relayHears = !live.empty() && hears;
+            peers.relayReachesStore = false;
+            peers.relayGetsStoreChanges = !live.empty() && storeReached;
             for (const std::size_t it : live) {
                 if (it == n)
                     continue;
-                peers.reachingInDomain.push_back(candidate(it));
+                peers.relaysReachingStore.push_back(candidate(it));
                 peers.relays.push_back(candidate(it));
-                peers.relayAnswered = peers.relayAnswered || m_isAnswered[it];
+                peers.relayReachesStore = peers.relayReachesStore || m_reachesStore[it];
             }
-            peers.knownBefore = knownBefore(n);
-            peers.isAnswered = m_isAnswered[n];
+            peers.higherRanked = higherRanked(n);
+            peers.reachesStore = m_reachesStore[n];
             m_roles[n].update(peers);
         }
     }
@@ -313,7 +314,7 @@
 TEST_CASE("relays: of a large fleet that starts at once only two nodes of a domain become relays "
           "[relays][sums]")
 {
-    QuietDomain domain;
+    LargeDomain domain;
     domain.run(700ms);
     CHECK(domain.relays().empty());
     CHECK(domain.followers() == kNodes); // each reads the store once
@@ -326,7 +327,7 @@
 
 TEST_CASE("relays: few stand in for a relay that is gone, and at once [relays][sums]")
 {
-    QuietDomain domain;
+    LargeDomain domain;
     domain.run(3s);
     domain.stop({domain.relays().front()});
     domain.run(400ms);
@@ -339,7 +340,7 @@
 TEST_CASE("relays: however many of a domain are gone, others stand in within a second "
           "[relays][sums]")
 {
-    QuietDomain domain;
+    LargeDomain domain;
     domain.run(3s);
     std::vector<std::size_t> gone;
     for (std::size_t n = 0; n < kNodes; ++n) {
@@ -357,20 +358,20 @@
 TEST_CASE("relays: where the store answers only others, a node that it answers asks it too "
           "[relays][sums]")
 {
-    QuietDomain domain;
+    LargeDomain domain;
     domain.run(3s);
-    domain.m_isAnswered.assign(kNodes, false);
+    domain.m_reachesStore.assign(kNodes, false);
     domain.run(200ms);
     const auto relays = domain.relays();
     for (std::size_t n = 0; n < kNodes; ++n)
-        domain.m_isAnswered[n] = std::find(relays.begin(), relays.end(), n) == relays.end();
+        domain.m_reachesStore[n] = std::find(relays.begin(), relays.end(), n) == relays.end();
     domain.run(2s);
     const std::size_t asking = domain.followers();
     CHECK(asking >= 3);
     CHECK(asking <= 6); // not all of them
     domain.run(3s);
     CHECK(domain.followers() == asking); // it goes on while the relays are not answered
-    domain.m_isAnswered.assign(kNodes, true);
+    domain.m_reachesStore.assign(kNodes, true);
     domain.run(1s);
     CHECK(domain.followers() == 2);
     CHECK(domain.relays().size() == 2);
--- a/tests/unit/replicator_test.cpp
+++ b/tests/unit/replicator_test.cpp
@@ -61,7 +61,7 @@
     CHECK_FALSE(applyDelta(stored(piecesOf("other")), delta, digest));
     CHECK_FALSE(applyDelta({}, delta, digest));
     ConfigDelta wild = delta;
-    wild.splices[0].keepBack = 1 << 30;
+    wild.splices[0].suffixLength = 1 << 30;
     CHECK_FALSE(applyDelta(stored(before), wild, digest));
 }
 
@@ -74,19 +74,19 @@
     int relays = 0;
     std::map<std::string, int> children;
     for (const Member &it : members) {
-        const SpreadingPlace place = spreadingPlace(it.name, it.failureDomain, members);
-        relays += place.relay ? 1 : 0;
-        CHECK(place.parents.size() == (place.relay ? 0 : 2));
-        CHECK(place.children.size() <= 2 * kFanOut);
-        CHECK(place.neighbours.size() <= 4);
-        for (const std::string &parent : place.parents)
+        const TreePosition position = treePosition(it.name, it.failureDomain, members);
+        relays += position.relay ? 1 : 0;
+        CHECK(position.parents.size() == (position.relay ? 0 : 2));
+        CHECK(position.children.size() <= 2 * kFanOut);
+        CHECK(position.neighbours.size() <= 4);
+        for (const std::string &parent : position.parents)
             ++children[parent];
     }
     CHECK(relays == 8);
     for (const Member &it : members)
-        CHECK(children[it.name]
-              == static_cast<int>(
-                  spreadingPlace(it.name, it.failureDomain, members).children.size()));
+        CHECK(
+            children[it.name]
+            == static_cast<int>(treePosition(it.name, it.failureDomain, members).children.size()));
 }
 
 TEST_CASE(
@@ -126,7 +126,7 @@
             fleet.kill(static_cast<int>(random() % 200));
         REQUIRE(fleet.submit(piecesOf("two")) == 2);
         CHECK(fleet.runUntilServed(2, 5s));
-        CHECK_FALSE(fleet.versionsWentBack());
+        CHECK_FALSE(fleet.versionEverDecreased());
     }
 }
 
@@ -168,14 +168,14 @@
     fleet.submit(piecesOf("one"));
     fleet.runUntilServed(1, 30s);
     fleet.run(20s);
-    fleet.cutDomain("domain-1", true);
+    fleet.setDomainIsolated("domain-1", true);
     REQUIRE(fleet.submit(piecesOf("two")) == 2);
     fleet.run(30s);
     CHECK(fleet.version(1) == 1);
     CHECK(fleet.version(0) == 2);
-    fleet.cutDomain("domain-1", false);
+    fleet.setDomainIsolated("domain-1", false);
     CHECK(fleet.runUntilServed(2, 20s));
-    CHECK_FALSE(fleet.versionsWentBack());
+    CHECK_FALSE(fleet.versionEverDecreased());
 }
 
 TEST_CASE("replicator: nodes cut from the platform alone hear from the other domains [partition]")
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/submission_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-struct Bench
+struct Fixture
 {
     ManualClock clock;
     FaultyStore store;
@@ -30,53 +30,53 @@
 
 TEST_CASE("submission: a first one and a next one raise the version [configuration]")
 {
-    Bench bench;
-    const auto first = bench.submitter.submit(bench.submission("s1", "one"), 5s);
+    Fixture fixture;
+    const auto first = fixture.submitter.submit(fixture.submission("s1", "one"), 5s);
     CHECK(first.outcome == SubmissionOutcome::Accepted);
     CHECK(first.version == 1);
     CHECK(first.piecesWritten == 2); // the piece and the manifest
-    const auto second = bench.submitter.submit(bench.submission("s2", "two"), 5s);
+    const auto second = fixture.submitter.submit(fixture.submission("s2", "two"), 5s);
     CHECK(second.version == 2);
-    const auto same = bench.submitter.submit(bench.submission("s3", "two"), 5s);
+    const auto same = fixture.submitter.submit(fixture.submission("s3", "two"), 5s);
     CHECK(same.outcome == SubmissionOutcome::Unchanged);
     CHECK(same.version == 2);
 }
 
 TEST_CASE("submission: a reply that is lost after the effect is settled, not repeated [platform]")
 {
-    Bench bench;
-    bench.store.headFaults = {FaultyStore::Fault::LostAfterEffect};
-    const auto result = bench.submitter.submit(bench.submission("s1", "one"), 5s);
+    Fixture fixture;
+    fixture.store.headFaults = {FaultyStore::Fault::LostAfterEffect};
+    const auto result = fixture.submitter.submit(fixture.submission("s1", "one"), 5s);
     CHECK(result.outcome == SubmissionOutcome::Accepted);
     CHECK(result.version == 1);
-    const auto head = bench.codec.decodeHead(bench.store.values.at(headKey()).value);
+    const auto head = fixture.codec.decodeHead(fixture.store.values.at(headKey()).value);
     CHECK(head->version == 1);
 }
 
 TEST_CASE(
     "submission: lost after the effect and overtaken at once is still told as accepted [race]")
 {
-    Bench bench;
-    bench.store.headFaults = {FaultyStore::Fault::LostAfterEffect};
+    Fixture fixture;
+    fixture.store.headFaults = {FaultyStore::Fault::LostAfterEffect};
     // Another operator's submission follows before ours has heard of its own success.
     int writes = 0;
-    Submitter submitter(bench.store, bench.codec, bench.clock, [&](Duration time) {
-        bench.clock.advance(time);
+    Submitter submitter(fixture.store, fixture.codec, fixture.clock, [&](Duration time) {
+        fixture.clock.advance(time);
         if (writes++ == 0)
-            CHECK(bench.submitter.submit(bench.submission("other", "two"), 5s).version == 2);
+            CHECK(fixture.submitter.submit(fixture.submission("other", "two"), 5s).version == 2);
     });
-    const auto result = submitter.submit(bench.submission("s1", "one"), 5s);
+    const auto result = submitter.submit(fixture.submission("s1", "one"), 5s);
     CHECK(result.outcome == SubmissionOutcome::Accepted);
     CHECK(result.version == 1);
 }
 
 TEST_CASE("submission: of two racing operators one wins and the other is told [race]")
 {
-    Bench bench;
+    Fixture fixture;
     SubmissionResult other;
-    bench.store.beforeHeadWrite
-        = [&] { other = bench.submitter.submit(bench.submission("s2", "two"), 5s); };
-    const auto result = bench.submitter.submit(bench.submission("s1", "one"), 5s);
+    fixture.store.beforeHeadWrite
+        = [&] { other = fixture.submitter.submit(fixture.submission("s2", "two"), 5s); };
+    const auto result = fixture.submitter.submit(fixture.submission("s1", "one"), 5s);
     CHECK(other.outcome == SubmissionOutcome::Accepted);
     CHECK(result.outcome == SubmissionOutcome::Refused);
     CHECK(result.version == 1);
@@ -84,51 +84,52 @@
 
 TEST_CASE("submission: a late effect of a lost write cannot undo a refusal [race][platform]")
 {
-    Bench bench;
-    bench.store.headFaults = {FaultyStore::Fault::LostBeforeEffect};
-    bench.store.beforeHeadWrite
-        = [&] { CHECK(bench.submitter.submit(bench.submission("s2", "two"), 5s).version == 1); };
+    Fixture fixture;
+    fixture.store.headFaults = {FaultyStore::Fault::LostBeforeEffect};
+    fixture.store.beforeHeadWrite = [&] {
+        CHECK(fixture.submitter.submit(fixture.submission("s2", "two"), 5s).version == 1);
+    };
     // The first try is lost; the fault hits the racing write instead of ours, so give it one too.
-    bench.store.headFaults.insert(bench.store.headFaults.begin(), FaultyStore::Fault::None);
-    const auto result = bench.submitter.submit(bench.submission("s1", "one"), 5s);
+    fixture.store.headFaults.insert(fixture.store.headFaults.begin(), FaultyStore::Fault::None);
+    const auto result = fixture.submitter.submit(fixture.submission("s1", "one"), 5s);
     CHECK(result.outcome == SubmissionOutcome::Refused);
     // The lost write arrives now, with the revision that it was based on: it must not take effect.
     ConfigHead late;
     late.version = 1;
     late.submissionId = "s1";
-    const auto done = bench.store.write({{headKey(), 0, bench.codec.encodeHead(late)}}, 1s);
+    const auto done = fixture.store.write({{headKey(), 0, fixture.codec.encodeHead(late)}}, 1s);
     CHECK_FALSE(*done);
 }
 
 TEST_CASE("submission: with the store down it is surely not in force [platform]")
 {
-    Bench bench;
-    bench.store.down = true;
-    const auto result = bench.submitter.submit(bench.submission("s1", "one"), 3s);
+    Fixture fixture;
+    fixture.store.down = true;
+    const auto result = fixture.submitter.submit(fixture.submission("s1", "one"), 3s);
     CHECK(result.outcome == SubmissionOutcome::NotStored);
 }
 
 TEST_CASE(
     "submission: without a certain answer the outcome is unknown, and asking again settles it")
 {
-    Bench bench;
-    bench.store.headFaults.assign(100, FaultyStore::Fault::LostBeforeEffect);
-    const auto result = bench.submitter.submit(bench.submission("s1", "one"), 2s);
+    Fixture fixture;
+    fixture.store.headFaults.assign(100, FaultyStore::Fault::LostBeforeEffect);
+    const auto result = fixture.submitter.submit(fixture.submission("s1", "one"), 2s);
     CHECK(result.outcome == SubmissionOutcome::Unknown);
-    bench.store.headFaults.clear();
-    CHECK(bench.submitter.submit(bench.submission("s1", "one"), 2s).version == 1);
-    CHECK(bench.submitter.submit(bench.submission("s1", "one"), 2s).version == 1);
+    fixture.store.headFaults.clear();
+    CHECK(fixture.submitter.submit(fixture.submission("s1", "one"), 2s).version == 1);
+    CHECK(fixture.submitter.submit(fixture.submission("s1", "one"), 2s).version == 1);
 }
 
 TEST_CASE("submission: one based on another version than that in force is refused [race]")
 {
-    Bench bench;
-    bench.submitter.submit(bench.submission("s1", "one"), 5s);
-    Submission late = bench.submission("s2", "two");
+    Fixture fixture;
+    fixture.submitter.submit(fixture.submission("s1", "one"), 5s);
+    Submission late = fixture.submission("s2", "two");
     late.base = 0;
-    CHECK(bench.submitter.submit(late, 5s).outcome == SubmissionOutcome::Refused);
+    CHECK(fixture.submitter.submit(late, 5s).outcome == SubmissionOutcome::Refused);
     late.base = 1;
-    CHECK(bench.submitter.submit(late, 5s).outcome == SubmissionOutcome::Accepted);
+    CHECK(fixture.submitter.submit(late, 5s).outcome == SubmissionOutcome::Accepted);
 }
 
 TEST_CASE("head guard: versions never go back [configuration]")
