--- a/include/fordwood/config_delta.hpp
+++ b/include/fordwood/config_delta.hpp
@@ -9,7 +9,7 @@
 
 namespace fordwood {
 
-// One immutable part of a configuration, stored under the digest of its text.
+// An immutable part of a configuration, stored under the digest of its text.
 struct StoredPiece
 {
     std::string name;
@@ -17,8 +17,8 @@
     std::string text;
 };
 
-// How one piece comes from the one of the same name before it: the first and last bytes stay, what
-// lies between is replaced.
+// The change from the previous piece of the same name: a prefix and a suffix are kept, the bytes
+// between them are replaced.
 struct PieceSplice
 {
     std::string name;
@@ -28,8 +28,8 @@
     std::string sha256; // of the result
 };
 
-// What changes from one configuration to the next. A change of one table is a few hundred bytes,
-// however large the configuration is.
+// The change from one configuration to the next. A change of one table takes a few hundred bytes,
+// whatever the size of the configuration.
 struct ConfigDelta
 {
     std::string fromManifestSha256;
@@ -37,11 +37,11 @@
     std::vector<std::string> removed; // names of pieces
 };
 
-// The change between two lists of pieces; both are sorted by name in the result of applyDelta().
+// The change between two lists of pieces. The result of applyDelta() is sorted by name.
 ConfigDelta makeDelta(const std::vector<StoredPiece> &before, const std::string &fromManifestSha256,
                       const std::vector<StoredPiece> &after);
 
-// Applies a change. Empty when it does not fit the pieces, or a digest does not come out right.
+// Applies a change. Empty when it does not fit the pieces or a digest does not match.
 std::optional<std::vector<StoredPiece>>
 applyDelta(const std::vector<StoredPiece> &before, const ConfigDelta &delta,
            const std::function<std::string(const std::string &)> &digest);
--- a/include/fordwood/config_head.hpp
+++ b/include/fordwood/config_head.hpp
@@ -13,27 +13,27 @@
 
 namespace fordwood {
 
-// The value that decides which configuration is in force.
+// The stored value that determines which configuration is in effect.
 struct ConfigHead
 {
     std::uint64_t version = 0; // zero: none yet
-    std::uint64_t base = 0; // the version that the submitter saw
+    std::uint64_t base = 0; // the version that it replaced
     std::string manifestSha256;
     std::string submissionId;
     std::vector<std::string> recentSubmissionIds; // newest last, this submission included
     WallTime accepted{};
-    std::optional<ConfigDelta> delta; // from the configuration before it, when that is small
+    std::optional<ConfigDelta> delta; // from the previous configuration, if it is small
 };
 
-// How a head compares with the newest one seen.
+// How a head compares with the newest known one.
 enum class HeadOrder { Newer, Same, Older };
 
-// Keeps the newest head seen and lets none replace it but a newer one, also when the platform comes
-// back from an outage with an older state.
+// Keeps the newest known head. Rejects older heads, which the platform can return after an outage
+// if it was restored from an older state.
 class HeadGuard
 {
 public:
-    // Takes the head if it is newer, and says how it compares.
+    // Stores the head if it is newer. Returns how it compares.
     HeadOrder offer(const ConfigHead &head)
     {
         if (head.version < m_head.version)
--- a/include/fordwood/configuration.hpp
+++ b/include/fordwood/configuration.hpp
@@ -14,17 +14,17 @@
 
 using Sha256 = std::array<std::uint8_t, 32>;
 
-// One customer: its weight in fair queueing and the keys by which its callers are known.
+// One customer: its weight in fair queueing and the digests of its API keys.
 struct TeamConfig
 {
     std::string name;
     double share = 1.0;
     int priority = 0;
     std::vector<Sha256> keyDigests;
-    std::int64_t maxRunning = 0; // requests at once over the fleet; zero: no ceiling
+    std::int64_t maxRunning = 0; // concurrent requests in the whole fleet; zero: no ceiling
 };
 
-// One model and the weight version that new requests must run on.
+// A model and the weight version that new requests must use.
 struct ModelConfig
 {
     std::string name;
@@ -33,7 +33,7 @@
 
 enum class UpstreamKind : std::uint8_t { Engine, Service };
 
-// One back end: a model engine or a plain service.
+// A back end: a model engine or a plain service.
 struct UpstreamConfig
 {
     std::string name;
@@ -42,24 +42,24 @@
     std::string address; // IP:port
     std::vector<std::string> models; // engines only
     std::string service; // plain services only
-    std::size_t slots = 1; // requests run at once
+    std::size_t slots = 1; // concurrent requests
     double prefillTokensPerSecond = 10'000;
-    std::int64_t cacheTokens = 100'000; // of context that an engine keeps
+    std::int64_t cacheTokens = 100'000; // of context in the engine's cache
     bool checksFences = false;
-    bool resumes = false; // continues a stream that broke at another engine
-    bool refusesWhenFull = false; // answers "not run" when it has no free slot
+    bool resumes = false; // can continue a stream that broke off at another engine
+    bool refusesWhenFull = false; // replies "not run" when it has no free slot
     bool leaving = false;
 };
 
-// A path that is passed on to a plain service.
+// A path prefix whose requests are forwarded to a plain service.
 struct RouteConfig
 {
-    std::string path; // prefix, begins with '/'
+    std::string path; // begins with '/'
     std::string service;
     bool repeatable = false;
 };
 
-// A VM that keeps exported context.
+// A VM that stores context exported by engines.
 struct StoreConfig
 {
     std::string name;
@@ -86,7 +86,7 @@
     double retryRatio = 0.1;
 };
 
-// One whole configuration, checked.
+// A complete, validated configuration.
 struct Configuration
 {
     LimitsConfig limits;
--- a/include/fordwood/configuration_copy.hpp
+++ b/include/fordwood/configuration_copy.hpp
@@ -13,35 +13,35 @@
 
 namespace fordwood {
 
-// Bytes named by their digest.
+// Content-addressed bytes.
 struct Blob
 {
     std::string sha256;
     std::string bytes;
 };
 
-// The configuration that is in force on this node, and the parts of a newer one until it is whole.
-// A configuration comes into force only whole, with the digests that its head names, and only after
-// all older ones. Where the parts come from is not decided here.
+// The configuration in effect on this node, and the parts of a newer one until it is complete. A
+// configuration takes effect only when it is complete and matches the digests in its head, and
+// never after a newer one. The caller decides where to get the parts from.
 class ConfigurationCopy
 {
 public:
     explicit ConfigurationCopy(const HeadCodec &codec) : m_codec(codec) { }
 
-    // What became of a head that was offered.
+    // The result of offering a head.
     enum class OfferResult {
-        Older, // than the one in force
-        AlreadyKnown, // in force, or its parts are being collected already
-        Applied, // its change fitted the configuration before it
-        NeedsParts // missing() says which
+        Older, // than the one in effect
+        AlreadyKnown, // in effect, or pending, or older than the pending one
+        Applied, // by its delta to the configuration that was in effect
+        NeedsParts // see missing()
     };
     OfferResult offer(const ConfigHead &head);
 
-    // What became of parts that arrived.
+    // The state after adding parts. Idle: nothing is pending, or its manifest is still missing.
     enum class Progress { Idle, NeedsParts, Applied, Damaged };
     Progress addBlobs(const std::vector<Blob> &blobs);
 
-    // Digests of the parts that are needed next: the manifest, or, once that is there, pieces.
+    // Digests of the parts to request next: the manifest, or the pieces once the manifest is known.
     struct Missing
     {
         std::vector<std::string> manifests;
@@ -49,7 +49,7 @@
     };
     Missing missing() const;
 
-    // The head in force; of version zero until there is one.
+    // The head in effect; its version is zero until there is one.
     const ConfigHead &head() const { return m_head; }
     const std::vector<StoredPiece> &pieces() const { return m_pieces; }
 
@@ -57,7 +57,8 @@
     std::uint64_t pendingVersion() const { return m_pending ? m_pending->head.version : 0; }
     bool hasManifest() const { return m_pending && m_pending->pieces.has_value(); }
 
-    // Bytes of the configuration in force, for others. Empty when there are none of that digest.
+    // The manifest or piece of the configuration in effect with that digest; empty if there is
+    // none.
     std::optional<std::string> findBytes(const std::string &sha256) const;
 
 private:
@@ -77,7 +78,7 @@
     std::vector<StoredPiece> m_pieces;
     std::string m_manifest; // encoded
     std::optional<Pending> m_pending;
-    std::map<std::string, std::string> m_pendingTexts; // of the next one's pieces, by digest
+    std::map<std::string, std::string> m_pendingTexts; // of pieces, by digest
 };
 
 } // namespace fordwood
--- a/include/fordwood/distribution_tree.hpp
+++ b/include/fordwood/distribution_tree.hpp
@@ -9,24 +9,24 @@
 
 namespace fordwood {
 
-// The place of one node in the paths by which changes spread. Every node computes it from its own
-// view of the members; two views that differ cost a link or two and nothing else.
+// The position of a node in the tree over which changes are distributed. Every node computes its
+// own position from its view of the members. Differing views only cost an additional link or two.
 struct TreePosition
 {
     bool relay = false; // reads the platform for its failure domain
     std::vector<std::string> parents; // first and second; none for relays
-    std::vector<std::string> children; // whose first or second parent this node is
-    std::vector<std::string> firstChildren; // those whose first parent it is
-    std::vector<std::string> neighbours; // relays of other domains that this relay links to
+    std::vector<std::string> children; // nodes that have this node as first or second parent
+    std::vector<std::string> firstChildren; // nodes that have this node as first parent
+    std::vector<std::string> neighbours; // relays, mostly of other domains, that it links to
 };
 
-// Relays of each failure domain: the two members that rank highest by rendezvous hash.
+// Relays of each failure domain: the members that rank highest by rendezvous hash.
 constexpr std::size_t kRelaysPerDomain = 2;
-// Children that name one node as their first parent.
+// Children that have the same node as first parent.
 constexpr std::size_t kFanOut = 4;
 
-// Computes the place of `self` among the members (self included, whether listed or not). Members
-// that are leaving take part like the others until they are gone.
+// Computes the position of `self` among the members; `self` counts as one even if it is not listed.
+// Leaving members are included until they are gone.
 TreePosition treePosition(const std::string &self, const std::string &ownFailureDomain,
                           const std::vector<Member> &members);
 
--- a/include/fordwood/fleet_view.hpp
+++ b/include/fordwood/fleet_view.hpp
@@ -13,9 +13,9 @@
 
 namespace fordwood {
 
-// What one node knows of the fleet at a moment: configuration, members, leaving upstreams.
-// Immutable once built, so that threads may share it. Answers which upstreams serve a request, in
-// which order to try them, and which member owns an upstream.
+// A node's snapshot of the fleet: configuration, members and leaving upstreams. It is immutable, so
+// threads can share it. It selects the upstreams for a request, in the order in which to try them,
+// and the member that owns an upstream.
 class FleetView
 {
 public:
@@ -29,9 +29,10 @@
     const std::string &ownFailureDomain() const { return m_ownFailureDomain; }
     const std::set<std::string> &leaving() const { return m_leaving; }
 
-    // The upstreams that may take a request, best first, at most `count`: rendezvous order by
-    // `prefixHash`, of engines within the own region and then elsewhere, of services within the own
-    // failure domain, then within the own region, then elsewhere.
+    // The upstreams that may serve a request, best first, at most `count`. Engines of the own
+    // region come before those of other regions. Services of the own failure domain come first,
+    // then those of the own region, then those of other regions. Upstreams at the same distance are
+    // in rendezvous order by `prefixHash`.
     std::vector<const UpstreamConfig *> engines(const std::string &model, std::uint64_t prefixHash,
                                                 std::size_t count) const;
     std::vector<const UpstreamConfig *> services(const std::string &service,
@@ -41,30 +42,30 @@
     // failure domain, else of its region, else of all. Null when there are no members.
     const Member *owner(const UpstreamConfig &upstream) const;
 
-    // The upstreams that a member owns. Much cheaper than owner() for each: those of domains that
-    // have members of their own are passed over.
+    // The upstreams that a member owns. Much cheaper than calling owner() for each upstream,
+    // because it skips other failure domains that have members of their own.
     std::vector<const UpstreamConfig *> ownedBy(const Member &member) const;
 
-    // The member that is asked whether a key of a partition may run. Null when there are no
-    // members.
+    // The member that decides whether a request with an idempotency key of the partition may run.
+    // Null when there are no members.
     const Member *keyHolder(std::uint32_t partition) const;
 
-    // The member that divides a team's ceiling among the nodes. Null when there are no members.
+    // The member that distributes a team's ceiling among the nodes. Null when there are no members.
     const Member *teamOwner(const std::string &team) const;
 
-    // The base parts of the teams that have a ceiling: what every node may run of a team's requests
-    // without asking. All base parts together are at most half of the ceiling.
+    // The base share of each team that has a ceiling: how many of the team's requests each node may
+    // run without asking the team's owner. All base shares add up to at most half of the ceiling.
     std::map<std::string, std::size_t> ceilingBases() const;
 
-    // What the team's owner may give away: the rest of the ceiling, in the proportion of the listed
-    // members that are alive. Where a partition leaves two owners, their pools together are at most
-    // the rest.
+    // How many requests the team's owner may grant: the rest of the ceiling, scaled by the fraction
+    // of the listed members that are alive. If a network partition leaves two owners, the scaling
+    // keeps the sum of their pools within the rest.
     std::size_t ceilingPool(const TeamConfig &team) const;
 
-    // A member by its name; null when it is none.
+    // The member of that name; null when there is none.
     const Member *member(const std::string &name) const;
 
-    // True when an upstream must get no new work, by the VM list or by the configuration.
+    // True when the VM list or the configuration forbids new work on the upstream.
     bool isLeaving(const std::string &upstream) const;
 
 private:
@@ -73,7 +74,7 @@
         std::vector<const UpstreamConfig *> upstreams;
         std::vector<std::uint64_t> hashes;
     };
-    // Near before far: own failure domain, own region, elsewhere.
+    // By distance: own failure domain, own region, other regions.
     using CandidatesByProximity = std::array<Candidates, 3>;
 
     std::size_t ceilingBase(const TeamConfig &team) const;
@@ -95,7 +96,7 @@
     std::vector<Member> m_members;
     std::set<std::string> m_leaving;
     std::string m_ownFailureDomain;
-    std::size_t m_listedMembers; // by the platform, dead or alive
+    std::size_t m_listedMembers; // on the platform's list, suspected or not
     std::map<std::string, CandidatesByProximity> m_engines;
     std::map<std::string, CandidatesByProximity> m_services;
     std::map<std::string, OwnerCandidates> m_ownersByDomain;
--- a/include/fordwood/gossip_queue.hpp
+++ b/include/fordwood/gossip_queue.hpp
@@ -10,28 +10,28 @@
 
 namespace fordwood {
 
-// When a node tells its peers what it knows of requests. Messages may be lost, and peers may be cut
-// off for a while, so each piece of news goes out in the next messages and a few times more over
-// the seconds that follow.
+// Queue of request news to send to the peers. Messages can be lost and peers can be unreachable for
+// a while, so each item is sent in the next messages and again a few times over the following
+// seconds.
 class GossipQueue
 {
 public:
     explicit GossipQueue(const Clock &clock) : m_clock(clock) { }
 
-    // Peers should hear this.
+    // Adds an item to send.
     void add(const RequestNews &news);
 
-    // What goes into the message that is sent now.
+    // The items to include in the message that is sent now.
     std::vector<RequestNews> takeDue();
 
-    // Whether something has not been told yet at all.
+    // Whether an item has not been sent at all.
     bool hasUnsent() const;
 
 private:
     struct Item
     {
         RequestNews news;
-        std::size_t timesSent = 0; // times
+        std::size_t timesSent = 0;
         TimePoint due{};
     };
 
--- a/include/fordwood/key_value_store.hpp
+++ b/include/fordwood/key_value_store.hpp
@@ -14,15 +14,15 @@
 
 namespace fordwood {
 
-// A stored value with the revision of the write that made it.
+// A stored value and the revision of the write that stored it.
 struct StoredValue
 {
     std::string value;
     std::int64_t revision = 0;
 };
 
-// Why a call to the store gave no answer. For a write the state says whether it may have taken
-// effect; a read is always NotRun.
+// Why a call to the store failed. For a write, the state shows whether it may have taken effect;
+// for a read, it is always NotRun.
 struct StoreError
 {
     RunState state = RunState::MayHaveRun;
@@ -32,7 +32,7 @@
 template <typename T>
 using StoreResult = tl::expected<T, StoreError>;
 
-// A write that takes effect only if the key's revision is still the expected one.
+// A write that takes effect only if the key still has the expected revision.
 struct ConditionalWrite
 {
     std::string key;
@@ -40,8 +40,8 @@
     std::string value;
 };
 
-// The platform's key-value service. Calls block, for `timeout` at most. The service is slow and
-// limited: no caller may use it once per request or once per node.
+// The platform's key-value service. Calls block for at most `timeout`. The service is slow and has
+// a low capacity: it must not be called for every request or by every node.
 class KeyValueStore
 {
 public:
@@ -51,15 +51,15 @@
     virtual StoreResult<std::optional<StoredValue>> get(const std::string &key, Duration timeout)
         = 0;
 
-    // The values of several keys, in their order, by one call.
+    // The values of several keys, in the order of `keys`, in one call.
     virtual StoreResult<std::vector<std::optional<StoredValue>>>
     getMany(const std::vector<std::string> &keys, Duration timeout) = 0;
 
-    // Writes all or nothing. True when it took effect, false when a revision was another one.
+    // Writes all values or none. False when a revision did not match.
     virtual StoreResult<bool> write(const std::vector<ConditionalWrite> &writes, Duration timeout)
         = 0;
 
-    // Writes those values whose keys do not exist yet; the others are left as they are.
+    // Writes the values whose keys do not exist. Existing keys are not changed.
     virtual StoreResult<bool> writeMissing(const std::vector<ConditionalWrite> &writes,
                                            Duration timeout)
         = 0;
--- a/include/fordwood/liveness.hpp
+++ b/include/fordwood/liveness.hpp
@@ -9,9 +9,9 @@
 
 namespace fordwood {
 
-// What is said about one member's life. Of two records about a member the one with the higher
-// incarnation holds; with the same incarnation, suspicion holds. A member that hears of its own
-// suspicion answers with a higher incarnation. The scheme is that of SWIM (Das, Gupta, Motivala).
+// Liveness of one member, as in the SWIM protocol (Das, Gupta, Motivala). Of two records of a
+// member the one with the higher incarnation wins; with equal incarnations, suspicion wins. A
+// member that learns that it is suspected refutes this with a higher incarnation.
 struct LivenessRecord
 {
     std::string member;
@@ -22,11 +22,11 @@
     bool operator==(const LivenessRecord &) const = default;
 };
 
-// The records that a node holds about all members.
+// The newest liveness records of all members.
 class LivenessTable
 {
 public:
-    // Takes a record if it says something new. True when it did.
+    // Stores a record if it overrides the current one. Returns whether it did.
     bool merge(const LivenessRecord &record)
     {
         const auto [it, inserted] = m_records.try_emplace(record.member, record);
@@ -47,7 +47,7 @@
         return it != m_records.end() && it->second.suspected;
     }
 
-    // The record about a member; of incarnation zero when there is none.
+    // The record of a member; its incarnation is zero when there is none.
     LivenessRecord recordOf(const std::string &member) const
     {
         const auto it = m_records.find(member);
@@ -63,7 +63,7 @@
         return records;
     }
 
-    // Drops records of members that the platform no longer lists.
+    // Drops the records of members for which `keep` is false.
     template <typename Keep>
     void keepOnly(const Keep &keep)
     {
--- a/include/fordwood/load_sums.hpp
+++ b/include/fordwood/load_sums.hpp
@@ -15,10 +15,10 @@
 
 namespace fordwood {
 
-// What one node, or all nodes of a part of the fleet, have sent to the upstreams.
+// The load that one node, or all nodes of a part of the fleet, put on the upstreams.
 struct LoadReport
 {
-    std::size_t nodes = 1; // that it speaks for
+    std::size_t nodes = 1; // included in the report
     UpstreamLoads loads;
     std::size_t shortContextTokens = 0; // see ShortContextDemand
     std::vector<std::uint64_t> contextsSent; // see ContextDirectory::recentSends()
@@ -27,21 +27,21 @@
     bool operator==(const LoadReport &) const = default;
 };
 
-// The report less what `part`, which is in it, has said of loads. Contexts stay: to be told of
-// one's own sends does no harm.
+// Subtracts the load of `part`, which must be included in the report. Contexts are not removed: it
+// does no harm when a node receives its own sends.
 LoadReport withoutPart(LoadReport report, const LoadReport &part);
 
-// What a relay knows of the load at the upstreams: the last report of each node of its failure
-// domain and one sum for each other domain. Nodes hear the sum of all from their relays, so that
-// what a node hears grows with the upstreams and not with the nodes: where hundreds of nodes tell
-// each other, the messages take a weak VM's whole processor.
+// A relay's view of the load on the upstreams: the last report of each node of its failure domain
+// and one sum for each other domain. Relays send the total to the nodes, so the traffic that a node
+// receives grows with the number of upstreams and not with the number of nodes. If hundreds of
+// nodes sent their reports to each other, the messages would use the whole processor of a weak VM.
 //
-// The load pattern that it answers: many nodes with few requests each before shared upstreams. No
-// node sees enough of the load by itself, and all need the same sum.
+// This serves fleets of many nodes with few requests each and shared upstreams, where no node sees
+// enough of the load by itself and all nodes need the same total.
 class LoadSums
 {
 public:
-    // `life`: a report is dropped after it, since its node may be gone and its requests with it.
+    // Reports older than `lifetime` are ignored, since the node and its requests may be gone.
     explicit LoadSums(const Clock &clock, Duration lifetime = std::chrono::seconds(1))
         : m_clock(clock), m_lifetime(lifetime)
     { }
@@ -49,25 +49,25 @@
     void setOwn(LoadReport report) { m_own = std::move(report); }
     const LoadReport &own() const { return m_own; }
 
-    // The report `number` of a node of this failure domain.
+    // Stores report `number` of a node of this failure domain.
     void setNode(const std::string &node, std::uint64_t number, LoadReport report);
 
-    // The node has said that it leaves.
+    // Removes a node that announced that it leaves.
     void removeNode(const std::string &node) { m_nodes.erase(node); }
 
-    // The sum of another failure domain; both of its relays tell it, and the latest counts.
+    // Stores the sum of another failure domain. Both of its relays send it; the latest is used.
     void setDomain(const std::string &failureDomain, LoadReport report);
 
-    // This node and the others of its failure domain.
+    // The sum of this node and the others of its failure domain.
     LoadReport domainSum() const;
 
-    // All but this node.
+    // The sum of all nodes except this one.
     LoadReport othersSum() const;
 
-    // The nodes of this failure domain that the sums count, with the numbers of their reports.
+    // The report numbers of the nodes of this failure domain that the sums include.
     std::map<std::string, std::uint64_t> reportNumbers() const;
 
-    // Nodes whose reports are kept, for the metrics.
+    // Number of nodes with a stored report, for the metrics.
     std::size_t nodeCount() const { return m_nodes.size(); }
 
 private:
@@ -92,19 +92,19 @@
     std::map<std::string, ReceivedReport> m_domains;
 };
 
-// The reports that a node has sent of late, by number, so that it can take its own part out of a
-// sum: the sum holds the report that the relay had then, not the newest one.
+// The recently sent reports of a node, by number. The node uses them to subtract its own load from
+// a relay's sum, which includes the report that the relay had at the time and not the newest one.
 class SentReports
 {
 public:
-    // Returns the report's number; the first one is 1.
+    // Returns the report's number, starting at 1.
     std::uint64_t add(LoadReport report);
 
-    // `sum` without this node's report of that number; nothing: the sum does not hold any.
+    // `sum` without this node's report of that number; no number: the sum does not include one.
     LoadReport withoutOwn(LoadReport sum, std::optional<std::uint64_t> number) const;
 
 private:
-    // Those of a second at the highest rate of urgent reports; older ones are in no sum any more.
+    // One second's worth at the highest rate of urgent reports; older ones are in no sum.
     static constexpr std::size_t kMaxReports = 100;
 
     std::uint64_t m_lastNumber = 0;
--- a/include/fordwood/manual_clock.hpp
+++ b/include/fordwood/manual_clock.hpp
@@ -6,14 +6,14 @@
 
 namespace fordwood {
 
-// A paused clock that moves only when told to, for tests and deterministic benches.
+// A clock that changes only by advance(), for tests and deterministic benchmarks.
 class ManualClock : public Clock
 {
 public:
     TimePoint now() const override { return m_now; }
     WallTime wallNow() const override { return m_wall; }
 
-    // Moves both the monotonic and the calendar time forward.
+    // Advances both the monotonic and the calendar time.
     void advance(Duration by)
     {
         m_now += by;
--- a/include/fordwood/member.hpp
+++ b/include/fordwood/member.hpp
@@ -6,7 +6,7 @@
 
 namespace fordwood {
 
-// One entry VM as the other nodes know it.
+// An entry VM as other nodes see it.
 struct Member
 {
     std::string name;
--- a/include/fordwood/member_table.hpp
+++ b/include/fordwood/member_table.hpp
@@ -13,41 +13,41 @@
 
 namespace fordwood {
 
-// Who takes part in the fleet, by the platform's list, and who of them is alive, by what the nodes
-// say of each other. No I/O, no threads, no time.
+// The members of the fleet according to the platform's list, and their liveness according to the
+// records that the nodes exchange. No I/O, no threads, no clock.
 class MemberTable
 {
 public:
-    // `boot`: names the start of this process; later starts have higher ones.
+    // `boot` identifies the start of this process; later starts have higher numbers.
     MemberTable(std::string self, std::uint64_t boot);
 
-    // Takes a newer list. The change from the one before it, or nothing when it is not newer.
+    // Replaces the list by a newer one. Returns the change, or nothing when it is not newer.
     std::optional<VmListDelta> update(const VmList &list);
     const VmList &list() const { return m_list; }
 
-    // What a set of records brought.
+    // The effect of a set of records.
     struct MergeResult
     {
-        std::vector<LivenessRecord> records; // those that said something new
-        bool membersChanged = false; // somebody is suspected, or no more
-        bool isSelfSuspected = false; // this process should answer with refuteSuspicion()
+        std::vector<LivenessRecord> records; // those that were new
+        bool membersChanged = false; // a suspicion was added or removed
+        bool isSelfSuspected = false; // the caller should send refuteSuspicion()
     };
     MergeResult update(const std::vector<LivenessRecord> &records);
 
-    // The record that shows that this process lives, above any suspicion seen.
+    // A record that this process is alive, which overrides every suspicion received so far.
     LivenessRecord refuteSuspicion();
 
-    // The record to spread about a member that has fallen silent. Empty when it is suspected
-    // already, or not on the list.
+    // The record to send when a member no longer responds. Empty when the member is already
+    // suspected or not on the list.
     std::optional<LivenessRecord> makeSuspicion(const std::string &member) const;
 
     bool isSuspected(const std::string &member) const { return m_liveness.isSuspected(member); }
     std::vector<LivenessRecord> records() const { return m_liveness.all(); }
 
-    // When the process of a member was started, as far as known; zero otherwise.
+    // The boot number of a member's process; zero if it is not known.
     std::uint64_t bootOf(const std::string &member) const;
 
-    // The members to count on: listed and not suspected.
+    // The members that are listed and not suspected.
     std::vector<Member> members() const;
 
 private:
--- a/include/fordwood/peer_table.hpp
+++ b/include/fordwood/peer_table.hpp
@@ -12,8 +12,8 @@
 
 namespace fordwood {
 
-// The links of one node to its peers: what each peer is known to have, when it was last heard, and
-// which peers should be heard but are not. No I/O and no threads.
+// The links of a node to its peers: the versions that each peer has, when its last message arrived,
+// and which expected peers are silent. No I/O and no threads.
 class PeerTable
 {
 public:
@@ -21,7 +21,7 @@
     {
         TimePoint lastReceived{};
         TimePoint lastSent{};
-        std::uint64_t headVersion = 0; // newest that the peer is known to have
+        std::uint64_t headVersion = 0; // newest known version of the peer
         std::uint64_t listRevision = 0;
     };
 
@@ -30,7 +30,8 @@
     void addLink(const std::string &peer);
     // False when there was no such link.
     bool removeLink(const std::string &peer);
-    // The peer has closed the link on purpose: its silence means nothing.
+    // Removes the link after the peer closed it on purpose, so that the peer is not reported as
+    // silent.
     void closedByPeer(const std::string &peer);
 
     // The link to a peer; null when there is none.
@@ -39,17 +40,16 @@
     const std::map<std::string, Link> &links() const { return m_links; }
     bool has(const std::string &peer) const { return m_links.count(peer) != 0; }
 
-    // One of the peers, in turn; empty when there is no link.
+    // The peer for the `n`th request, round robin; empty when there is no link.
     std::string roundRobin(std::size_t n) const;
 
-    // Replaces the peers from whom heartbeats are due; the time runs from now for those without a
-    // link.
+    // Sets the peers that must send heartbeats. Those without a link count as silent from now on.
     void setExpected(std::set<std::string> peers);
 
-    // Expected peers that were not heard for so long.
+    // Expected peers from which no message arrived for at least `span`.
     std::vector<std::string> silentFor(Duration span) const;
 
-    // Peers to whom nothing was sent for so long.
+    // Linked peers to which nothing was sent for at least `span`.
     std::vector<std::string> sentNothingFor(Duration span) const;
 
 private:
--- a/include/fordwood/relay_role.hpp
+++ b/include/fordwood/relay_role.hpp
@@ -12,63 +12,64 @@
 
 namespace fordwood {
 
-// Up to so many nodes, each follows the stores itself and tells each other one: changes are heard
-// at once, and a store of kept context serves as many readers (12 where their limit is known).
+// Largest fleet in which every node watches the stores itself and sends to every other node.
+// Changes then arrive without delay, and a context store can serve that many readers (12 where
+// their limit is known).
 constexpr std::size_t kSmallFleet = 12;
 
-// A node that may work for others.
+// A node that can become a relay.
 struct RelayCandidate
 {
     std::string node;
-    double strength = 0.0; // of its VM, compared with others; see vmStrength()
+    double strength = 0.0; // relative capacity of its VM; see vmStrength()
 };
 
-// How many of the others come before this node: the stronger ones first, equals by a hash of their
-// names with the task's. All nodes order each other alike.
+// How many of the others rank before this node. Stronger nodes come first; ties are broken by a
+// hash of the node's and the task's names. All nodes compute the same order.
 std::size_t strengthRank(std::string_view task, const RelayCandidate &self,
                          const std::vector<RelayCandidate> &others);
 
-// Whether a node follows the platform's store and the stores of kept context itself, or hears of
-// them from relays: two nodes of each failure domain, the strongest ones, equals by a hash of their
-// names. Without relays each change wakes a waiting call of every node, and a store of kept context
-// turns away readers beyond its limit, so that no node knows what it holds. Two nodes that both
-// think they are relays cost a few calls and nothing else.
+// Decides whether a node watches the platform's store and the context stores itself, or gets their
+// changes from relays. The relays are the two strongest nodes of each failure domain; ties are
+// broken by a hash of the names. Without relays, each change would complete a waiting call of every
+// node, and a context store would refuse readers beyond its limit, so that some nodes would not
+// learn its content. More relays than necessary only cost a few additional calls.
 class RelayRole
 {
 public:
     struct Limits
     {
-        // One may fail while the other goes on.
+        // Two, so that one can fail.
         std::size_t relaysPerDomain = 2;
         std::size_t smallFleet = kSmallFleet;
-        // A relay that is not needed any more goes on for so long, as its successor may fail.
+        // How long a relay continues after it is no longer needed, because its successor may fail.
         Duration stepDownDelay = std::chrono::seconds(2);
-        // A node that has just started is no relay before it can know the others; zero: it is one
-        // at once.
+        // How long a node that has just started waits to discover the others before it can become a
+        // relay; zero: it is one immediately.
         Duration discovery = Duration::zero();
-        // Where a relay is missing, the nodes step in by their rank: the first ones at once, twice
-        // as many one pause later, twice as many again after another. So few step in needlessly,
-        // and some do within a second however many are gone.
+        // When a relay is missing, nodes take over by rank: the first ones immediately, twice as
+        // many one step later, and again twice as many after each further step. This way few nodes
+        // take over needlessly, and some do within a second however many nodes have failed.
         Duration takeoverStep = std::chrono::milliseconds(150);
-        // Where no relay hears of the platform's store, one more node of the failure domain asks it
-        // after each such pause: the store may answer some and not others.
+        // While no relay gets changes of the platform's store, one more node of the failure domain
+        // starts to read it after each step, since the store may be reachable for some nodes only.
         Duration fallbackStep = std::chrono::milliseconds(400);
     };
 
-    // What a node knows of its peers; all live.
+    // What a node knows about its live peers.
     struct Peers
     {
         std::size_t liveNodes = 1; // this one included
-        std::vector<RelayCandidate> relaysReachingStore; // relays of its failure domain that the
-                                                         // platform's store answers
+        std::vector<RelayCandidate> relaysReachingStore; // relays of its failure domain that can
+                                                         // read the platform's store
         std::vector<RelayCandidate> relays; // of all failure domains
-        // Nodes of its failure domain that rank before it, as far as they are known, live or not.
+        // Known nodes of its failure domain that rank before it, live or not.
         std::size_t higherRanked = 0;
-        // Whether a relay of its failure domain is answered by the platform's store, or hears of
-        // one that is.
+        // Whether a relay of its failure domain can read the platform's store, or gets its changes
+        // from a node that can.
         bool relayReachesStore = true;
         bool relayGetsStoreChanges = true;
-        bool reachesStore = true; // this node, as far as it has asked
+        bool reachesStore = true; // whether the last read by this node succeeded, if any
     };
 
     RelayRole(const Clock &clock, RelayCandidate self) : RelayRole(clock, std::move(self), Limits{})
@@ -78,18 +79,18 @@
           m_isRelay(limits.discovery == Duration::zero()), m_followsContext(m_isRelay)
     { }
 
-    // The readers that a store of kept context serves at once; fewer relays than that follow it.
+    // Sets how many readers a context store serves at once; no more relays than that watch it.
     void setMaxReaders(std::size_t n) { m_maxReaders = n; }
 
     void update(const Peers &peers);
 
     bool isRelay() const { return m_isRelay; }
 
-    // Whether this node follows the platform's store: as a relay, while it starts, or because the
-    // relays are not answered.
+    // Whether this node watches the platform's store: as a relay, during startup, or because the
+    // relays cannot read the store.
     bool followsStore() const { return m_isRelay || m_isDiscovering || m_isFallbackReader; }
 
-    // Whether this node also follows the stores of kept context.
+    // Whether this node also watches the context stores.
     bool followsContext() const { return m_followsContext; }
 
 private:
@@ -101,15 +102,15 @@
     const Clock &m_clock;
     const RelayCandidate m_self;
     const Limits m_limits;
-    std::size_t m_maxReaders = kSmallFleet; // until a configuration says
+    std::size_t m_maxReaders = kSmallFleet; // until a configuration sets it
     const TimePoint m_startedAt;
-    bool m_isDiscovering = true; // it has just started
+    bool m_isDiscovering = true; // until Limits::discovery has passed
     bool m_isRelay;
     bool m_followsContext;
-    bool m_isFallbackReader = false; // beside relays that hear nothing of the store
+    bool m_isFallbackReader = false; // reads the store because no relay gets its changes
     std::optional<TimePoint> m_neededSince;
     std::optional<TimePoint> m_notNeededSince;
-    std::optional<TimePoint> m_noChangesSince; // no relay hears of the store
+    std::optional<TimePoint> m_noChangesSince; // no relay gets the store's changes
 };
 
 } // namespace fordwood
--- a/include/fordwood/replicator.hpp
+++ b/include/fordwood/replicator.hpp
@@ -21,7 +21,8 @@
 
 namespace fordwood {
 
-// What one node tells another. Most carry only the first two fields: a heartbeat.
+// A message from one node to another over a link. Most carry only the first two fields and serve
+// as heartbeats.
 struct PeerUpdate
 {
     std::uint64_t headVersion = 0; // newest configuration known to the sender
@@ -29,14 +30,14 @@
     std::optional<ConfigHead> head;
     std::optional<VmListDelta> list;
     std::vector<LivenessRecord> liveness;
-    std::vector<std::string> requestedDigests; // digests that the sender would like to have
+    std::vector<std::string> requestedDigests; // of blobs that the sender is missing
     std::vector<Blob> blobs;
-    bool requestsHead = false;
-    bool requestsList = false;
+    bool requestsHead = false; // the peer shall reply with its head
+    bool requestsList = false; // the peer shall reply with its whole VM list
     bool leaving = false; // the sender closes this link on purpose
 };
 
-// --- What the replicator wants done ---
+// --- Actions that the replicator requests from its caller ---
 
 // Sends an update over the link to a peer.
 struct SendUpdate
@@ -45,81 +46,82 @@
     PeerUpdate update;
 };
 
-// The peers to which this node must hold a link that it opens itself; others are to be closed.
+// Opens links to exactly these peers. Other links that this node opened are to be closed.
 struct SetOutgoingLinks
 {
     std::vector<Member> peers;
 };
 
-// Whether this node reads the platform by itself (head and VM list).
+// Starts or stops reading the head and the VM list from the platform.
 struct SetPlatformReading
 {
     bool enabled;
 };
 
-// Reads values from the platform by digest; answered by platformBlobs().
+// Reads values from the platform by digest. The result is passed to platformBlobs().
 struct FetchBlobs
 {
     std::vector<std::string> manifests;
     std::vector<std::string> pieces;
 };
 
-// A whole configuration is there and takes effect on this node.
+// Puts a complete, verified configuration into effect on this node.
 struct ApplyConfiguration
 {
     ConfigHead head;
     std::vector<StoredPiece> pieces;
 };
 
-// The members or the leaving upstreams have changed.
+// Puts changed members or leaving upstreams into effect.
 struct ApplyMembers
 {
     std::vector<Member> members; // listed and not suspected
     std::set<std::string> leavingUpstreams;
-    std::size_t listed = 0; // members that the platform lists, suspected or not
+    std::size_t listed = 0; // members on the platform's list, suspected or not
 
     bool operator==(const ApplyMembers &) const = default;
 };
 
-// Something an operator should hear of.
+// A condition to report to the operator.
 struct ReplicatorAlarm
 {
     enum class Kind { OlderHead, DamagedConfiguration, Orphaned };
     Kind kind;
-    std::uint64_t offeredVersion = 0;
-    std::uint64_t currentVersion = 0;
+    std::uint64_t offeredVersion = 0; // of the older head or of the damaged configuration
+    std::uint64_t currentVersion = 0; // in effect on this node
 };
 
 using ReplicatorAction = std::variant<SendUpdate, SetOutgoingLinks, SetPlatformReading, FetchBlobs,
                                       ApplyConfiguration, ApplyMembers, ReplicatorAlarm>;
 
-// The times that the replicator keeps to.
+// Intervals and timeouts of the replicator.
 struct ReplicatorTimings
 {
-    Duration heartbeat = std::chrono::seconds(2);
-    Duration suspectAfter = std::chrono::seconds(7); // of silence
-    Duration retryRequestAfter = std::chrono::seconds(1); // for parts that did not come
-    Duration firstParentGrace = std::chrono::milliseconds(300); // before another link is asked
+    Duration heartbeat = std::chrono::seconds(2); // longest time without a message on a link
+    Duration suspectAfter = std::chrono::seconds(7); // without a message from the peer
+    Duration retryRequestAfter = std::chrono::seconds(1); // for parts that did not arrive
+    Duration firstParentGrace = std::chrono::milliseconds(300); // before asking another peer
     Duration peerVersionWait
         = std::chrono::seconds(2); // a fresh node waits so long for a peer's version
-    Duration orphanAfter = std::chrono::seconds(10); // without any link: read the platform
+    Duration orphanAfter = std::chrono::seconds(10); // without links, before reading the platform
 };
 
-// Spreads the configuration, the VM list and the members' liveness over the fleet. A few relays per
-// failure domain read the platform; everybody else hears of changes over a tree of links, as deltas
-// that are checked against digests. Versions only grow. Events in, actions out; no I/O, no threads.
+// Replicates the configuration, the VM list and the members' liveness to all nodes. A few relays
+// per failure domain read the platform. All other nodes receive changes over a tree of links, as
+// deltas that are verified by digest. Versions never decrease. The caller passes events in and
+// carries out the resulting actions; the class does no I/O and starts no threads.
 //
-// Safety rests on the platform's compare-and-swap alone: whatever two nodes believe of the tree or
-// of each other, a configuration takes effect only whole, with the digests that its head names, and
-// only after all older ones.
+// Safety depends only on the platform's compare-and-swap. Even if nodes disagree about the tree or
+// about each other's liveness, a configuration takes effect only when it is complete and matches
+// the digests in its head, and never after a newer one.
 class Replicator
 {
 public:
-    // `boot`: names the start of this process; later starts have higher ones.
+    // `boot` identifies the start of this process; later starts have higher numbers.
     Replicator(Member self, std::uint64_t boot, const Clock &clock, const HeadCodec &codec,
                ReplicatorTimings timings = {}, std::uint64_t seed = 1);
 
-    // Begins; until the first VM list is known the node reads the platform by itself.
+    // Starts reading the platform, which continues at least until the first VM list is known.
     void start();
 
     // --- from the platform ---
@@ -132,10 +134,10 @@
     void linkDown(const std::string &peer);
     void updateArrived(const std::string &peer, const PeerUpdate &update);
 
-    // Handles everything whose time has come; call it several times a second.
+    // Handles timeouts. Call it several times a second.
     void tick();
 
-    // A planned stop: says goodbye on all links.
+    // Announces a planned stop on all links.
     void stop();
 
     // Actions since the last call, in order.
@@ -147,20 +149,20 @@
     bool readsPlatform() const { return m_readsPlatform; }
     std::size_t links() const { return m_peers.links().size(); }
     bool isSuspected(const std::string &member) const { return m_members.isSuspected(member); }
-    // When the process of a member was started, as far as known; zero otherwise.
+    // The boot number of a member's process; zero if it is not known.
     std::uint64_t bootOf(const std::string &member) const { return m_members.bootOf(member); }
-    // The members that this node counts on: listed and not suspected.
+    // The members that are listed and not suspected.
     std::vector<Member> members() const { return m_members.members(); }
 
 private:
-    // Who offered the configuration that is being collected, and how its parts were asked for.
+    // The state of the requests for the parts of the pending configuration.
     struct FetchState
     {
-        std::string from; // a peer; empty: the platform
+        std::string from; // the peer that offered it; empty: the platform
         TimePoint requestedAt{};
         std::size_t attempts = 0;
     };
-    // A version that a peer has and this node was not sent yet.
+    // A newer version that a peer has announced but not sent.
     struct NewerVersion
     {
         std::uint64_t version = 0;
@@ -205,12 +207,12 @@
     TreePosition m_position;
     FetchState m_fetch;
     std::optional<NewerVersion> m_newerVersion;
-    std::optional<ConfigHead> m_deferredHead; // of the platform, until a peer has spoken
+    std::optional<ConfigHead> m_deferredHead; // from the platform; see mustWaitForPeers()
     TimePoint m_started{};
     bool m_peerVersionSeen = false;
     bool m_membersChanged = false; // since the last call of takeActions()
-    ApplyMembers m_lastMembers; // as last told
-    std::vector<std::string> m_lastLinks; // links, as last told
+    ApplyMembers m_lastMembers; // of the last ApplyMembers action
+    std::vector<std::string> m_lastLinks; // of the last SetOutgoingLinks action
     bool m_readsPlatform = false;
     bool m_stopping = false;
     std::optional<TimePoint> m_noLinksSince;
--- a/include/fordwood/serving_config.hpp
+++ b/include/fordwood/serving_config.hpp
@@ -10,14 +10,14 @@
 
 namespace fordwood {
 
-// One of the services among which a route divides its requests.
+// One of the services to which a route distributes its requests.
 struct SplitTarget
 {
     std::string service;
-    double weight = 1.0; // relative to the other targets of the route
+    double weight = 1.0; // relative to the route's other targets
 };
 
-// Where the requests for one host and path prefix go, and how they may be handled.
+// The targets of requests for one host and path prefix, and how to handle these requests.
 struct ServiceRoute
 {
     std::string name;
@@ -25,60 +25,60 @@
     std::string pathPrefix; // begins and ends with a slash
     std::vector<SplitTarget> targets;
     bool repeatable = false; // the request may run more than once
-    bool streaming = false; // the answer is a series of events
-    bool resumable = false; // a broken stream may go on at another upstream
+    bool streaming = false; // the response is a series of events
+    bool resumable = false; // another upstream may continue a broken stream
     bool isPublic = false; // needs no team key
-    std::vector<std::string> allowedRegions; // that a request may go to; none: any
+    std::vector<std::string> allowedRegions; // where a request may be sent; empty: any
     std::size_t maxAttempts = 1; // upstreams to which one request may be sent
-    std::chrono::milliseconds timeout{0}; // longest time that a request is held
-    std::chrono::milliseconds targetLatency{0}; // an answer within it has its full value
+    std::chrono::milliseconds timeout{0}; // longest time that a request may take
+    std::chrono::milliseconds targetLatency{0}; // a response within it has its full value
     int priority = 0; // 0 is the most urgent
 
-    // Whether an attempt that may have run can be followed by another one.
+    // Whether another attempt is allowed after one that may have run.
     bool mayRunAgain() const { return repeatable || (streaming && resumable); }
 };
 
-// What the model engines of a service have in common.
+// Properties shared by the model engines of a service.
 struct EngineTraits
 {
-    std::size_t slots = 1; // requests that run at once
-    std::size_t contextTokens = 0; // memory for running requests and kept context
+    std::size_t slots = 1; // concurrent requests
+    std::size_t contextTokens = 0; // memory for running requests and cached context
     std::vector<std::string> models;
-    std::size_t maxReaders = 0; // calls that wait for events, at once; 0: not stated
+    std::size_t maxReaders = 0; // concurrent calls that wait for events; 0: not specified
 };
 
-// A service: a set of upstreams that can stand in for one another.
+// A service: a set of interchangeable upstreams.
 struct ServicePool
 {
     std::string name;
-    std::size_t maxConnections = 0; // that one upstream takes from all callers; 0: not stated
-    std::chrono::milliseconds coldStart{0}; // an upstream that has just started is slow for so long
-    double coldRequestsPerSecond = 0.0; // that a cold upstream bears; 0: as many as any other
-    std::optional<EngineTraits> engine; // nothing: a plain service
+    std::size_t maxConnections = 0; // of all callers to one upstream; 0: not specified
+    std::chrono::milliseconds coldStart{0}; // how long an upstream is slow after its start
+    double coldRequestsPerSecond = 0.0; // limit of a cold upstream; 0: the same as others
+    std::optional<EngineTraits> engine; // empty: a plain service
 };
 
-// A store of kept context, which engines read from and write to.
+// A context store, which engines read from and write to.
 struct ContextStore
 {
     std::string name;
     std::string address; // IP:port
     std::string failureDomain;
     std::size_t capacityTokens = 0;
-    bool managed = false; // it drops nothing on its own
-    std::size_t maxReaders = 0; // waiting calls that it holds at once; 0: not stated
+    bool managed = false; // it never evicts context by itself
+    std::size_t maxReaders = 0; // concurrent waiting calls; 0: not specified
 };
 
-// A team: who it is by its keys, and how it is treated.
+// A team: its API keys and how its requests are handled.
 struct ServingTeam
 {
     std::string name;
     std::vector<std::string> keys;
-    std::optional<int> priority; // goes before that of the route
-    bool isolated = false; // shares no kept context with other teams
-    std::vector<std::string> allowedRegions; // that its requests may go to; none: any
+    std::optional<int> priority; // overrides the route's priority
+    bool isolated = false; // shares no stored context with other teams
+    std::vector<std::string> allowedRegions; // where its requests may be sent; empty: any
 };
 
-// What a caller may send, and how long it may take.
+// Size limits and timeouts for callers.
 struct CallerLimits
 {
     std::size_t maxHeaderBytes = 16'384;
@@ -87,7 +87,7 @@
     std::chrono::milliseconds idleTimeout{15'000};
 };
 
-// One whole configuration as the operators submitted it to the platform.
+// A complete configuration as the operators submitted it to the platform.
 struct ServingConfig
 {
     std::uint64_t version = 0;
--- a/include/fordwood/submission.hpp
+++ b/include/fordwood/submission.hpp
@@ -12,16 +12,16 @@
 
 namespace fordwood {
 
-// Turns heads and manifests into the bytes that are stored, and back.
+// Encodes heads and manifests for the store, and decodes them.
 class HeadCodec
 {
 public:
     virtual ~HeadCodec() = default;
     virtual std::string encodeHead(const ConfigHead &head) const = 0;
-    // Empty when the bytes are no head.
+    // Empty when the bytes are not a valid head.
     virtual std::optional<ConfigHead> decodeHead(const std::string &bytes) const = 0;
     virtual std::string encodeManifest(const std::vector<StoredPiece> &pieces) const = 0;
-    // The pieces without their texts; empty when the bytes are no manifest.
+    // The pieces without their texts; empty when the bytes are not a valid manifest.
     virtual std::optional<std::vector<StoredPiece>>
     decodeManifest(const std::string &bytes) const = 0;
     // The digest under which bytes are stored.
@@ -29,14 +29,14 @@
 };
 
 enum class SubmissionOutcome {
-    Accepted, // in force from `version` on
-    Unchanged, // the configuration in force is the same already
-    Refused, // another submission came first: `version` is in force
-    NotStored, // surely not in force; the store could not be reached
-    Unknown, // the store did not say in time; ask again with the same id
+    Accepted, // in effect as `version`
+    Unchanged, // identical to the configuration in effect
+    Refused, // another submission came first; `version` is in effect
+    NotStored, // certainly not in effect; the store could not be reached
+    Unknown, // no definite reply in time; submit again with the same id
 };
 
-// What became of a submission.
+// The result of a submission.
 struct SubmissionResult
 {
     SubmissionOutcome outcome = SubmissionOutcome::Unknown;
@@ -45,12 +45,12 @@
     std::size_t piecesWritten = 0;
 };
 
-// What is submitted.
+// A configuration to put into effect.
 struct Submission
 {
-    std::string id; // unique; the same id on a repeated call is the same submission
+    std::string id; // unique; a call with the same id repeats the same submission
     std::vector<StoredPiece> pieces;
-    std::optional<std::uint64_t> base; // refuse if another version than this is in force
+    std::optional<std::uint64_t> base; // refuse if another version is in effect
 };
 
 // Keys in the store.
@@ -58,17 +58,17 @@
 std::string manifestKey(const std::string &sha256);
 std::string pieceKey(const std::string &sha256);
 
-// Submits whole configurations: writes the pieces that are missing, then one compare-and-swap on
-// the head. A reply that was lost is settled by repeating the same compare-and-swap and by looking
-// for the submission's own id, never by guessing.
+// Submits whole configurations: writes the missing pieces, then replaces the head by
+// compare-and-swap. If a reply is lost, it repeats the same compare-and-swap and looks for the
+// submission's id in the stored head, so that the reported outcome is always certain or Unknown.
 class Submitter
 {
 public:
-    // `pause` is called between tries, with the time to wait.
+    // `pause` is called between attempts, with the time to wait.
     Submitter(KeyValueStore &store, const HeadCodec &codec, const Clock &clock,
               std::function<void(Duration)> pause);
 
-    // Tries until the outcome is certain, for `limit` at most.
+    // Retries until the outcome is certain, for at most `limit`.
     SubmissionResult submit(const Submission &submission, Duration limit);
 
 private:
--- a/include/fordwood/vm_list.hpp
+++ b/include/fordwood/vm_list.hpp
@@ -12,17 +12,17 @@
 
 namespace fordwood {
 
-// The platform's lagging list of VMs, as far as the system uses it.
+// The parts of the platform's VM list that this system uses. The list lags behind the actual VMs.
 struct VmList
 {
-    std::uint64_t revision = 0; // grows with every change of the list; zero: none read yet
-    std::vector<Member> entryVms; // those that run this system, by name
+    std::uint64_t revision = 0; // grows with every change of the list; zero: not read yet
+    std::vector<Member> entryVms; // VMs that run this system, sorted by name
     std::set<std::string> leavingUpstreams;
 
     bool operator==(const VmList &) const = default;
 };
 
-// What changes from one list to a later one.
+// The change from one list to a later one.
 struct VmListDelta
 {
     std::uint64_t fromRevision = 0; // zero: the delta is the whole list
@@ -35,7 +35,7 @@
 
 VmListDelta makeDelta(const VmList &before, const VmList &after);
 
-// Empty when the delta does not fit the list.
+// Empty when the delta does not start from this list.
 std::optional<VmList> applyDelta(const VmList &before, const VmListDelta &delta);
 
 } // namespace fordwood
