--- a/include/fordwood/replicator.hpp
+++ b/include/fordwood/replicator.hpp
@@ -101,8 +101,7 @@
     Duration suspectAfter = std::chrono::seconds(7); // without a message from the peer
     Duration retryRequestAfter = std::chrono::seconds(1); // for parts that did not arrive
     Duration firstParentGrace = std::chrono::milliseconds(300); // before asking another peer
-    Duration peerVersionWait
-        = std::chrono::seconds(2); // a fresh node waits so long for a peer's version
+    Duration peerVersionWait = std::chrono::seconds(2); // of a new node; see mustWaitForPeers()
     Duration orphanAfter = std::chrono::seconds(10); // without links, before reading the platform
 };
 
--- a/src/core/configuration_copy.cpp
+++ b/src/core/configuration_copy.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxRequestedDigests = 64; // digests asked for in one update
+constexpr std::size_t kMaxRequestedDigests = 64; // in one update
 
 } // namespace
 
@@ -57,7 +57,7 @@
     m_pending->pieces = m_codec.decodeManifest(blob.bytes);
     if (!m_pending->pieces)
         return false;
-    // Pieces that did not change need not be asked for.
+    // Unchanged pieces need not be requested.
     for (const StoredPiece &it : m_pieces)
         m_pendingTexts[it.sha256] = it.text;
     return true;
--- a/src/core/distribution_tree.cpp
+++ b/src/core/distribution_tree.cpp
@@ -15,9 +15,9 @@
 using RankedNames = std::vector<std::string>;
 using NamesByDomain = std::map<std::string, std::set<std::string_view>>;
 
-constexpr std::size_t kExtraLinks = 2; // links of a relay beside those to the next domain
+constexpr std::size_t kExtraLinks = 2; // links of a relay besides the one to the next domain
 
-// The members of a domain in the order of their ranks.
+// The members of a domain, sorted by rank.
 RankedNames rankMembers(const std::string &domain, const std::set<std::string_view> &names)
 {
     const std::vector<std::string_view> list(names.begin(), names.end());
@@ -36,14 +36,14 @@
     return (rank - kRelaysPerDomain) / kFanOut;
 }
 
-// Places go in pairs: the second parent is the neighbour of the first.
+// Ranks form pairs (0 and 1, 2 and 3 ...); the second parent is the other one of the pair.
 std::size_t secondParent(std::size_t rank)
 {
     return firstParent(rank) ^ 1U;
 }
 
-// Relays of different domains form a ring over the domains, with a few chords, so that a domain
-// that is cut off from the platform still hears of changes over several ways.
+// The relays link the domains in a ring with some additional links across it, so that a domain that
+// cannot reach the platform still receives changes over several paths.
 std::vector<std::string> neighboursOf(const std::string &self, const std::string &ownDomain,
                                       const NamesByDomain &domains)
 {
@@ -79,7 +79,7 @@
     for (const Member &it : members)
         domains[it.failureDomain].insert(it.name);
     domains[ownFailureDomain].insert(self);
-    // Of the other domains only those are ranked whose relays are neighbours.
+    // neighboursOf() ranks the members of other domains only where it links to them.
     const RankedNames own = rankMembers(ownFailureDomain, domains[ownFailureDomain]);
     const auto rank
         = static_cast<std::size_t>(std::find(own.begin(), own.end(), self) - own.begin());
@@ -87,7 +87,7 @@
     position.relay = rank < kRelaysPerDomain;
     if (position.relay) {
         position.neighbours = neighboursOf(self, ownFailureDomain, domains);
-        // The two relays of a domain are each other's neighbours as well; one of them links.
+        // The two relays of a domain are also neighbours; the second one opens the link.
         if (rank == 1)
             position.neighbours.push_back(own[0]);
     } else {
--- a/src/core/fleet_view.cpp
+++ b/src/core/fleet_view.cpp
@@ -29,8 +29,9 @@
             continue;
         const auto domain = proximities.find(it.failureDomain);
         const std::size_t proximity = domain == proximities.end() ? kOtherRegion : domain->second;
-        // Context is found again only if all nodes of a region choose alike: a prompt computed anew
-        // costs a thousand times more than the way to another failure domain.
+        // Cached context is found again only if all nodes of a region select the same engine. To
+        // compute a prompt again costs a thousand times more than a request to another failure
+        // domain.
         const std::size_t engineProximity = proximity == kOtherRegion ? kOtherRegion : kOwnRegion;
         for (const std::string &model : it.models)
             addCandidate(m_engines[model][engineProximity], it);
@@ -142,7 +143,7 @@
     return it == m_configuration->upstreams.end() || it->second.leaving;
 }
 
-// How near each failure domain is to this node's own.
+// The distance of each failure domain from this node's own.
 std::map<std::string, std::size_t> FleetView::proximityByDomain() const
 {
     const std::string &ownRegion = regionOf(m_ownFailureDomain);
--- a/src/core/gossip_queue.cpp
+++ b/src/core/gossip_queue.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-// From one telling to the next: three in a row against lost messages, the others for peers that
-// were cut off for some seconds. Who is away for longer reads the platform's store.
+// From one transmission to the next: three in consecutive messages in case some are lost, the
+// others for peers that were unreachable for some seconds. Nodes that are unreachable for longer
+// read the platform's store.
 constexpr std::array<Duration, 5> kResendDelays{Duration::zero(), Duration::zero(),
                                                 std::chrono::seconds(1), std::chrono::seconds(2),
                                                 std::chrono::seconds(4)};
 
-// News in one message, so that it stays small when many upstreams end at once: some 5 KB.
+// Items per message, about 5 KB. Keeps messages small when many upstreams fail at once.
 constexpr std::size_t kMaxPerMessage = 200;
 
-// News that wait to be told: what 30 engines with 64 requests each break off at once. Beyond it the
-// oldest, which have been told most often, go.
+// Queued items: enough for 30 engines with 64 requests each that fail at once. When the queue is
+// full, the oldest item, which has been sent most often, is dropped.
 constexpr std::size_t kMaxItems = 2'048;
 
 } // namespace
--- a/src/core/load_sums.cpp
+++ b/src/core/load_sums.cpp
@@ -25,7 +25,7 @@
 
 void LoadSums::setNode(const std::string &node, std::uint64_t number, LoadReport report)
 {
-    // Nodes come and go under ever new names; those that are gone need no room.
+    // Replaced nodes get new names, so entries of nodes that are gone must be removed.
     if (!m_nodes.contains(node))
         std::erase_if(m_nodes, [this](const auto &it) { return !isCurrent(it.second); });
     m_nodes[node] = {std::move(report), number, m_clock.now()};
--- a/src/core/member_table.cpp
+++ b/src/core/member_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// An incarnation is the boot and, in the low bits, the number of suspicions answered since.
+// An incarnation is the boot number and, in the low bits, the number of suspicions refuted since.
 constexpr unsigned kBootShift = 10;
 
 } // namespace
--- a/src/core/relay_role.cpp
+++ b/src/core/relay_role.cpp
@@ -28,7 +28,7 @@
     return strengthRank("relay", m_self, peers.relaysReachingStore) < m_limits.relaysPerDomain;
 }
 
-// The ranks 0 and 1 at once, 2 and 3 after a pause, 4 to 7 after two.
+// Ranks 0 and 1 take over immediately, 2 and 3 after one step, 4 to 7 after two.
 Duration RelayRole::takeoverDelay(std::size_t rank) const
 {
     const auto pauses = std::bit_width(rank / m_limits.relaysPerDomain);
@@ -68,7 +68,8 @@
 void RelayRole::updateFallback(const Peers &peers)
 {
     const TimePoint now = m_clock.now();
-    // One that is answered goes on until a relay is: what the relays hear, they hear from it.
+    // A fallback reader that reaches the store continues until a relay reaches it, since the relays
+    // may get their changes from it.
     const bool mustContinue = m_isFallbackReader && peers.reachesStore && !peers.relayReachesStore;
     if (peers.relayGetsStoreChanges && !mustContinue) {
         m_noChangesSince.reset();
--- a/src/core/replicator.cpp
+++ b/src/core/replicator.cpp
@@ -22,7 +22,7 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// A head as peers get it: the ids of submissions stay in the platform.
+// The head as it is sent to peers. Submission ids are only kept in the platform.
 ConfigHead withoutSubmissionIds(ConfigHead head)
 {
     head.recentSubmissionIds.clear();
@@ -54,8 +54,9 @@
     offerHead(head, "");
 }
 
-// A platform that was restored from an old copy shows an older version. A fresh node has nothing to
-// compare it with, so it gives its peers a moment to name a newer one before it serves any.
+// A platform that was restored from an old copy returns an older version. A new node cannot detect
+// that by itself, so it waits a short time for its peers to announce a newer version before it
+// serves any.
 bool Replicator::mustWaitForPeers() const
 {
     const bool onlyMember = list().revision > 0 && members().size() <= 1;
@@ -83,15 +84,16 @@
     }
 }
 
-// Asks for what the collected configuration lacks: first the peer that offered it, then others in
-// turn, and the platform if this node reads it.
+// Requests the missing parts of the pending configuration: first from the peer that offered it,
+// then from others in turn, and from the platform if this node reads it.
 void Replicator::requestParts()
 {
     m_fetch.requestedAt = m_clock.now();
     ConfigurationCopy::Missing missing = m_configuration.missing();
     if (missing.manifests.empty() && missing.pieces.empty())
         return;
-    // Platform and peers in turn, beginning with whoever offered it: either may not answer.
+    // Alternates between the platform and the peers, since either may not reply. Starts with the
+    // source that offered the configuration.
     const std::size_t platformsTurn = m_fetch.from.empty() ? 0 : 1;
     const bool fromPlatform
         = m_readsPlatform && (m_peers.links().empty() || m_fetch.attempts % 2 == platformsTurn);
@@ -137,15 +139,15 @@
     }
 }
 
-// A newer configuration is in force.
+// Called when a newer configuration is in effect.
 void Replicator::announceConfiguration()
 {
     m_actions.emplace_back(ApplyConfiguration{head(), m_configuration.pieces()});
     announceHead();
 }
 
-// Tells the links that do not know the version yet: first children and other relays get the change
-// itself, the others only the version.
+// Announces the version on the links whose peers do not have it yet. First children and other
+// relays receive the head with its delta, the others only the version.
 void Replicator::announceHead()
 {
     for (auto &[peer, link] : m_peers.links()) {
@@ -167,7 +169,8 @@
     return !contains(m_position.children, peer) && !contains(m_position.parents, peer);
 }
 
-// Asks a peer that has a newer version, once the first parent has had time to send it unasked.
+// Requests a newer version from a peer that announced it, unless the first parent sent it in the
+// meantime.
 void Replicator::requestNewerHead()
 {
     if (!m_newerVersion)
@@ -231,7 +234,7 @@
         sendLiveness(result.records, from);
 }
 
-// Passes records on to all links but the one that they came from.
+// Forwards records on all links except the one that they came from.
 void Replicator::sendLiveness(const std::vector<LivenessRecord> &records, const std::string &except)
 {
     for (const auto &[peer, link] : m_peers.links()) {
@@ -249,7 +252,8 @@
         mergeLiveness({*record}, "");
 }
 
-// Members, suspicions or the list have changed: tell the node, and find the new place in the tree.
+// Called after a change of members, suspicions or the list: notifies the node and updates its
+// position in the tree.
 void Replicator::updateMembers()
 {
     ApplyMembers now{members(), list().leavingUpstreams, list().entryVms.size()};
@@ -290,7 +294,7 @@
     m_peers.addLink(peer);
     if (std::exchange(m_noLinksSince, std::nullopt) && list().revision > 0)
         setPlatformReading(m_position.relay);
-    // Each side says what it has; the versions in the update bring out what the other lacks.
+    // Each side sends its versions, so that the other can send what is missing.
     PeerUpdate update = baseUpdate();
     update.liveness = m_members.records();
     send(peer, std::move(update));
@@ -310,11 +314,11 @@
     link->lastReceived = m_clock.now();
     link->headVersion = std::max(link->headVersion, update.headVersion);
     link->listRevision = std::max(link->listRevision, update.listRevision);
-    // A peer that is fresh itself has no word to give.
+    // A peer that has no configuration itself does not count.
     m_peerVersionSeen = m_peerVersionSeen || update.headVersion > 0;
     if (update.leaving) {
         m_peers.closedByPeer(peer);
-        suspect(peer); // by its own word, without waiting for its silence
+        suspect(peer); // at once, without waiting for the timeout
         return;
     }
     mergeLiveness(update.liveness, peer);
@@ -328,7 +332,7 @@
     recordNewerVersion(peer, update);
 }
 
-// Sends a peer what it asked for, and what its versions show that it lacks.
+// Sends a peer what it requested, and what it lacks according to its versions.
 void Replicator::sendReply(const std::string &peer, PeerTable::Link &link, const PeerUpdate &update)
 {
     PeerUpdate reply = baseUpdate();
@@ -339,7 +343,7 @@
             needed = true;
         }
     }
-    // Who is behind is helped, unless its first parent does that.
+    // A peer with an older version gets the head, unless its first parent sends it.
     const bool helped = sendsWholeHeadTo(peer) && update.headVersion < head().version;
     if (update.requestsHead || (helped && link.headVersion < head().version)) {
         link.headVersion = head().version;
@@ -359,7 +363,7 @@
         send(peer, std::move(reply));
 }
 
-// Remembers a peer that names a newer version without sending it.
+// Records a peer that announced a newer version without sending it.
 void Replicator::recordNewerVersion(const std::string &peer, const PeerUpdate &update)
 {
     const bool behind = update.headVersion > head().version && !update.head
@@ -395,8 +399,8 @@
         suspect(it);
 }
 
-// Without any link for long, a node that is no relay reads the platform by itself, at a moment of
-// its own so that a whole domain does not come at once.
+// A node that is not a relay starts to read the platform after some time without any link. The time
+// has a random part, so that not all nodes of a domain start at once.
 void Replicator::checkOrphaned()
 {
     const bool alone = m_peers.links().empty() && !m_position.relay && list().revision > 0;
@@ -428,7 +432,7 @@
 
 std::vector<ReplicatorAction> Replicator::takeActions()
 {
-    // Once for all that the events since the last call have changed.
+    // Only once for all events since the last call.
     if (std::exchange(m_membersChanged, false))
         updateMembers();
     return std::exchange(m_actions, {});
--- a/src/core/submission.cpp
+++ b/src/core/submission.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxRecentIds = 64; // a minute and a half of changes at the target rate
-constexpr std::size_t kMaxDeltaBytes = 32'768; // a larger change is fetched piece by piece
+constexpr std::size_t kMaxRecentIds = 64; // changes of 90 s at the target rate
+constexpr std::size_t kMaxDeltaBytes = 32'768; // larger changes are fetched piece by piece
 constexpr std::size_t kWritesPerCall = 64; // below the usual limit of operations per transaction
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr Duration kRetryPause = std::chrono::milliseconds(200);
@@ -44,7 +44,7 @@
 SubmissionResult Submitter::submit(const Submission &submission, Duration limit)
 {
     const TimePoint end = m_clock.now() + limit;
-    // Sorted, so that the manifest does not depend on who puts the pieces together.
+    // Sorted, so that the manifest does not depend on the order of the submitted pieces.
     std::vector<StoredPiece> pieces = submission.pieces;
     std::sort(pieces.begin(), pieces.end(),
               [](const StoredPiece &a, const StoredPiece &b) { return a.name < b.name; });
@@ -59,12 +59,12 @@
         }
         const ConfigHead &head = base->head;
         if (contains(head.recentSubmissionIds, submission.id))
-            return {SubmissionOutcome::Accepted, head.version, "accepted before", 0};
+            return {SubmissionOutcome::Accepted, head.version, "was already accepted", 0};
         if (submission.base && *submission.base != head.version)
             return {SubmissionOutcome::Refused, head.version,
                     "based on version " + std::to_string(*submission.base), 0};
         if (head.manifestSha256 == manifestSha256)
-            return {SubmissionOutcome::Unchanged, head.version, "nothing differs", 0};
+            return {SubmissionOutcome::Unchanged, head.version, "no difference", 0};
         const auto written = writePieces(submission, manifest);
         if (!written) {
             lastError = written.error().text;
@@ -115,7 +115,7 @@
         const std::vector<ConditionalWrite> part(
             missing.begin() + static_cast<std::ptrdiff_t>(begin),
             missing.begin() + static_cast<std::ptrdiff_t>(end));
-        // A lost reply does no harm here: the values are named by their content.
+        // A lost reply does no harm here, because the keys are content digests.
         const auto done = m_store.writeMissing(part, kCallTimeout);
         if (!done)
             return tl::make_unexpected(done.error());
@@ -123,8 +123,8 @@
     return missing.size();
 }
 
-// The change from the configuration in force, if it can be read and is small. It spares every node
-// the reading of pieces; without it they are fetched one by one.
+// The change from the configuration in effect, if that can be read and the change is small. With it
+// the nodes need not fetch the changed pieces one by one.
 std::optional<ConfigDelta> Submitter::deltaFrom(const ConfigHead &base,
                                                 const std::vector<StoredPiece> &after)
 {
@@ -181,7 +181,8 @@
             lastError = done.error().text;
             continue;
         }
-        // The head has moved on, so no earlier try of ours can still take effect: reading decides.
+        // The head has changed, so none of our attempts can take effect any more. The stored head
+        // shows whether one did.
         const auto now = readHead();
         if (!now) {
             mayHaveRun = true;
@@ -191,7 +192,7 @@
         if (contains(now->head.recentSubmissionIds, submission.id))
             return {SubmissionOutcome::Accepted, next.version, "", written};
         return {SubmissionOutcome::Refused, now->head.version,
-                "submission " + now->head.submissionId + " came first", written};
+                "submission " + now->head.submissionId + " was accepted first", written};
     } while (waitBeforeRetry(end));
     return {mayHaveRun ? SubmissionOutcome::Unknown : SubmissionOutcome::NotStored, next.version,
             lastError, written};
--- a/tests/support/counting_clock.hpp
+++ b/tests/support/counting_clock.hpp
@@ -9,8 +9,8 @@
 
 namespace fordwood {
 
-// A paused clock that other threads may read while a test moves it. It counts how often it was
-// read, so that the test can wait until a thread has seen the new time.
+// A manual clock that other threads can read while a test advances it. It counts the reads, so that
+// the test can wait until a thread has read the new time.
 class CountingClock : public Clock
 {
 public:
--- a/tests/support/faulty_store.hpp
+++ b/tests/support/faulty_store.hpp
@@ -12,7 +12,7 @@
 
 namespace fordwood::support {
 
-// A store whose writes can lose their replies, before or after they take effect.
+// A store whose writes can fail or lose their replies, before or after they take effect.
 class FaultyStore : public KeyValueStore
 {
 public:
@@ -20,9 +20,9 @@
 
     std::map<std::string, StoredValue> values;
     std::vector<Fault> headFaults; // for the next writes of the head, in order
-    std::function<void()> beforeHeadWrite; // a racing operator
+    std::function<void()> beforeHeadWrite; // called once; simulates a concurrent operator
     bool down = false;
-    bool slow = false; // writes take effect, but their replies come too late
+    bool slow = false; // writes take effect, but their replies are lost
 
     StoreResult<std::optional<StoredValue>> get(const std::string &key, Duration) override
     {
--- a/tests/support/relay_fleet.hpp
+++ b/tests/support/relay_fleet.hpp
@@ -24,8 +24,8 @@
 
 inline constexpr double kLinkBytesPerSecond = 1e9;
 
-// Nodes in failure domains, on loopback addresses of this process. The strongest two of each domain
-// are its relays, as long as they live.
+// Nodes in several failure domains, on loopback addresses that are specific to this process. Tests
+// select the relays.
 class RelayFleet
 {
 public:
@@ -72,7 +72,7 @@
 
     void makeRelay(std::size_t n) { m_nodes[n].isRelay = true; }
 
-    // Relays are nodes 0 and 1 of each domain: 0 to 2 * domains - 1.
+    // Makes nodes 0 to 2 * domains - 1 relays: the first two of each domain.
     RelayFleet &withRelays()
     {
         for (std::size_t n = 0; n < 2 * m_domains; ++n)
@@ -80,10 +80,10 @@
         return *this;
     }
 
-    // From now on each so many-th message that arrives anywhere is lost; zero: none.
+    // From now on every `nth` received message is dropped; zero: none.
     void dropEveryNth(std::size_t nth) { m_dropEvery = nth; }
 
-    // Each live node sends what is due, `rounds` times in 100 ms.
+    // Each live node sends its due messages, for `rounds` rounds of 100 ms.
     void run(int rounds)
     {
         for (int n = 0; n < rounds; ++n) {
@@ -96,7 +96,7 @@
         }
     }
 
-    // Datagrams on loopback have arrived when they are sent.
+    // Handles all pending messages. Datagrams on loopback arrive as soon as they are sent.
     void deliverAll()
     {
         while (m_context.poll() > 0) { }
@@ -113,7 +113,7 @@
         std::unique_ptr<LoadExchange> exchange;
         std::optional<LoadReport> others;
         std::unique_ptr<QuarantineDuty> quarantine;
-        std::vector<RequestNews> requestNews; // told by others
+        std::vector<RequestNews> requestNews; // received from others
         std::size_t received = 0;
     };
 
@@ -127,7 +127,7 @@
     std::vector<Node> &nodes() { return m_nodes; }
 
 private:
-    // Hears nothing of a store that is not there.
+    // Ignores all events of the store, which does not exist here.
     struct NullListener : StoreListener
     {
         void storeTold(const StoreChanges & /*changes*/,
--- a/tests/support/replica_fleet.cpp
+++ b/tests/support/replica_fleet.cpp
@@ -11,7 +11,7 @@
 
 constexpr Duration kStep = std::chrono::milliseconds(100);
 constexpr Duration kListPeriod = std::chrono::seconds(1);
-constexpr std::uint64_t kFrameBytes = 14; // of HTTP/2 and gRPC around each message
+constexpr std::uint64_t kFrameBytes = 14; // HTTP/2 and gRPC framing of each message
 
 } // namespace
 
@@ -77,7 +77,7 @@
 void ReplicaFleet::kill(int index)
 {
     Node &node = m_nodes[static_cast<std::size_t>(index)];
-    // Its links break at once, also when it is started again before the next step.
+    // Its links break immediately, even if it is restarted before the next step.
     for (auto it = m_linked.begin(); it != m_linked.end();) {
         const bool first = it->first == node.member.name;
         if (!first && it->second != node.member.name) {
@@ -271,7 +271,7 @@
     }
 }
 
-// Links come up where a live node dials a live one that it can reach, and go down otherwise.
+// Opens links from live nodes to live, reachable peers, and closes all others.
 void ReplicaFleet::updateLinks()
 {
     std::set<Pair> wanted;
@@ -316,7 +316,7 @@
         if (to == nullptr || !to->replicator || !linked)
             continue;
         if (to->paused) {
-            m_inFlight.push_back(std::move(it)); // lies in the socket
+            m_inFlight.push_back(std::move(it)); // remains in the socket
             continue;
         }
         to->replicator->updateArrived(it.from, it.update);
@@ -331,7 +331,7 @@
     const auto head = store.values.find(headKey());
     if (head != store.values.end()) {
         const auto decoded = codec.decodeHead(head->second.value);
-        // A watch tells changes only; a poll would count as a call.
+        // A watch reports only changes, and only these count as calls.
         if (decoded->version != node.replicator->head().version) {
             ++m_platformCalls;
             node.replicator->platformHead(*decoded);
--- a/tests/support/replica_fleet.hpp
+++ b/tests/support/replica_fleet.hpp
@@ -18,35 +18,36 @@
 
 namespace fordwood::support {
 
-// Many replicators in one process over a paused clock, with a store and a VM list as the platform.
-// Links break and messages are lost as told; nothing here decides anything.
+// Runs many replicators in one process with a manual clock. A store and a VM list simulate the
+// platform. Tests control which nodes, links and services fail.
 class ReplicaFleet
 {
 public:
     ReplicaFleet(int nodes, int domains, std::uint64_t seed = 1);
 
-    // Submits a configuration of these pieces; gives the version, or zero if it was not accepted.
+    // Submits a configuration of these pieces. Returns its version, or zero if it was not accepted.
     std::uint64_t submit(const std::map<std::string, std::string> &pieces);
 
-    // Does what is due now, without letting time pass. Called by run() every 100 ms.
+    // Processes everything that is due without advancing the clock. run() calls it every 100 ms.
     void stepNow();
 
-    // Lets time pass.
+    // Advances the clock step by step.
     void run(Duration time);
 
-    // Runs until every live node serves the version; false after `most`. `took` gets the time.
+    // Runs until every live node serves the version; false after `limit`. Stores the time in
+    // `took`.
     bool runUntilServed(std::uint64_t version, Duration limit, Duration *took = nullptr);
 
     void kill(int node);
-    void stop(int node); // says goodbye, and goes on until it is killed
-    void restart(int node); // with empty memory
-    void setPaused(int node, bool paused); // hears and does nothing; its links stay
+    void stop(int node); // announces the stop; runs until it is killed
+    void restart(int node); // without its former state
+    void setPaused(int node, bool paused); // processes nothing; its links remain
     void setDomainIsolated(const std::string &domain,
-                           bool isolated); // from all others and from the platform
+                           bool isolated); // from other domains and the platform
     void setPlatformDown(bool down);
     void setListLag(Duration lag) { m_listLag = lag; }
     Duration listLag() const { return m_listLag; }
-    // Puts an older head into the platform, as a restored copy would.
+    // Replaces the head by an older one, like a platform restored from a backup.
     void restoreOldHead(std::uint64_t version);
     void setLeavingUpstream(const std::string &name, bool leaving);
     void setSeeds(bool known) { m_seeds = known; }
@@ -62,21 +63,21 @@
     int nodes() const { return static_cast<int>(m_nodes.size()); }
     int relays() const;
     std::uint64_t alarms() const { return m_alarms; }
-    // Did any node ever serve a lower version after a higher one?
+    // Whether a node ever served a lower version after a higher one.
     bool versionEverDecreased() const { return m_wentBack; }
     bool paused(int node) const { return m_nodes[static_cast<std::size_t>(node)].paused; }
     bool platformDown() const { return m_platformDown; }
     bool reaches(int a, int b) const;
     bool reachesPlatform(int node) const;
     const Member &member(int node) const { return m_nodes[static_cast<std::size_t>(node)].member; }
-    // Grows with every start of a node.
+    // Increases with every start of a node.
     std::uint64_t boot(int node) const { return m_nodes[static_cast<std::size_t>(node)].boot; }
     const std::map<std::string, std::string> &pieces(int node) const
     {
         return m_nodes[static_cast<std::size_t>(node)].pieces;
     }
 
-    // Sums since the last resetCounters().
+    // Totals since the last resetCounters().
     void resetCounters();
     std::uint64_t messages() const { return m_messages; }
     std::uint64_t bytes() const { return m_bytes; }
--- a/tests/unit/configuration_test.cpp
+++ b/tests/unit/configuration_test.cpp
@@ -62,13 +62,13 @@
 
 } // namespace
 
-TEST_CASE("configuration: a sound one is accepted [configuration]")
+TEST_CASE("configuration: a valid one is accepted [configuration]")
 {
     CHECK(firstError(kValid) == "");
 }
 
 TEST_CASE(
-    "configuration: every fault names file, line, column and field [configuration][bad-input]")
+    "configuration: every error names file, line, column and field [configuration][bad-input]")
 {
     const std::string team
         = "[[team]]\nname = \"u\"\nkey_sha256 = [\"" + std::string(64, 'b') + "\"]\n";
@@ -118,12 +118,12 @@
     }
 }
 
-TEST_CASE("configuration: all faults are told, not only the first [configuration]")
+TEST_CASE("configuration: all errors are reported, not only the first [configuration]")
 {
     CHECK(errorsOf("[[team]]\nname = 3\n[[model]]\nname = \"\"\n").size() == 4);
 }
 
-TEST_CASE("configuration: pieces depend on content alone, and a change touches one [configuration]")
+TEST_CASE("configuration: pieces depend on the content only; a change affects one [configuration]")
 {
     std::string teams;
     std::string reversed;
@@ -160,7 +160,7 @@
 }
 
 TEST_CASE(
-    "configuration: put together from pieces, step by step, as if read at once [configuration]")
+    "configuration: assembling from pieces gives the same result as reading it [configuration]")
 {
     const auto text = [](int from, int to) {
         std::string teams = kValid;
@@ -171,7 +171,7 @@
     };
     ConfigurationAssembler assembler;
     ConfigErrors errors;
-    // The number of pieces changes on the way, so that tables move between pieces.
+    // The number of pieces differs between steps, so tables move between pieces.
     for (const auto &[from, to] : {std::pair{0, 10}, {0, 200}, {50, 60}, {5, 120}, {0, 0}}) {
         std::vector<StoredPiece> pieces;
         for (const auto &[name, piece] : piecesOf(text(from, to)))
--- a/tests/unit/control_parts_test.cpp
+++ b/tests/unit/control_parts_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The parts that the dispatcher and the replicator are made of, each by itself.
+// Unit tests of the classes that the dispatcher and the replicator consist of.
 #include <doctest/doctest.h>
 
 #include "adapters/platform/proto_head_codec.hpp"
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A configuration of three pieces, as the platform stores it.
+// A configuration of three pieces in its stored form.
 struct StoredConfiguration
 {
     explicit StoredConfiguration(std::uint64_t version)
@@ -54,7 +54,7 @@
     return table;
 }
 
-// Hears of admissions.
+// Records admitted and refused calls.
 struct RecordingListener : TeamAdmission::Listener
 {
     void entered(CallId call) override { in.push_back(call); }
@@ -64,7 +64,7 @@
     std::vector<CallId> out;
 };
 
-// One team that may run one request, owned by another node.
+// One team with a ceiling of two requests, and two members.
 std::shared_ptr<const FleetView> viewWithCeiling()
 {
     auto configuration = std::make_shared<Configuration>();
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("configuration copy: comes into force only whole, manifest first [replicator]")
+TEST_CASE("configuration copy: takes effect only when complete, manifest first [replicator]")
 {
     const StoredConfiguration stored(3);
     ConfigurationCopy copy(stored.codec);
@@ -99,7 +99,7 @@
     CHECK(copy.findBytes(last.sha256) == last.bytes);
 }
 
-TEST_CASE("configuration copy: bytes that are not those of their digest are passed over "
+TEST_CASE("configuration copy: bytes that do not match their digest are ignored "
           "[replicator][bad-input]")
 {
     const StoredConfiguration stored(1);
@@ -110,7 +110,7 @@
     CHECK(copy.pendingVersion() == 1);
 }
 
-TEST_CASE("configuration copy: an older head and one that is being collected change nothing "
+TEST_CASE("configuration copy: an older head and the pending head change nothing "
           "[replicator]")
 {
     const StoredConfiguration older(1);
@@ -125,7 +125,7 @@
     CHECK(copy.head().version == 2);
 }
 
-TEST_CASE("members: a suspicion of this process is answered above it, others' are believed "
+TEST_CASE("members: a suspicion of this process is refuted, others are stored "
           "[replicator]")
 {
     MemberTable table = tableOf({"other", "self"});
@@ -141,7 +141,7 @@
     CHECK(table.bootOf("other") == 5);
 }
 
-TEST_CASE("members: only who is on the list is suspected, and only once [replicator]")
+TEST_CASE("members: only listed members are suspected, and only once [replicator]")
 {
     MemberTable table = tableOf({"other", "self"});
     CHECK_FALSE(table.makeSuspicion("stranger"));
@@ -152,7 +152,7 @@
     CHECK_FALSE(table.makeSuspicion("other"));
 }
 
-TEST_CASE("peers: an expected peer without a link is silent from when it was expected "
+TEST_CASE("peers: an expected peer without a link counts as silent since it was expected "
           "[replicator]")
 {
     ManualClock clock;
@@ -169,7 +169,8 @@
     CHECK(peers.silentFor(5s).empty());
 }
 
-TEST_CASE("peers: one that closes on purpose is not missed, one that breaks off is [replicator]")
+TEST_CASE(
+    "peers: a peer that closed on purpose is not silent, one whose link broke is [replicator]")
 {
     ManualClock clock;
     PeerTable peers(clock);
@@ -183,7 +184,7 @@
     CHECK(peers.silentFor(7s) == std::vector<std::string>{"b"});
 }
 
-TEST_CASE("key claims: the holder hears of the end of what it granted, and of what was given up "
+TEST_CASE("key claims: the holder is notified when a granted or an abandoned call ends "
           "[dispatcher]")
 {
     ManualClock clock;
@@ -209,8 +210,8 @@
     CHECK(std::get<FinishClaim>(actions[1]).state == RunState::NotRun);
 }
 
-TEST_CASE("team admission: a call above the node's part waits for the owner, and one that has left "
-          "takes no place [dispatcher]")
+TEST_CASE("team admission: a call above the node's share waits for the owner, and a withdrawn one "
+          "uses no allowance [dispatcher]")
 {
     ManualClock clock;
     std::vector<Action> actions;
@@ -233,7 +234,8 @@
     CHECK(listener.out.size() + listener.in.size() == 19);
 }
 
-TEST_CASE("team admission: a silent owner leaves the node its own part [dispatcher]")
+TEST_CASE(
+    "team admission: without a reply of the owner the node uses only its own share [dispatcher]")
 {
     ManualClock clock;
     std::vector<Action> actions;
--- a/tests/unit/load_sums_test.cpp
+++ b/tests/unit/load_sums_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What relays tell of the load at the upstreams.
+// Aggregation of the load on the upstreams by relays.
 #include "fordwood/load_sums.hpp"
 
 #include <doctest/doctest.h>
@@ -21,13 +21,13 @@
 
 } // namespace
 
-TEST_CASE("load sums: nodes and other failure domains are added up once each [sums]")
+TEST_CASE("load sums: each node and each other failure domain is counted once [sums]")
 {
     ManualClock clock;
     LoadSums sums(clock);
     sums.setOwn(report(1));
     sums.setNode("a", 1, report(2));
-    sums.setNode("a", 2, report(3)); // in place of the one before
+    sums.setNode("a", 2, report(3)); // replaces the first one
     LoadReport domain = report(10);
     domain.nodes = 5;
     sums.setDomain("d2", domain);
@@ -40,7 +40,7 @@
     CHECK(sums.reportNumbers() == std::map<std::string, std::uint64_t>{{"a", 2}});
 }
 
-TEST_CASE("load sums: the load of a node that is gone counts for a second at the most [sums]")
+TEST_CASE("load sums: the load of a node that is gone is counted for at most a second [sums]")
 {
     ManualClock clock;
     LoadSums sums(clock);
@@ -56,7 +56,7 @@
     CHECK(sums.reportNumbers().size() == 1);
 }
 
-TEST_CASE("load sums: nodes that were replaced take no room [sums]")
+TEST_CASE("load sums: entries of replaced nodes are removed [sums]")
 {
     ManualClock clock;
     LoadSums sums(clock);
@@ -67,7 +67,7 @@
     CHECK(sums.nodeCount() <= 12);
 }
 
-TEST_CASE("load sums: a node that leaves counts no more [sums]")
+TEST_CASE("load sums: a node that leaves is no longer counted [sums]")
 {
     ManualClock clock;
     LoadSums sums(clock);
@@ -76,7 +76,7 @@
     CHECK(sums.othersSum() == LoadReport{0, {}, 0, {}});
 }
 
-TEST_CASE("load sums: a node takes out the report that the sum holds, not its newest [sums]")
+TEST_CASE("load sums: a node subtracts the report that the sum includes, not its newest [sums]")
 {
     SentReports sent;
     CHECK(sent.add(report(2, 100)) == 1);
@@ -86,12 +86,12 @@
     CHECK(sent.withoutOwn(sum, 1).loads.at("e") == UpstreamLoad{7, 900, 900});
     CHECK(sent.withoutOwn(sum, 2).loads.at("e") == UpstreamLoad{4, 300, 300});
     CHECK(sent.withoutOwn(sum, 1).nodes == 3);
-    // A relay that has not heard this node, or one that heard its last life.
+    // The relay has no report of this node, or one from before it was restarted.
     CHECK(sent.withoutOwn(sum, std::nullopt) == sum);
     CHECK(sent.withoutOwn(sum, 77) == sum);
 }
 
-TEST_CASE("load sums: an upstream that only this node uses is in no sum without it [sums]")
+TEST_CASE("load sums: an upstream that only this node uses is not in the sum without it [sums]")
 {
     SentReports sent;
     sent.add(report(2));
@@ -100,7 +100,7 @@
     CHECK(sent.withoutOwn(sum, 1).loads.isEmpty());
 }
 
-TEST_CASE("load sums: reports of long ago are not kept [sums]")
+TEST_CASE("load sums: old sent reports are dropped [sums]")
 {
     SentReports sent;
     for (int n = 0; n < 1'000; ++n)
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Who follows the stores for others, and what a relay tells.
+// Which nodes become relays, and which store changes a relay sends.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -16,13 +16,14 @@
 
 constexpr std::size_t kNodes = 30;
 
-// A third of the nodes have strong VMs.
+// Every third node has a strong VM.
 RelayCandidate candidate(std::size_t n)
 {
     return {"node-" + std::to_string(n), n % 3 == 0 ? 50.0 : 12.0};
 }
 
-// Nodes of one failure domain that see each other, and whether the platform's store answers them.
+// Nodes of one failure domain that see each other; the platform's store can be unreachable for
+// some.
 class Domain
 {
 public:
@@ -93,16 +94,16 @@
 
 } // namespace
 
-TEST_CASE("relays: two nodes of a large failure domain follow the stores [relays]")
+TEST_CASE("relays: two nodes of a large failure domain watch the stores [relays]")
 {
     Domain domain;
     domain.update();
-    CHECK(domain.relays().size() == kNodes); // none steps down before others have proved themselves
+    CHECK(domain.relays().size() == kNodes); // none steps down before stepDownDelay has passed
     domain.settle();
     CHECK(domain.relays().size() == 2);
 }
 
-TEST_CASE("relays: weak VMs leave the work to strong ones [relays]")
+TEST_CASE("relays: strong VMs are preferred over weak ones [relays]")
 {
     Domain domain;
     domain.settle();
@@ -110,27 +111,27 @@
         CHECK(candidate(it).strength == 50.0);
 }
 
-TEST_CASE("relays: in a small fleet every node follows the stores itself [relays]")
+TEST_CASE("relays: in a small fleet every node watches the stores itself [relays]")
 {
     Domain domain;
     domain.settle(8);
     CHECK(domain.relays().size() == kNodes);
 }
 
-TEST_CASE("relays: one that the store does not answer is replaced, and steps in again [relays]")
+TEST_CASE("relays: one that cannot reach the store is replaced until it can again [relays]")
 {
     Domain domain;
     domain.settle();
     const std::vector<std::size_t> before = domain.relays();
     domain.m_reachesStore[before.front()] = false;
     domain.settle();
-    CHECK(domain.relays().size() == 3); // it goes on trying
+    CHECK(domain.relays().size() == 3); // it continues to try
     domain.m_reachesStore[before.front()] = true;
     domain.settle();
     CHECK(domain.relays() == before);
 }
 
-TEST_CASE("relays: a node that hears no relay becomes one at once [relays]")
+TEST_CASE("relays: a node without a relay becomes one at once [relays]")
 {
     Domain domain;
     domain.settle();
@@ -140,7 +141,7 @@
     CHECK(role.followsContext());
 }
 
-TEST_CASE("relays: no more of them follow the stores of kept context than those serve [relays]")
+TEST_CASE("relays: no more of them watch the context stores than those can serve [relays]")
 {
     Domain domain;
     for (RelayRole &it : domain.m_roles)
@@ -152,7 +153,8 @@
     CHECK(followers == 1);
 }
 
-TEST_CASE("relays: a reader is told what it lacks, and all when that is not known [relays][stores]")
+TEST_CASE(
+    "relays: a reader gets the changes it lacks, or all if these are unknown [relays][stores]")
 {
     ManualClock clock;
     StoreNewsLog log(clock, {3});
@@ -168,7 +170,7 @@
     CHECK(lacking[0].changes[0].partId == "a");
     CHECK_FALSE(lacking[0].changes[0].held);
     CHECK(lacking[0].next == 13);
-    CHECK(lacking[0].age == 300ms); // the store's word is as old as it is for the relay
+    CHECK(lacking[0].age == 300ms); // includes the time since the relay received it
 
     CHECK(log.since({position(13)})[0].changes.empty());
     for (const StorePosition &unknown : {position(9), position(13, 6)}) {
@@ -180,11 +182,11 @@
     CHECK(log.since({})[0].restated);
 
     log.told(news(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
-    CHECK(log.since({position(10)})[0].restated); // the oldest changes are no longer known
+    CHECK(log.since({position(10)})[0].restated); // the oldest changes were dropped
     CHECK_FALSE(log.since({position(13)})[0].restated);
 }
 
-TEST_CASE("relays: a reader that is ahead is not set back; a silent store is not told of "
+TEST_CASE("relays: a reader that is ahead is not reset; a silent store is not included "
           "[relays][stores]")
 {
     ManualClock clock;
@@ -198,7 +200,7 @@
     CHECK(log.since({position(10)}).empty());
 }
 
-TEST_CASE("relays: a relay's word of a store is no fresher than the store's own [relays][stores]")
+TEST_CASE("relays: the age of a store's data includes its time at the relay [relays][stores]")
 {
     ManualClock clock;
     clock.advance(10s);
@@ -217,8 +219,8 @@
 
 namespace {
 
-// The nodes of a failure domain as they see each other in a large fleet: each knows all by their
-// keys, and hears the relays that live.
+// The nodes of a failure domain in a large fleet: each node knows all others by their keys in the
+// store, and receives messages of the live relays.
 class LargeDomain
 {
 public:
@@ -311,13 +313,13 @@
 
 } // namespace
 
-TEST_CASE("relays: of a large fleet that starts at once only two nodes of a domain become relays "
+TEST_CASE("relays: if all nodes of a large fleet start at once, two per domain become relays "
           "[relays][sums]")
 {
     LargeDomain domain;
     domain.run(700ms);
     CHECK(domain.relays().empty());
-    CHECK(domain.followers() == kNodes); // each reads the store once
+    CHECK(domain.followers() == kNodes); // until they have discovered each other
     domain.run(100ms);
     CHECK(domain.relays().size() == 2);
     domain.run(2s);
@@ -325,7 +327,7 @@
     CHECK(domain.followers() == 2);
 }
 
-TEST_CASE("relays: few stand in for a relay that is gone, and at once [relays][sums]")
+TEST_CASE("relays: a failed relay is replaced by few nodes, and quickly [relays][sums]")
 {
     LargeDomain domain;
     domain.run(3s);
@@ -337,7 +339,7 @@
     CHECK(domain.relays().size() == 2);
 }
 
-TEST_CASE("relays: however many of a domain are gone, others stand in within a second "
+TEST_CASE("relays: others take over within a second even if most of a domain failed "
           "[relays][sums]")
 {
     LargeDomain domain;
@@ -345,7 +347,7 @@
     std::vector<std::size_t> gone;
     for (std::size_t n = 0; n < kNodes; ++n) {
         if (candidate(n).strength > 20.0 || n % 2 == 0)
-            gone.push_back(n); // all strong ones, and half of the others
+            gone.push_back(n); // all strong ones and half of the others
     }
     domain.stop(gone);
     domain.run(1s);
@@ -355,7 +357,7 @@
     CHECK(domain.relays().size() == 2);
 }
 
-TEST_CASE("relays: where the store answers only others, a node that it answers asks it too "
+TEST_CASE("relays: if the relays cannot reach the store, some nodes that can read it too "
           "[relays][sums]")
 {
     LargeDomain domain;
@@ -370,7 +372,7 @@
     CHECK(asking >= 3);
     CHECK(asking <= 6); // not all of them
     domain.run(3s);
-    CHECK(domain.followers() == asking); // it goes on while the relays are not answered
+    CHECK(domain.followers() == asking); // as long as the relays cannot reach it
     domain.m_reachesStore.assign(kNodes, true);
     domain.run(1s);
     CHECK(domain.followers() == 2);
--- a/tests/unit/replicator_test.cpp
+++ b/tests/unit/replicator_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("delta: a splice carries only what differs, and only fits what it was made from [delta]")
+TEST_CASE("delta: a splice contains only the difference and applies only to its base [delta]")
 {
     const adapters::ProtoHeadCodec codec;
     const auto digest = [&](const std::string &bytes) { return codec.digest(bytes); };
@@ -65,7 +65,7 @@
     CHECK_FALSE(applyDelta(stored(before), wild, digest));
 }
 
-TEST_CASE("tree: two relays a domain, bounded fan-out, every other node has parents [membership]")
+TEST_CASE("tree: two relays per domain, bounded fan-out, two parents for other nodes [membership]")
 {
     std::vector<Member> members;
     members.reserve(300);
@@ -109,11 +109,11 @@
     CHECK(took <= 1s);
     for (int it = 0; it < fleet.nodes(); ++it)
         CHECK(fleet.text(it, "piece-7").find("two") != std::string::npos);
-    // 22 kB of pieces went nowhere: the change itself is a few bytes.
+    // The pieces of 22 kB are not sent; the change itself is a few bytes.
     CHECK(fleet.bytes() / 60 < 2000);
 }
 
-TEST_CASE("replicator: with 8 % of the nodes just dead a version is in force in 5 s [spreading]")
+TEST_CASE("replicator: a version is in effect in 5 s after 8 % of the nodes failed [spreading]")
 {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
         CAPTURE(seed);
@@ -130,8 +130,7 @@
     }
 }
 
-TEST_CASE(
-    "replicator: the dead are suspected by all, a restarted node is trusted again [membership]")
+TEST_CASE("replicator: a dead node is suspected by all until it is restarted [membership]")
 {
     ReplicaFleet fleet(40, 2);
     fleet.submit(piecesOf("one"));
@@ -146,7 +145,7 @@
     CHECK(fleet.version(5) == 1);
 }
 
-TEST_CASE("replicator: a paused node is suspected, and clears itself when it goes on [membership]")
+TEST_CASE("replicator: a paused node is suspected until it continues [membership]")
 {
     ReplicaFleet fleet(40, 2);
     fleet.submit(piecesOf("one"));
@@ -162,7 +161,7 @@
     CHECK(fleet.version(3) == 2);
 }
 
-TEST_CASE("replicator: a domain cut off keeps serving, and catches up when it is back [partition]")
+TEST_CASE("replicator: an isolated domain continues serving, then catches up [partition]")
 {
     ReplicaFleet fleet(40, 4);
     fleet.submit(piecesOf("one"));
@@ -178,20 +177,20 @@
     CHECK_FALSE(fleet.versionEverDecreased());
 }
 
-TEST_CASE("replicator: nodes cut from the platform alone hear from the other domains [partition]")
+TEST_CASE("replicator: without the platform, nodes still get versions from relays [partition]")
 {
     ReplicaFleet fleet(24, 3);
     fleet.submit(piecesOf("one"));
     fleet.runUntilServed(1, 30s);
     fleet.run(20s);
-    // The platform is down for everybody but has spoken to one relay: its version reaches all.
+    // The relays read the version just before the platform goes down; it reaches all nodes.
     REQUIRE(fleet.submit(piecesOf("two")) == 2);
     fleet.run(200ms);
     fleet.setPlatformDown(true);
     CHECK(fleet.runUntilServed(2, 10s));
 }
 
-TEST_CASE("replicator: a fresh node in an outage learns the newest version from its seeds [outage]")
+TEST_CASE("replicator: a new node in an outage gets the newest version from its seeds [outage]")
 {
     ReplicaFleet fleet(16, 2);
     fleet.submit(piecesOf("one"));
@@ -205,7 +204,7 @@
     CHECK(fleet.replicator(9).members().size() == 16);
 }
 
-TEST_CASE("replicator: a restored older platform takes no node back, and raises an alarm [outage]")
+TEST_CASE("replicator: an older restored head is not applied and raises an alarm [outage]")
 {
     ReplicaFleet fleet(16, 2);
     fleet.submit(piecesOf("one"));
@@ -218,14 +217,14 @@
     CHECK(fleet.alarms() > before);
     for (int it = 0; it < fleet.nodes(); ++it)
         CHECK(fleet.version(it) == 3);
-    // Also one that starts anew ends up with the newest, from its peers.
+    // A restarted node also gets the newest version, from its peers.
     fleet.restart(4);
     fleet.run(20s);
     CHECK(fleet.version(4) == 3);
-    CHECK(fleet.firstServed(4) == 3); // it never served the older one
+    CHECK(fleet.firstServed(4) == 3); // it never served the older version
 }
 
-TEST_CASE("replicator: a leaving upstream is known everywhere after the list's lag [leaving]")
+TEST_CASE("replicator: a leaving upstream is known on all nodes after the list's lag [leaving]")
 {
     ReplicaFleet fleet(40, 2);
     fleet.submit(piecesOf("one"));
@@ -238,8 +237,7 @@
         CHECK(fleet.replicator(it).list().leavingUpstreams.count("up-1") == 1);
 }
 
-TEST_CASE(
-    "replicator: all relays of a domain dead at once, its other nodes find new ones [recovery]")
+TEST_CASE("replicator: if all relays of a domain die, other nodes replace them [recovery]")
 {
     ReplicaFleet fleet(40, 2);
     fleet.submit(piecesOf("one"));
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/submission_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("submission: a first one and a next one raise the version [configuration]")
+TEST_CASE("submission: each accepted one increments the version [configuration]")
 {
     Fixture fixture;
     const auto first = fixture.submitter.submit(fixture.submission("s1", "one"), 5s);
@@ -42,7 +42,7 @@
     CHECK(same.version == 2);
 }
 
-TEST_CASE("submission: a reply that is lost after the effect is settled, not repeated [platform]")
+TEST_CASE("submission: a write whose reply is lost takes effect only once [platform]")
 {
     Fixture fixture;
     fixture.store.headFaults = {FaultyStore::Fault::LostAfterEffect};
@@ -53,12 +53,11 @@
     CHECK(head->version == 1);
 }
 
-TEST_CASE(
-    "submission: lost after the effect and overtaken at once is still told as accepted [race]")
+TEST_CASE("submission: accepted although its reply is lost and another one follows at once [race]")
 {
     Fixture fixture;
     fixture.store.headFaults = {FaultyStore::Fault::LostAfterEffect};
-    // Another operator's submission follows before ours has heard of its own success.
+    // Another operator's submission is accepted before ours is repeated.
     int writes = 0;
     Submitter submitter(fixture.store, fixture.codec, fixture.clock, [&](Duration time) {
         fixture.clock.advance(time);
@@ -70,7 +69,7 @@
     CHECK(result.version == 1);
 }
 
-TEST_CASE("submission: of two racing operators one wins and the other is told [race]")
+TEST_CASE("submission: of two concurrent ones, one is accepted and the other refused [race]")
 {
     Fixture fixture;
     SubmissionResult other;
@@ -82,18 +81,18 @@
     CHECK(result.version == 1);
 }
 
-TEST_CASE("submission: a late effect of a lost write cannot undo a refusal [race][platform]")
+TEST_CASE("submission: a delayed write cannot take effect after a refusal [race][platform]")
 {
     Fixture fixture;
     fixture.store.headFaults = {FaultyStore::Fault::LostBeforeEffect};
     fixture.store.beforeHeadWrite = [&] {
         CHECK(fixture.submitter.submit(fixture.submission("s2", "two"), 5s).version == 1);
     };
-    // The first try is lost; the fault hits the racing write instead of ours, so give it one too.
+    // The racing write consumes the first entry, so the fault is put after it for our write.
     fixture.store.headFaults.insert(fixture.store.headFaults.begin(), FaultyStore::Fault::None);
     const auto result = fixture.submitter.submit(fixture.submission("s1", "one"), 5s);
     CHECK(result.outcome == SubmissionOutcome::Refused);
-    // The lost write arrives now, with the revision that it was based on: it must not take effect.
+    // The lost write arrives now. It must not take effect, since its revision is outdated.
     ConfigHead late;
     late.version = 1;
     late.submissionId = "s1";
@@ -101,7 +100,7 @@
     CHECK_FALSE(*done);
 }
 
-TEST_CASE("submission: with the store down it is surely not in force [platform]")
+TEST_CASE("submission: not stored when the store is down [platform]")
 {
     Fixture fixture;
     fixture.store.down = true;
@@ -109,8 +108,7 @@
     CHECK(result.outcome == SubmissionOutcome::NotStored);
 }
 
-TEST_CASE(
-    "submission: without a certain answer the outcome is unknown, and asking again settles it")
+TEST_CASE("submission: the outcome is unknown without a reply; repeating it determines the outcome")
 {
     Fixture fixture;
     fixture.store.headFaults.assign(100, FaultyStore::Fault::LostBeforeEffect);
@@ -121,7 +119,7 @@
     CHECK(fixture.submitter.submit(fixture.submission("s1", "one"), 2s).version == 1);
 }
 
-TEST_CASE("submission: one based on another version than that in force is refused [race]")
+TEST_CASE("submission: refused if based on another version than the one in effect [race]")
 {
     Fixture fixture;
     fixture.submitter.submit(fixture.submission("s1", "one"), 5s);
@@ -132,7 +130,7 @@
     CHECK(fixture.submitter.submit(late, 5s).outcome == SubmissionOutcome::Accepted);
 }
 
-TEST_CASE("head guard: versions never go back [configuration]")
+TEST_CASE("head guard: versions never decrease [configuration]")
 {
     HeadGuard guard;
     ConfigHead head;
