--- a/include/fordwood/fleet_view.hpp
+++ b/include/fordwood/fleet_view.hpp
@@ -82,8 +82,8 @@
     const std::string &regionOf(const std::string &failureDomain) const;
     static void addCandidate(Candidates &candidates, const UpstreamConfig &upstream);
     static std::vector<const UpstreamConfig *>
-    selectBest(const std::map<std::string, CandidatesByProximity> &from, const std::string &name,
-               std::uint64_t prefixHash, std::size_t count);
+    selectBest(const std::map<std::string, CandidatesByProximity> &candidatesByName,
+               const std::string &name, std::uint64_t prefixHash, std::size_t count);
 
     struct OwnerCandidates
     {
--- a/include/fordwood/gossip_queue.hpp
+++ b/include/fordwood/gossip_queue.hpp
@@ -19,7 +19,7 @@
     explicit GossipQueue(const Clock &clock) : m_clock(clock) { }
 
     // Adds an item to send.
-    void add(const RequestNews &news);
+    void add(const RequestNews &update);
 
     // The items to include in the message that is sent now.
     std::vector<RequestNews> takeDue();
@@ -30,7 +30,7 @@
 private:
     struct Item
     {
-        RequestNews news;
+        RequestNews update;
         std::size_t timesSent = 0;
         TimePoint due{};
     };
--- a/src/core/distribution_tree.cpp
+++ b/src/core/distribution_tree.cpp
@@ -20,14 +20,15 @@
 // The members of a domain, sorted by rank.
 RankedNames rankMembers(const std::string &domain, const std::set<std::string_view> &names)
 {
-    const std::vector<std::string_view> list(names.begin(), names.end());
+    const std::vector<std::string_view> nameList(names.begin(), names.end());
     std::vector<std::uint64_t> hashes;
-    hashes.reserve(list.size());
-    for (const std::string_view it : list)
+    hashes.reserve(nameList.size());
+    for (const std::string_view it : nameList)
         hashes.push_back(stableHash(it));
     RankedNames result;
-    for (const std::size_t it : rendezvousOrder(stableHash("relay/" + domain), hashes, list.size()))
-        result.emplace_back(list[it]);
+    for (const std::size_t it :
+         rendezvousOrder(stableHash("relay/" + domain), hashes, nameList.size()))
+        result.emplace_back(nameList[it]);
     return result;
 }
 
@@ -52,8 +53,8 @@
     for (const auto &[name, members] : domains)
         names.push_back(name);
     std::set<std::string> chosen;
-    const auto own = std::find(names.begin(), names.end(), ownDomain) - names.begin();
-    chosen.insert(names[(static_cast<std::size_t>(own) + 1) % names.size()]);
+    const auto ownIndex = std::find(names.begin(), names.end(), ownDomain) - names.begin();
+    chosen.insert(names[(static_cast<std::size_t>(ownIndex) + 1) % names.size()]);
     std::vector<std::uint64_t> hashes;
     hashes.reserve(names.size());
     for (const std::string &it : names)
@@ -80,24 +81,24 @@
         domains[it.failureDomain].insert(it.name);
     domains[ownFailureDomain].insert(self);
     // neighboursOf() ranks the members of other domains only where it links to them.
-    const RankedNames own = rankMembers(ownFailureDomain, domains[ownFailureDomain]);
-    const auto rank
-        = static_cast<std::size_t>(std::find(own.begin(), own.end(), self) - own.begin());
+    const RankedNames ownRanking = rankMembers(ownFailureDomain, domains[ownFailureDomain]);
+    const auto rank = static_cast<std::size_t>(std::find(ownRanking.begin(), ownRanking.end(), self)
+                                               - ownRanking.begin());
     TreePosition position;
     position.relay = rank < kRelaysPerDomain;
     if (position.relay) {
         position.neighbours = neighboursOf(self, ownFailureDomain, domains);
         // The two relays of a domain are also neighbours; the second one opens the link.
         if (rank == 1)
-            position.neighbours.push_back(own[0]);
+            position.neighbours.push_back(ownRanking[0]);
     } else {
-        position.parents = {own[firstParent(rank)], own[secondParent(rank)]};
+        position.parents = {ownRanking[firstParent(rank)], ownRanking[secondParent(rank)]};
     }
-    for (std::size_t it = kRelaysPerDomain; it < own.size(); ++it) {
+    for (std::size_t it = kRelaysPerDomain; it < ownRanking.size(); ++it) {
         if (firstParent(it) == rank || secondParent(it) == rank)
-            position.children.push_back(own[it]);
+            position.children.push_back(ownRanking[it]);
         if (firstParent(it) == rank)
-            position.firstChildren.push_back(own[it]);
+            position.firstChildren.push_back(ownRanking[it]);
     }
     return position;
 }
--- a/src/core/fleet_view.cpp
+++ b/src/core/fleet_view.cpp
@@ -168,12 +168,12 @@
 }
 
 std::vector<const UpstreamConfig *>
-FleetView::selectBest(const std::map<std::string, CandidatesByProximity> &from,
+FleetView::selectBest(const std::map<std::string, CandidatesByProximity> &candidatesByName,
                       const std::string &name, std::uint64_t prefixHash, std::size_t count)
 {
     std::vector<const UpstreamConfig *> result;
-    const auto byProximity = from.find(name);
-    if (byProximity == from.end())
+    const auto byProximity = candidatesByName.find(name);
+    if (byProximity == candidatesByName.end())
         return result;
     for (const Candidates &it : byProximity->second) {
         if (result.size() >= count)
--- a/src/core/gossip_queue.cpp
+++ b/src/core/gossip_queue.cpp
@@ -24,11 +24,11 @@
 
 } // namespace
 
-void GossipQueue::add(const RequestNews &news)
+void GossipQueue::add(const RequestNews &update)
 {
     if (m_items.size() == kMaxItems)
         m_items.pop_front();
-    m_items.push_back({news, 0, m_clock.now()});
+    m_items.push_back({update, 0, m_clock.now()});
 }
 
 bool GossipQueue::hasUnsent() const
@@ -39,18 +39,18 @@
 
 std::vector<RequestNews> GossipQueue::takeDue()
 {
-    std::vector<RequestNews> news;
+    std::vector<RequestNews> updates;
     const TimePoint now = m_clock.now();
     for (Item &it : m_items) {
-        if (now < it.due || news.size() == kMaxPerMessage)
+        if (now < it.due || updates.size() == kMaxPerMessage)
             continue;
-        news.push_back(it.news);
+        updates.push_back(it.update);
         it.timesSent += 1;
         if (it.timesSent <= kResendDelays.size())
             it.due = now + kResendDelays[it.timesSent - 1];
     }
     std::erase_if(m_items, [](const Item &it) { return it.timesSent > kResendDelays.size(); });
-    return news;
+    return updates;
 }
 
 } // namespace fordwood
--- a/src/core/member_table.cpp
+++ b/src/core/member_table.cpp
@@ -41,11 +41,11 @@
             }
             continue;
         }
-        const bool before = m_liveness.isSuspected(it.member);
+        const bool wasSuspected = m_liveness.isSuspected(it.member);
         if (!m_liveness.merge(it))
             continue;
         result.records.push_back(it);
-        result.membersChanged = result.membersChanged || before != it.suspected;
+        result.membersChanged = result.membersChanged || wasSuspected != it.suspected;
     }
     return result;
 }
--- a/src/core/replicator.cpp
+++ b/src/core/replicator.cpp
@@ -94,16 +94,16 @@
         return;
     // Alternates between the platform and the peers, since either may not reply. Starts with the
     // source that offered the configuration.
-    const std::size_t platformsTurn = m_fetch.from.empty() ? 0 : 1;
+    const std::size_t platformParity = m_fetch.from.empty() ? 0 : 1;
     const bool fromPlatform
-        = m_readsPlatform && (m_peers.links().empty() || m_fetch.attempts % 2 == platformsTurn);
+        = m_readsPlatform && (m_peers.links().empty() || m_fetch.attempts % 2 == platformParity);
     ++m_fetch.attempts;
     if (fromPlatform) {
         m_actions.emplace_back(FetchBlobs{missing.manifests, missing.pieces});
         return;
     }
-    const bool offerer = m_fetch.attempts == 1 && m_peers.has(m_fetch.from);
-    const std::string peer = offerer ? m_fetch.from : m_peers.roundRobin(m_fetch.attempts);
+    const bool askOfferer = m_fetch.attempts == 1 && m_peers.has(m_fetch.from);
+    const std::string peer = askOfferer ? m_fetch.from : m_peers.roundRobin(m_fetch.attempts);
     if (peer.empty())
         return;
     PeerUpdate update = baseUpdate();
@@ -118,7 +118,7 @@
 
 void Replicator::receiveBlobs(const std::vector<Blob> &blobs)
 {
-    const std::uint64_t collected = m_configuration.pendingVersion();
+    const std::uint64_t pendingVersion = m_configuration.pendingVersion();
     const bool hadManifest = m_configuration.hasManifest();
     const ConfigurationCopy::Progress progress = m_configuration.addBlobs(blobs);
     if (!hadManifest && m_configuration.hasManifest())
@@ -134,7 +134,7 @@
         break;
     case ConfigurationCopy::Progress::Damaged:
         m_actions.emplace_back(ReplicatorAlarm{ReplicatorAlarm::Kind::DamagedConfiguration,
-                                               collected, head().version});
+                                               pendingVersion, head().version});
         break;
     }
 }
@@ -268,20 +268,21 @@
 {
     const std::vector<Member> now = members();
     m_position = treePosition(m_self.name, m_self.failureDomain, now);
-    std::vector<std::string> wanted = m_position.parents;
-    wanted.insert(wanted.end(), m_position.neighbours.begin(), m_position.neighbours.end());
-    SetOutgoingLinks keep;
+    std::vector<std::string> linkedPeers = m_position.parents;
+    linkedPeers.insert(linkedPeers.end(), m_position.neighbours.begin(),
+                       m_position.neighbours.end());
+    SetOutgoingLinks links;
     for (const Member &it : now) {
-        if (it.name != m_self.name && contains(wanted, it.name))
-            keep.peers.push_back(it);
+        if (it.name != m_self.name && contains(linkedPeers, it.name))
+            links.peers.push_back(it);
     }
     std::set<std::string> expected(m_position.children.begin(), m_position.children.end());
     expected.insert(m_position.parents.begin(), m_position.parents.end());
     m_peers.setExpected(std::move(expected));
-    const std::vector<std::string> names = namesOf(keep.peers);
+    const std::vector<std::string> names = namesOf(links.peers);
     if (names != m_lastLinks) {
         m_lastLinks = names;
-        m_actions.emplace_back(std::move(keep));
+        m_actions.emplace_back(std::move(links));
     }
     if (list().revision > 0 && !m_noLinksSince)
         setPlatformReading(m_position.relay);
@@ -336,39 +337,39 @@
 void Replicator::sendReply(const std::string &peer, PeerTable::Link &link, const PeerUpdate &update)
 {
     PeerUpdate reply = baseUpdate();
-    bool needed = false;
+    bool hasContent = false;
     for (const std::string &it : update.requestedDigests) {
         if (auto bytes = m_configuration.findBytes(it)) {
             reply.blobs.push_back({it, std::move(*bytes)});
-            needed = true;
+            hasContent = true;
         }
     }
     // A peer with an older version gets the head, unless its first parent sends it.
-    const bool helped = sendsWholeHeadTo(peer) && update.headVersion < head().version;
-    if (update.requestsHead || (helped && link.headVersion < head().version)) {
+    const bool needsHead = sendsWholeHeadTo(peer) && update.headVersion < head().version;
+    if (update.requestsHead || (needsHead && link.headVersion < head().version)) {
         link.headVersion = head().version;
         reply.head = withoutSubmissionIds(head());
-        needed = true;
+        hasContent = true;
     }
     if (update.requestsList || link.listRevision < list().revision) {
         link.listRevision = list().revision;
         reply.list = makeDelta(VmList{}, list());
-        needed = true;
+        hasContent = true;
     }
     if (update.listRevision > list().revision && !update.list) {
         reply.requestsList = true;
-        needed = true;
+        hasContent = true;
     }
-    if (needed)
+    if (hasContent)
         send(peer, std::move(reply));
 }
 
 // Records a peer that announced a newer version without sending it.
 void Replicator::recordNewerVersion(const std::string &peer, const PeerUpdate &update)
 {
-    const bool behind = update.headVersion > head().version && !update.head
-                        && m_configuration.pendingVersion() < update.headVersion;
-    if (behind && (!m_newerVersion || m_newerVersion->version < update.headVersion))
+    const bool isBehind = update.headVersion > head().version && !update.head
+                          && m_configuration.pendingVersion() < update.headVersion;
+    if (isBehind && (!m_newerVersion || m_newerVersion->version < update.headVersion))
         m_newerVersion = NewerVersion{update.headVersion, peer, m_clock.now()};
 }
 
@@ -382,8 +383,8 @@
     suspectSilentPeers();
     checkOrphaned();
     requestNewerHead();
-    const bool pendingVersion = m_configuration.pendingVersion() != 0;
-    if (pendingVersion && m_clock.now() - m_fetch.requestedAt >= m_timings.retryRequestAfter)
+    const bool isPending = m_configuration.pendingVersion() != 0;
+    if (isPending && m_clock.now() - m_fetch.requestedAt >= m_timings.retryRequestAfter)
         requestParts();
 }
 
@@ -403,8 +404,8 @@
 // has a random part, so that not all nodes of a domain start at once.
 void Replicator::checkOrphaned()
 {
-    const bool alone = m_peers.links().empty() && !m_position.relay && list().revision > 0;
-    if (!alone) {
+    const bool hasNoLinks = m_peers.links().empty() && !m_position.relay && list().revision > 0;
+    if (!hasNoLinks) {
         m_noLinksSince.reset();
         return;
     }
--- a/src/core/submission.cpp
+++ b/src/core/submission.cpp
@@ -94,29 +94,29 @@
                                                 const std::string &manifest)
 {
     std::vector<std::string> keys;
-    std::vector<ConditionalWrite> all;
+    std::vector<ConditionalWrite> writes;
     for (const StoredPiece &it : submission.pieces) {
         keys.push_back(pieceKey(it.sha256));
-        all.push_back({keys.back(), 0, it.text});
+        writes.push_back({keys.back(), 0, it.text});
     }
     keys.push_back(manifestKey(m_codec.digest(manifest)));
-    all.push_back({keys.back(), 0, manifest});
+    writes.push_back({keys.back(), 0, manifest});
 
     const auto present = m_store.getMany(keys, kCallTimeout);
     if (!present)
         return tl::make_unexpected(present.error());
     std::vector<ConditionalWrite> missing;
-    for (std::size_t it = 0; it < all.size(); ++it) {
+    for (std::size_t it = 0; it < writes.size(); ++it) {
         if (!(*present)[it])
-            missing.push_back(all[it]);
+            missing.push_back(writes[it]);
     }
     for (std::size_t begin = 0; begin < missing.size(); begin += kWritesPerCall) {
         const std::size_t end = std::min(missing.size(), begin + kWritesPerCall);
-        const std::vector<ConditionalWrite> part(
+        const std::vector<ConditionalWrite> batch(
             missing.begin() + static_cast<std::ptrdiff_t>(begin),
             missing.begin() + static_cast<std::ptrdiff_t>(end));
         // A lost reply does no harm here, because the keys are content digests.
-        const auto done = m_store.writeMissing(part, kCallTimeout);
+        const auto done = m_store.writeMissing(batch, kCallTimeout);
         if (!done)
             return tl::make_unexpected(done.error());
     }
--- a/tests/support/relay_fleet.hpp
+++ b/tests/support/relay_fleet.hpp
@@ -30,14 +30,15 @@
 {
 public:
     RelayFleet(std::size_t domains, std::size_t nodesInEach, std::uint8_t subnet)
-        : m_net("127." + std::to_string(subnet) + "." + std::to_string(getpid() % 250 + 1) + "."),
+        : m_addressPrefix("127." + std::to_string(subnet) + "." + std::to_string(getpid() % 250 + 1)
+                          + "."),
           m_domains(domains)
     {
         for (std::size_t n = 0; n < domains * nodesInEach; ++n) {
             Node node;
             node.name = "n" + std::to_string(n);
             node.domain = "d" + std::to_string(n % domains);
-            node.address = m_net + std::to_string(n + 1) + ":9000";
+            node.address = m_addressPrefix + std::to_string(n + 1) + ":9000";
             node.strength = n < 3 * domains ? 50.0 : 12.0;
             m_nodes.push_back(std::move(node));
         }
@@ -162,7 +163,7 @@
         node.exchange->send(message, node.isRelay);
     }
 
-    const std::string m_net;
+    const std::string m_addressPrefix;
     const std::size_t m_domains;
     ManualClock m_clock;
     net::io_context m_context;
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -77,14 +77,14 @@
     std::vector<bool> m_reachesStore;
 };
 
-StoreNews news(std::uint64_t next, std::vector<StorePartChange> changes)
+StoreNews makeUpdate(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    StoreNews told;
-    told.store = "s";
-    told.epoch = 7;
-    told.next = next;
-    told.changes = std::move(changes);
-    return told;
+    StoreNews update;
+    update.store = "s";
+    update.epoch = 7;
+    update.next = next;
+    update.changes = std::move(changes);
+    return update;
 }
 
 StorePosition position(std::uint64_t next, std::uint64_t epoch = 7)
@@ -158,9 +158,9 @@
 {
     ManualClock clock;
     StoreNewsLog log(clock, {3});
-    log.told(news(10, {}));
-    log.told(news(12, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
-    log.told(news(13, {{"salt", "a", false, 0}}));
+    log.told(makeUpdate(10, {}));
+    log.told(makeUpdate(12, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
+    log.told(makeUpdate(13, {{"salt", "a", false, 0}}));
     clock.advance(300ms);
 
     const auto lacking = log.since({position(12)});
@@ -181,7 +181,7 @@
     }
     CHECK(log.since({})[0].restated);
 
-    log.told(news(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
+    log.told(makeUpdate(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
     CHECK(log.since({position(10)})[0].restated); // the oldest changes were dropped
     CHECK_FALSE(log.since({position(13)})[0].restated);
 }
@@ -191,11 +191,11 @@
 {
     ManualClock clock;
     StoreNewsLog log(clock);
-    log.told(news(10, {}));
-    const auto told = log.since({position(14)});
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].next == 14);
-    CHECK(told[0].changes.empty());
+    log.told(makeUpdate(10, {}));
+    const auto updates = log.since({position(14)});
+    REQUIRE(updates.size() == 1);
+    CHECK(updates[0].next == 14);
+    CHECK(updates[0].changes.empty());
     log.silent("s");
     CHECK(log.since({position(10)}).empty());
 }
@@ -209,9 +209,9 @@
     store.name = "s";
     store.address = "10.0.0.1:80";
     contexts.setStores({store});
-    StoreNews told = news(1, {{"salt", "a", true, 100}});
-    told.age = 1'400ms;
-    contexts.storeAnswered(told);
+    StoreNews update = makeUpdate(1, {{"salt", "a", true, 100}});
+    update.age = 1'400ms;
+    contexts.storeAnswered(update);
     CHECK(contexts.hasWord());
     clock.advance(200ms);
     CHECK_FALSE(contexts.hasWord());
@@ -344,12 +344,12 @@
 {
     LargeDomain domain;
     domain.run(3s);
-    std::vector<std::size_t> gone;
+    std::vector<std::size_t> failed;
     for (std::size_t n = 0; n < kNodes; ++n) {
         if (candidate(n).strength > 20.0 || n % 2 == 0)
-            gone.push_back(n); // all strong ones and half of the others
+            failed.push_back(n); // all strong ones and half of the others
     }
-    domain.stop(gone);
+    domain.stop(failed);
     domain.run(1s);
     CHECK(domain.relays().size() >= 2);
     CHECK(domain.relays().size() <= 8);
--- a/tests/unit/replicator_test.cpp
+++ b/tests/unit/replicator_test.cpp
@@ -13,16 +13,16 @@
 
 using Pieces = std::map<std::string, std::string>;
 
-Pieces piecesOf(const std::string &mark)
+Pieces piecesOf(const std::string &variant)
 {
     Pieces pieces;
     for (int it = 0; it < 20; ++it)
         pieces["piece-" + std::to_string(it)] = std::string(500, 'x') + std::to_string(it);
-    pieces["piece-7"] = std::string(250, 'a') + mark + std::string(250, 'b');
+    pieces["piece-7"] = std::string(250, 'a') + variant + std::string(250, 'b');
     return pieces;
 }
 
-int suspectedBy(const ReplicaFleet &fleet, int node)
+int countSuspecting(const ReplicaFleet &fleet, int node)
 {
     int n = 0;
     for (int it = 0; it < fleet.nodes(); ++it)
@@ -60,9 +60,9 @@
         CHECK(after.at(it.name) == it.text);
     CHECK_FALSE(applyDelta(stored(piecesOf("other")), delta, digest));
     CHECK_FALSE(applyDelta({}, delta, digest));
-    ConfigDelta wild = delta;
-    wild.splices[0].suffixLength = 1 << 30;
-    CHECK_FALSE(applyDelta(stored(before), wild, digest));
+    ConfigDelta corrupt = delta;
+    corrupt.splices[0].suffixLength = 1 << 30;
+    CHECK_FALSE(applyDelta(stored(before), corrupt, digest));
 }
 
 TEST_CASE("tree: two relays per domain, bounded fan-out, two parents for other nodes [membership]")
@@ -138,10 +138,10 @@
     fleet.run(20s);
     fleet.kill(5);
     fleet.run(15s);
-    CHECK(suspectedBy(fleet, 5) == 39);
+    CHECK(countSuspecting(fleet, 5) == 39);
     fleet.restart(5);
     fleet.run(15s);
-    CHECK(suspectedBy(fleet, 5) == 0);
+    CHECK(countSuspecting(fleet, 5) == 0);
     CHECK(fleet.version(5) == 1);
 }
 
@@ -153,11 +153,11 @@
     fleet.run(20s);
     fleet.setPaused(3, true);
     fleet.run(20s);
-    CHECK(suspectedBy(fleet, 3) >= 38);
+    CHECK(countSuspecting(fleet, 3) >= 38);
     fleet.submit(piecesOf("two"));
     fleet.setPaused(3, false);
     fleet.run(20s);
-    CHECK(suspectedBy(fleet, 3) == 0);
+    CHECK(countSuspecting(fleet, 3) == 0);
     CHECK(fleet.version(3) == 2);
 }
 
