--- a/include/fordwood/gossip_queue.hpp
+++ b/include/fordwood/gossip_queue.hpp
@@ -10,9 +10,9 @@
 
 namespace fordwood {
 
-// Queue of request news to send to the peers. Messages can be lost and peers can be unreachable for
-// a while, so each item is sent in the next messages and again a few times over the following
-// seconds.
+// Queue of quarantine updates to send to the peers. Messages can be lost and peers can be
+// unreachable for a while, so each item is sent in the next messages and again a few times over the
+// following seconds.
 class GossipQueue
 {
 public:
