--- a/include/fordwood/distribution_tree.hpp
+++ b/include/fordwood/distribution_tree.hpp
@@ -13,7 +13,7 @@
 // own position from its view of the members. Differing views only cost an additional link or two.
 struct TreePosition
 {
-    bool relay = false; // reads the platform for its failure domain
+    bool isRelay = false; // reads the platform for its failure domain
     std::vector<std::string> parents; // first and second; none for relays
     std::vector<std::string> children; // nodes that have this node as first or second parent
     std::vector<std::string> firstChildren; // nodes that have this node as first parent
--- a/include/fordwood/replicator.hpp
+++ b/include/fordwood/replicator.hpp
@@ -58,7 +58,7 @@
     bool enabled;
 };
 
-// Reads values from the platform by digest. The result is passed to platformBlobs().
+// Reads values from the platform by digest. The result is passed to onPlatformBlobs().
 struct FetchBlobs
 {
     std::vector<std::string> manifests;
@@ -124,9 +124,9 @@
     void start();
 
     // --- from the platform ---
-    void platformHead(const ConfigHead &head);
-    void platformList(const VmList &list);
-    void platformBlobs(const std::vector<Blob> &blobs);
+    void onPlatformHead(const ConfigHead &head);
+    void onPlatformList(const VmList &list);
+    void onPlatformBlobs(const std::vector<Blob> &blobs);
 
     // --- from peers ---
     void linkUp(const std::string &peer);
@@ -144,7 +144,7 @@
 
     const ConfigHead &head() const { return m_configuration.head(); }
     const VmList &list() const { return m_members.list(); }
-    bool isRelay() const { return m_position.relay; }
+    bool isRelay() const { return m_position.isRelay; }
     bool readsPlatform() const { return m_readsPlatform; }
     std::size_t links() const { return m_peers.links().size(); }
     bool isSuspected(const std::string &member) const { return m_members.isSuspected(member); }
--- a/src/apps/controld/control_node.cpp
+++ b/src/apps/controld/control_node.cpp
@@ -151,17 +151,17 @@
 
 void ControlNode::on(const HeadEvent &event)
 {
-    m_replicator.platformHead(event.head);
+    m_replicator.onPlatformHead(event.head);
 }
 
 void ControlNode::on(const ListEvent &event)
 {
-    m_replicator.platformList(event.list);
+    m_replicator.onPlatformList(event.list);
 }
 
 void ControlNode::on(const BlobsEvent &event)
 {
-    m_replicator.platformBlobs(event.blobs);
+    m_replicator.onPlatformBlobs(event.blobs);
 }
 
 void ControlNode::on(const ReachableEvent &event)
--- a/src/core/distribution_tree.cpp
+++ b/src/core/distribution_tree.cpp
@@ -85,8 +85,8 @@
     const auto rank = static_cast<std::size_t>(std::find(ownRanking.begin(), ownRanking.end(), self)
                                                - ownRanking.begin());
     TreePosition position;
-    position.relay = rank < kRelaysPerDomain;
-    if (position.relay) {
+    position.isRelay = rank < kRelaysPerDomain;
+    if (position.isRelay) {
         position.neighbours = neighboursOf(self, ownFailureDomain, domains);
         // The two relays of a domain are also neighbours; the second one opens the link.
         if (rank == 1)
--- a/src/core/replicator.cpp
+++ b/src/core/replicator.cpp
@@ -45,7 +45,7 @@
 
 // ---------------------------------------------------------------- configuration
 
-void Replicator::platformHead(const ConfigHead &head)
+void Replicator::onPlatformHead(const ConfigHead &head)
 {
     if (mustWaitForPeers()) {
         m_deferredHead = head;
@@ -111,7 +111,7 @@
     send(peer, std::move(update));
 }
 
-void Replicator::platformBlobs(const std::vector<Blob> &blobs)
+void Replicator::onPlatformBlobs(const std::vector<Blob> &blobs)
 {
     receiveBlobs(blobs);
 }
@@ -190,7 +190,7 @@
 
 // ---------------------------------------------------------------- VM list and members
 
-void Replicator::platformList(const VmList &list)
+void Replicator::onPlatformList(const VmList &list)
 {
     offerList(list, "");
 }
@@ -285,7 +285,7 @@
         m_actions.emplace_back(std::move(links));
     }
     if (list().revision > 0 && !m_noLinksSince)
-        setPlatformReading(m_position.relay);
+        setPlatformReading(m_position.isRelay);
 }
 
 // ---------------------------------------------------------------- links
@@ -294,7 +294,7 @@
 {
     m_peers.addLink(peer);
     if (std::exchange(m_noLinksSince, std::nullopt) && list().revision > 0)
-        setPlatformReading(m_position.relay);
+        setPlatformReading(m_position.isRelay);
     // Each side sends its versions, so that the other can send what is missing.
     PeerUpdate update = baseUpdate();
     update.liveness = m_members.records();
@@ -404,7 +404,7 @@
 // has a random part, so that not all nodes of a domain start at once.
 void Replicator::checkOrphaned()
 {
-    const bool hasNoLinks = m_peers.links().empty() && !m_position.relay && list().revision > 0;
+    const bool hasNoLinks = m_peers.links().empty() && !m_position.isRelay && list().revision > 0;
     if (!hasNoLinks) {
         m_noLinksSince.reset();
         return;
--- a/tests/scenario/lua_test.cpp
+++ b/tests/scenario/lua_test.cpp
@@ -236,7 +236,7 @@
      }},
     {"seeds",
      [](lua_State *lua) {
-         present(lua).fleet.setSeeds(lua_toboolean(lua, 1) != 0);
+         present(lua).fleet.setUseSeeds(lua_toboolean(lua, 1) != 0);
          return 0;
      }},
     {"expect",
--- a/tests/scenario/random_test.cpp
+++ b/tests/scenario/random_test.cpp
@@ -44,7 +44,7 @@
             m_world.cutDomain("domain-" + std::to_string(it), false);
         for (int it = 0; it < m_nodes; ++it) {
             m_world.pause(it, false);
-            if (!m_world.fleet.alive(it))
+            if (!m_world.fleet.isAlive(it))
                 m_world.restart(it);
         }
         for (int it = 0; it < kEngines; ++it)
--- a/tests/support/replica_fleet.cpp
+++ b/tests/support/replica_fleet.cpp
@@ -104,7 +104,7 @@
     node.paused = false;
     node.replicator = std::make_unique<Replicator>(node.member, node.boot = ++m_boots, clock, codec,
                                                    ReplicatorTimings{}, m_random());
-    if (m_seeds) {
+    if (m_useSeeds) {
         for (const Node &it : m_nodes) {
             if (it.member.name != node.member.name && it.replicator && node.dialledPeers.size() < 2)
                 node.dialledPeers.insert(it.member.name);
@@ -202,12 +202,12 @@
     stepNow();
 }
 
-bool ReplicaFleet::reaches(int a, int b) const
+bool ReplicaFleet::canReach(int a, int b) const
 {
     return reachable(m_nodes[static_cast<std::size_t>(a)], m_nodes[static_cast<std::size_t>(b)]);
 }
 
-bool ReplicaFleet::reachesPlatform(int node) const
+bool ReplicaFleet::canReachPlatform(int node) const
 {
     return platformReachable(m_nodes[static_cast<std::size_t>(node)]);
 }
@@ -255,7 +255,7 @@
                 add(manifestKey(it), it);
             for (const std::string &it : fetch->pieces)
                 add(pieceKey(it), it);
-            node.replicator->platformBlobs(blobs);
+            node.replicator->onPlatformBlobs(blobs);
             executeActions(node);
         } else if (const auto *applied = std::get_if<ApplyConfiguration>(&action)) {
             m_wentBack = m_wentBack || applied->head.version <= node.served;
@@ -334,13 +334,13 @@
         // A watch reports only changes, and only these count as calls.
         if (decoded->version != node.replicator->head().version) {
             ++m_platformCalls;
-            node.replicator->platformHead(*decoded);
+            node.replicator->onPlatformHead(*decoded);
         }
     }
     if (clock.now() >= node.nextListRead) {
         ++m_platformCalls;
         node.nextListRead = clock.now() + kListPeriod;
-        node.replicator->platformList(laggedList());
+        node.replicator->onPlatformList(laggedList());
     }
 }
 
--- a/tests/support/replica_fleet.hpp
+++ b/tests/support/replica_fleet.hpp
@@ -50,9 +50,9 @@
     // Replaces the head by an older one, like a platform restored from a backup.
     void restoreOldHead(std::uint64_t version);
     void setLeavingUpstream(const std::string &name, bool leaving);
-    void setSeeds(bool known) { m_seeds = known; }
+    void setUseSeeds(bool enabled) { m_useSeeds = enabled; }
 
-    bool alive(int node) const
+    bool isAlive(int node) const
     {
         return m_nodes[static_cast<std::size_t>(node)].replicator != nullptr;
     }
@@ -65,10 +65,10 @@
     std::uint64_t alarms() const { return m_alarms; }
     // Whether a node ever served a lower version after a higher one.
     bool versionEverDecreased() const { return m_wentBack; }
-    bool paused(int node) const { return m_nodes[static_cast<std::size_t>(node)].paused; }
-    bool platformDown() const { return m_platformDown; }
-    bool reaches(int a, int b) const;
-    bool reachesPlatform(int node) const;
+    bool isPaused(int node) const { return m_nodes[static_cast<std::size_t>(node)].paused; }
+    bool isPlatformDown() const { return m_platformDown; }
+    bool canReach(int a, int b) const;
+    bool canReachPlatform(int node) const;
     const Member &member(int node) const { return m_nodes[static_cast<std::size_t>(node)].member; }
     // Increases with every start of a node.
     std::uint64_t boot(int node) const { return m_nodes[static_cast<std::size_t>(node)].boot; }
@@ -131,7 +131,7 @@
     std::set<std::string> m_isolatedDomains; // domains
     std::vector<ConfigHead> m_acceptedHeads;
     bool m_platformDown = false;
-    bool m_seeds = false;
+    bool m_useSeeds = false;
     Duration m_listLag{0};
     std::uint64_t m_submissions = 0;
     std::uint64_t m_alarms = 0;
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -62,7 +62,7 @@
     result.request = request;
     result.sent = fleet.clock.now();
     m_results.push_back(result);
-    if (!fleet.alive(request.node)) {
+    if (!fleet.isAlive(request.node)) {
         m_results.back().ended = true;
         m_results.back().nodeDied = true;
         return number;
@@ -165,7 +165,7 @@
 
 void World::stopNode(int node)
 {
-    if (!fleet.alive(node) || m_nodes[static_cast<std::size_t>(node)].stopping)
+    if (!fleet.isAlive(node) || m_nodes[static_cast<std::size_t>(node)].stopping)
         return;
     m_nodes[static_cast<std::size_t>(node)].stopping = true;
     post(node, [this, node](Node &it) {
@@ -197,8 +197,8 @@
     breakStreams();
     std::vector<Event> due;
     for (auto it = m_events.begin(); it != m_events.end();) {
-        const bool dead = !fleet.alive(it->to.first) || fleet.boot(it->to.first) != it->to.second;
-        if (!dead && (it->at > fleet.clock.now() || fleet.paused(it->to.first))) {
+        const bool dead = !fleet.isAlive(it->to.first) || fleet.boot(it->to.first) != it->to.second;
+        if (!dead && (it->at > fleet.clock.now() || fleet.isPaused(it->to.first))) {
             ++it;
             continue;
         }
@@ -212,7 +212,7 @@
     sampleLoads();
     finishLoads();
     for (int it = 0; it < m_size.nodes; ++it) {
-        if (!fleet.alive(it) || fleet.paused(it))
+        if (!fleet.isAlive(it) || fleet.isPaused(it))
             continue;
         refreshView(it);
         Node &node = m_nodes[static_cast<std::size_t>(it)];
@@ -343,7 +343,7 @@
     const HolderId holder = holderOf(placeOf(index));
     const auto toOwner = [&](const std::string &owner, auto handle) {
         const int target = indexOf(owner);
-        if (target < 0 || !fleet.alive(target) || !fleet.reaches(index, target))
+        if (target < 0 || !fleet.isAlive(target) || !fleet.canReach(index, target))
             return; // the stream breaks, which breakStreams() reports
         ++m_permitMessages;
         post(target, std::move(handle));
@@ -456,7 +456,7 @@
     for (Run &it : m_runs) {
         Upstream &upstream = m_upstreams[it.send.upstream];
         const bool gone
-            = !fleet.alive(it.place.first) || fleet.boot(it.place.first) != it.place.second;
+            = !fleet.isAlive(it.place.first) || fleet.boot(it.place.first) != it.place.second;
         if (it.baseline && !it.begun && upstream.running >= m_size.slots) {
             keep.push_back(std::move(it)); // in the engine's own queue
             continue;
@@ -510,7 +510,7 @@
         m_results[run.request].answered = failure == nullptr;
         return;
     }
-    if (!fleet.alive(run.place.first) || fleet.boot(run.place.first) != run.place.second)
+    if (!fleet.isAlive(run.place.first) || fleet.boot(run.place.first) != run.place.second)
         return;
     const SendCall send = run.send;
     const int index = run.place.first;
@@ -537,8 +537,8 @@
     for (const PermitAnswer &answer :
          m_nodes[static_cast<std::size_t>(index)].book->takeAnswers()) {
         const int entry = static_cast<int>(answer.holder % 1000);
-        if (!fleet.alive(entry) || holderOf(placeOf(entry)) != answer.holder
-            || !fleet.reaches(index, entry))
+        if (!fleet.isAlive(entry) || holderOf(placeOf(entry)) != answer.holder
+            || !fleet.canReach(index, entry))
             continue;
         PermitReply reply;
         reply.askId = answer.askId;
@@ -558,13 +558,13 @@
 void World::breakStreams()
 {
     for (int it = 0; it < m_size.nodes; ++it) {
-        if (!fleet.alive(it))
+        if (!fleet.isAlive(it))
             continue;
         Node &node = m_nodes[static_cast<std::size_t>(it)];
         std::vector<std::string> broken;
         for (const std::string &owner : node.streams) {
             const int target = indexOf(owner);
-            if (target < 0 || !fleet.alive(target) || !fleet.reaches(it, target))
+            if (target < 0 || !fleet.isAlive(target) || !fleet.canReach(it, target))
                 broken.push_back(owner);
         }
         for (const std::string &owner : broken) {
@@ -579,7 +579,7 @@
 void World::tellHolderGone(const std::string &owner, HolderId holder)
 {
     const int target = indexOf(owner);
-    if (target >= 0 && fleet.alive(target))
+    if (target >= 0 && fleet.isAlive(target))
         post(target, [holder](Node &it) {
             it.book->dropHolder(holder);
             it.keys->dropClaimant(holder);
@@ -612,9 +612,9 @@
 
 void World::checkAll()
 {
-    bool disturbed = fleet.platformDown();
+    bool disturbed = fleet.isPlatformDown();
     for (int it = 0; it < m_size.nodes; ++it)
-        disturbed = disturbed || fleet.paused(it) || !fleet.reachesPlatform(it);
+        disturbed = disturbed || fleet.isPaused(it) || !fleet.canReachPlatform(it);
     if (disturbed)
         m_lastDisturbance = fleet.clock.now();
     if (fleet.versionEverDecreased())
@@ -631,7 +631,7 @@
     for (WorldResult &it : m_results) {
         if (it.ended)
             continue;
-        it.nodePaused = it.nodePaused || fleet.paused(it.request.node);
+        it.nodePaused = it.nodePaused || fleet.isPaused(it.request.node);
         const TimePoint latest = it.sent + it.request.deadline + kAfterDeadline;
         if (!it.nodePaused && fleet.clock.now() > latest)
             violate("a request got no end");
--- a/tests/support/world_engines.cpp
+++ b/tests/support/world_engines.cpp
@@ -117,7 +117,7 @@
 void World::carryOutLoad(int index, const LoadAction &action)
 {
     Node &node = m_nodes[static_cast<std::size_t>(index)];
-    const bool reachable = fleet.reachesPlatform(index);
+    const bool reachable = fleet.canReachPlatform(index);
     if (const auto *read = std::get_if<ReadEngine>(&action)) {
         const std::string name = read->upstream;
         post(index, [this, name](Node &it) {
--- a/tests/support/world_keys.cpp
+++ b/tests/support/world_keys.cpp
@@ -41,7 +41,7 @@
     for (const KeyHolder &it : seen.holders)
         boots[it.node] = it.boot;
     node.keys->setAlive(boots);
-    if (!fleet.reachesPlatform(index))
+    if (!fleet.canReachPlatform(index))
         return;
     for (std::uint32_t value = 0; value < kTenureValues; ++value) {
         const int keeper = tenureExtenderIndex(value, seen.hashes);
@@ -72,7 +72,7 @@
         const std::uint32_t partition = it.first;
         const TenureChain &chain = it.second;
         const int target = chain.empty() ? -1 : indexOf(chain.back().holder.node);
-        if (target < 0 || !fleet.alive(target) || !fleet.reaches(from, target))
+        if (target < 0 || !fleet.isAlive(target) || !fleet.canReach(from, target))
             continue;
         post(target, [partition, chain](Node &holder) { holder.keys->setChain(partition, chain); });
     }
@@ -87,7 +87,7 @@
     const auto successor = [&](std::uint32_t partition) {
         const KeyHolder to = seen.of(partition);
         const int target = indexOf(to.node);
-        const bool there = target >= 0 && fleet.alive(target) && fleet.reaches(index, target)
+        const bool there = target >= 0 && fleet.isAlive(target) && fleet.canReach(index, target)
                            && fleet.boot(target) == to.boot;
         return there ? to : KeyHolder{};
     };
@@ -100,7 +100,7 @@
     for (std::uint32_t value = 0; value < kTenureValues; ++value) {
         const auto stored = fleet.store.get(tenureKey(value), kHop);
         wire::TenureChains message;
-        if (!fleet.reachesPlatform(index) || !stored || !*stored
+        if (!fleet.canReachPlatform(index) || !stored || !*stored
             || !message.ParseFromString((*stored)->value))
             continue;
         const auto chains = handOverTenures(adapters::fromWire(message), self, successor);
--- a/tests/unit/replicator_test.cpp
+++ b/tests/unit/replicator_test.cpp
@@ -26,7 +26,7 @@
 {
     int n = 0;
     for (int it = 0; it < fleet.nodes(); ++it)
-        n += fleet.alive(it)
+        n += fleet.isAlive(it)
                      && fleet.replicator(it).isSuspected("node-" + std::to_string(10'000 + node))
                  ? 1
                  : 0;
@@ -75,8 +75,8 @@
     std::map<std::string, int> children;
     for (const Member &it : members) {
         const TreePosition position = treePosition(it.name, it.failureDomain, members);
-        relays += position.relay ? 1 : 0;
-        CHECK(position.parents.size() == (position.relay ? 0 : 2));
+        relays += position.isRelay ? 1 : 0;
+        CHECK(position.parents.size() == (position.isRelay ? 0 : 2));
         CHECK(position.children.size() <= 2 * kFanOut);
         CHECK(position.neighbours.size() <= 4);
         for (const std::string &parent : position.parents)
@@ -197,7 +197,7 @@
     fleet.runUntilServed(1, 30s);
     fleet.run(20s);
     fleet.setPlatformDown(true);
-    fleet.setSeeds(true);
+    fleet.setUseSeeds(true);
     fleet.restart(9);
     fleet.run(10s);
     CHECK(fleet.version(9) == 1);
