--- a/include/fordwood/relay_role.hpp
+++ b/include/fordwood/relay_role.hpp
@@ -32,8 +32,8 @@
 // Decides whether a node watches the platform's store and the context stores itself, or gets their
 // changes from relays. The relays are the two strongest nodes of each failure domain; ties are
 // broken by a hash of the names. Without relays, each change would complete a waiting call of every
-// node, and a context store would refuse readers beyond its limit, so that some nodes would not
-// learn its content. More relays than necessary only cost a few additional calls.
+// node, and a context store would refuse readers beyond its limit, so that no node
+// would know its content. More relays than necessary only cost a few additional calls.
 class RelayRole
 {
 public:
@@ -47,9 +47,9 @@
         // How long a node that has just started waits to discover the others before it can become a
         // relay; zero: it is one immediately.
         Duration discovery = Duration::zero();
-        // When a relay is missing, nodes take over by rank: the first ones immediately, twice as
-        // many one step later, and again twice as many after each further step. This way few nodes
-        // take over needlessly, and some do within a second however many nodes have failed.
+        // When a relay is missing, nodes take over by rank: the first two immediately; each step
+        // doubles the number of nodes that may take over. This way few nodes take over needlessly,
+        // and some do within a second however many nodes have failed.
         Duration takeoverStep = std::chrono::milliseconds(150);
         // While no relay gets changes of the platform's store, one more node of the failure domain
         // starts to read it after each step, since the store may be reachable for some nodes only.
