--- a/include/fordwood/replicator.hpp
+++ b/include/fordwood/replicator.hpp
@@ -97,7 +97,7 @@
 // Intervals and timeouts of the replicator.
 struct ReplicatorTimings
 {
-    Duration heartbeat = std::chrono::seconds(2); // longest time without a message on a link
+    Duration heartbeat = std::chrono::seconds(2); // longest time without sending on a link
     Duration suspectAfter = std::chrono::seconds(7); // without a message from the peer
     Duration retryRequestAfter = std::chrono::seconds(1); // for parts that did not arrive
     Duration firstParentGrace = std::chrono::milliseconds(300); // before asking another peer
--- a/include/fordwood/tenure.hpp
+++ b/include/fordwood/tenure.hpp
@@ -23,7 +23,7 @@
 };
 
 // The exclusive right to run requests whose idempotency keys were issued in an interval of calendar
-// time. Checks compare the key's issue time with the agreed bounds and never read a local clock, so
+// time. Checks compare the key's issue time with the agreed bounds and never compare two clocks, so
 // a holder that was paused or replaced cannot run a request that its successor may run.
 struct Tenure
 {
--- a/src/core/submission.cpp
+++ b/src/core/submission.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxRecentIds = 64; // changes of 90 s at the target rate
+constexpr std::size_t kMaxRecentIds = 64; // 90 s of changes at the target rate
 constexpr std::size_t kMaxDeltaBytes = 32'768; // larger changes are fetched piece by piece
 constexpr std::size_t kWritesPerCall = 64; // below the usual limit of operations per transaction
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
--- a/tests/support/replica_fleet.hpp
+++ b/tests/support/replica_fleet.hpp
@@ -124,11 +124,11 @@
 
     std::vector<Node> m_nodes;
     std::map<std::string, int> m_indices;
-    std::set<Pair> m_linked; // dialler, peer
+    std::set<Pair> m_linked; // node that opened the link, peer
     std::deque<Message> m_inFlight;
     std::vector<std::pair<TimePoint, VmList>> m_lists;
     VmList m_list;
-    std::set<std::string> m_isolatedDomains; // domains
+    std::set<std::string> m_isolatedDomains;
     std::vector<ConfigHead> m_acceptedHeads;
     bool m_platformDown = false;
     bool m_useSeeds = false;
