--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -86,7 +86,7 @@
 }
 
 // One change of one table: what controld and entryd each do for it.
-void applyDeltaOf(benchmark::State &state)
+void applyChange(benchmark::State &state)
 {
     const int upstreams = static_cast<int>(state.range(0));
     const auto one = piecesOf(upstreams, 1);
@@ -107,7 +107,7 @@
     }
     benchmark::DoNotOptimize(owned);
 }
-BENCHMARK(applyDeltaOf)->Arg(32)->Arg(1376)->Arg(11'000)->Unit(benchmark::kMillisecond);
+BENCHMARK(applyChange)->Arg(32)->Arg(1376)->Arg(11'000)->Unit(benchmark::kMillisecond);
 
 void buildView(benchmark::State &state)
 {
