--- a/src/apps/controld/control_node.cpp
+++ b/src/apps/controld/control_node.cpp
@@ -151,17 +151,17 @@
 
 void ControlNode::on(const HeadEvent &event)
 {
-    m_replicator.platformHead(event.head);
+    m_replicator.onPlatformHead(event.head);
 }
 
 void ControlNode::on(const ListEvent &event)
 {
-    m_replicator.platformList(event.list);
+    m_replicator.onPlatformList(event.list);
 }
 
 void ControlNode::on(const BlobsEvent &event)
 {
-    m_replicator.platformBlobs(event.blobs);
+    m_replicator.onPlatformBlobs(event.blobs);
 }
 
 void ControlNode::on(const ReachableEvent &event)
@@ -209,12 +209,12 @@
 {
     if (const auto *update = std::get_if<SendUpdate>(&action)) {
         m_links.send(update->peer, update->update);
-    } else if (const auto *keep = std::get_if<KeepLinks>(&action)) {
+    } else if (const auto *keep = std::get_if<SetOutgoingLinks>(&action)) {
         std::vector<std::string> addresses;
         for (const Member &it : keep->peers)
             addresses.push_back(it.controlAddress);
         m_links.dial(addresses);
-    } else if (const auto *reading = std::get_if<ReadPlatform>(&action)) {
+    } else if (const auto *reading = std::get_if<SetPlatformReading>(&action)) {
         m_platform.setReading(reading->enabled);
     } else if (const auto *fetch = std::get_if<FetchBlobs>(&action)) {
         m_platform.fetch(*fetch);
@@ -257,15 +257,16 @@
 {
     switch (alarm.kind) {
     case ReplicatorAlarm::Kind::OlderHead:
-        logEvent(Event::OlderHeadSeen, {{"seen", alarm.seen}, {"kept", alarm.kept}});
+        logEvent(Event::OlderHeadSeen,
+                 {{"seen", alarm.offeredVersion}, {"kept", alarm.currentVersion}});
         m_metrics.count("fordwood_older_head_total");
         break;
     case ReplicatorAlarm::Kind::DamagedConfiguration:
-        logEvent(Event::ConfigurationDamaged, {{"version", alarm.seen}});
+        logEvent(Event::ConfigurationDamaged, {{"version", alarm.offeredVersion}});
         m_metrics.count("fordwood_configuration_damaged_total");
         break;
     case ReplicatorAlarm::Kind::Orphaned:
-        logEvent(Event::Orphaned, {{"version", alarm.kept}});
+        logEvent(Event::Orphaned, {{"version", alarm.currentVersion}});
         m_metrics.count("fordwood_orphaned_total");
         break;
     }
--- a/src/core/submission.cpp
+++ b/src/core/submission.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kRecentIds = 64; // a minute and a half of changes at the target rate
-constexpr std::size_t kMostDeltaBytes = 32'768; // a larger change is fetched piece by piece
+constexpr std::size_t kMaxRecentIds = 64; // 90 s of changes at the target rate
+constexpr std::size_t kMaxDeltaBytes = 32'768; // larger changes are fetched piece by piece
 constexpr std::size_t kWritesPerCall = 64; // below the usual limit of operations per transaction
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
 constexpr Duration kRetryPause = std::chrono::milliseconds(200);
@@ -44,7 +44,7 @@
 SubmissionResult Submitter::submit(const Submission &submission, Duration limit)
 {
     const TimePoint end = m_clock.now() + limit;
-    // Sorted, so that the manifest does not depend on who puts the pieces together.
+    // Sorted, so that the manifest does not depend on the order of the submitted pieces.
     std::vector<StoredPiece> pieces = submission.pieces;
     std::sort(pieces.begin(), pieces.end(),
               [](const StoredPiece &a, const StoredPiece &b) { return a.name < b.name; });
@@ -59,72 +59,72 @@
         }
         const ConfigHead &head = base->head;
         if (contains(head.recentSubmissionIds, submission.id))
-            return {SubmissionOutcome::Accepted, head.version, "accepted before", 0};
+            return {SubmissionOutcome::Accepted, head.version, "was already accepted", 0};
         if (submission.base && *submission.base != head.version)
             return {SubmissionOutcome::Refused, head.version,
                     "based on version " + std::to_string(*submission.base), 0};
         if (head.manifestSha256 == manifestSha256)
-            return {SubmissionOutcome::Unchanged, head.version, "nothing differs", 0};
+            return {SubmissionOutcome::Unchanged, head.version, "no difference", 0};
         const auto written = writePieces(submission, manifest);
         if (!written) {
             lastError = written.error().text;
             continue;
         }
-        ConfigHead next = successor(*base, submission, manifestSha256);
+        ConfigHead next = makeNextHead(*base, submission, manifestSha256);
         next.delta = deltaFrom(base->head, pieces);
-        return settle(submission, *base, next, *written, end);
+        return swapHead(submission, *base, next, *written, end);
     } while (waitBeforeRetry(end));
     return {SubmissionOutcome::NotStored, 0, lastError, 0};
 }
 
-StoreResult<Submitter::Base> Submitter::readHead()
+StoreResult<Submitter::StoredHead> Submitter::readHead()
 {
     const auto stored = m_store.get(headKey(), kCallTimeout);
     if (!stored)
         return tl::make_unexpected(stored.error());
     if (!*stored)
-        return Base{};
+        return StoredHead{};
     const auto head = m_codec.decodeHead((*stored)->value);
     if (!head)
         return tl::make_unexpected(StoreError{RunState::NotRun, "the stored head is damaged"});
-    return Base{*head, (*stored)->revision};
+    return StoredHead{*head, (*stored)->revision};
 }
 
 StoreResult<std::size_t> Submitter::writePieces(const Submission &submission,
                                                 const std::string &manifest)
 {
     std::vector<std::string> keys;
-    std::vector<ConditionalWrite> all;
+    std::vector<ConditionalWrite> writes;
     for (const StoredPiece &it : submission.pieces) {
         keys.push_back(pieceKey(it.sha256));
-        all.push_back({keys.back(), 0, it.text});
+        writes.push_back({keys.back(), 0, it.text});
     }
     keys.push_back(manifestKey(m_codec.digest(manifest)));
-    all.push_back({keys.back(), 0, manifest});
+    writes.push_back({keys.back(), 0, manifest});
 
     const auto present = m_store.getMany(keys, kCallTimeout);
     if (!present)
         return tl::make_unexpected(present.error());
     std::vector<ConditionalWrite> missing;
-    for (std::size_t it = 0; it < all.size(); ++it) {
+    for (std::size_t it = 0; it < writes.size(); ++it) {
         if (!(*present)[it])
-            missing.push_back(all[it]);
+            missing.push_back(writes[it]);
     }
     for (std::size_t begin = 0; begin < missing.size(); begin += kWritesPerCall) {
         const std::size_t end = std::min(missing.size(), begin + kWritesPerCall);
-        const std::vector<ConditionalWrite> part(
+        const std::vector<ConditionalWrite> batch(
             missing.begin() + static_cast<std::ptrdiff_t>(begin),
             missing.begin() + static_cast<std::ptrdiff_t>(end));
-        // A lost reply does no harm here: the values are named by their content.
-        const auto done = m_store.writeMissing(part, kCallTimeout);
+        // A lost reply does no harm here, because the keys are content digests.
+        const auto done = m_store.writeMissing(batch, kCallTimeout);
         if (!done)
             return tl::make_unexpected(done.error());
     }
     return missing.size();
 }
 
-// The change from the configuration in force, if it can be read and is small. It spares every node
-// the reading of pieces; without it they are fetched one by one.
+// The change from the configuration in effect, if that can be read and the change is small. With it
+// the nodes need not fetch the changed pieces one by one.
 std::optional<ConfigDelta> Submitter::deltaFrom(const ConfigHead &base,
                                                 const std::vector<StoredPiece> &after)
 {
@@ -161,13 +161,13 @@
     std::size_t bytes = 0;
     for (const PieceSplice &it : delta.splices)
         bytes += it.middle.size() + it.name.size() + it.sha256.size();
-    if (bytes > kMostDeltaBytes)
+    if (bytes > kMaxDeltaBytes)
         return std::nullopt;
     return delta;
 }
 
-SubmissionResult Submitter::settle(const Submission &submission, const Base &base,
-                                   const ConfigHead &next, std::size_t written, TimePoint end)
+SubmissionResult Submitter::swapHead(const Submission &submission, const StoredHead &base,
+                                     const ConfigHead &next, std::size_t written, TimePoint end)
 {
     const std::vector<ConditionalWrite> swap{{headKey(), base.revision, m_codec.encodeHead(next)}};
     bool mayHaveRun = false;
@@ -181,7 +181,8 @@
             lastError = done.error().text;
             continue;
         }
-        // The head has moved on, so no earlier try of ours can still take effect: reading decides.
+        // The head has changed, so none of our attempts can take effect any more. The stored head
+        // shows whether one did.
         const auto now = readHead();
         if (!now) {
             mayHaveRun = true;
@@ -191,14 +192,14 @@
         if (contains(now->head.recentSubmissionIds, submission.id))
             return {SubmissionOutcome::Accepted, next.version, "", written};
         return {SubmissionOutcome::Refused, now->head.version,
-                "submission " + now->head.submissionId + " came first", written};
+                "submission " + now->head.submissionId + " was accepted first", written};
     } while (waitBeforeRetry(end));
     return {mayHaveRun ? SubmissionOutcome::Unknown : SubmissionOutcome::NotStored, next.version,
             lastError, written};
 }
 
-ConfigHead Submitter::successor(const Base &base, const Submission &submission,
-                                const std::string &manifestSha256) const
+ConfigHead Submitter::makeNextHead(const StoredHead &base, const Submission &submission,
+                                   const std::string &manifestSha256) const
 {
     ConfigHead next;
     next.version = base.head.version + 1;
@@ -207,7 +208,7 @@
     next.submissionId = submission.id;
     next.recentSubmissionIds = base.head.recentSubmissionIds;
     next.recentSubmissionIds.push_back(submission.id);
-    if (next.recentSubmissionIds.size() > kRecentIds)
+    if (next.recentSubmissionIds.size() > kMaxRecentIds)
         next.recentSubmissionIds.erase(next.recentSubmissionIds.begin());
     next.accepted = m_clock.wallNow();
     return next;
--- a/tests/support/relay_fleet.hpp
+++ b/tests/support/relay_fleet.hpp
@@ -24,20 +24,21 @@
 
 inline constexpr double kLinkBytesPerSecond = 1e9;
 
-// Nodes in failure domains, on loopback addresses of this process. The strongest two of each domain
-// are its relays, as long as they live.
+// Nodes in several failure domains, on loopback addresses that are specific to this process. Tests
+// select the relays.
 class RelayFleet
 {
 public:
     RelayFleet(std::size_t domains, std::size_t nodesInEach, std::uint8_t subnet)
-        : m_net("127." + std::to_string(subnet) + "." + std::to_string(getpid() % 250 + 1) + "."),
+        : m_addressPrefix("127." + std::to_string(subnet) + "." + std::to_string(getpid() % 250 + 1)
+                          + "."),
           m_domains(domains)
     {
         for (std::size_t n = 0; n < domains * nodesInEach; ++n) {
             Node node;
             node.name = "n" + std::to_string(n);
             node.domain = "d" + std::to_string(n % domains);
-            node.address = m_net + std::to_string(n + 1) + ":9000";
+            node.address = m_addressPrefix + std::to_string(n + 1) + ":9000";
             node.strength = n < 3 * domains ? 50.0 : 12.0;
             m_nodes.push_back(std::move(node));
         }
@@ -50,7 +51,7 @@
         Node &node = m_nodes[n];
         node.links = std::make_unique<PeerLinks>(
             m_context, m_clock, PeerLinks::Self{node.name, node.domain, node.strength}, kSmallFleet,
-            [this, n](const Gossip &it) { heard(m_nodes[n], it); });
+            [this, n](const Gossip &it) { onMessage(m_nodes[n], it); });
         node.exchange = std::make_unique<LoadExchange>(
             m_clock, *node.links, LoadExchange::Pace{200ms, kLinkBytesPerSecond},
             [this, n](LoadReport it) { m_nodes[n].others = std::move(it); });
@@ -72,7 +73,7 @@
 
     void makeRelay(std::size_t n) { m_nodes[n].isRelay = true; }
 
-    // Relays are nodes 0 and 1 of each domain: 0 to 2 * domains - 1.
+    // Makes nodes 0 to 2 * domains - 1 relays: the first two of each domain.
     RelayFleet &withRelays()
     {
         for (std::size_t n = 0; n < 2 * m_domains; ++n)
@@ -80,10 +81,10 @@
         return *this;
     }
 
-    // From now on each so many-th message that arrives anywhere is lost; zero: none.
-    void loseEach(std::size_t nth) { m_loseEach = nth; }
+    // From now on every `nth` received message is dropped; zero: none.
+    void dropEveryNth(std::size_t nth) { m_dropEvery = nth; }
 
-    // Each live node sends what is due, `rounds` times in 100 ms.
+    // Each live node sends its due messages, for `rounds` rounds of 100 ms.
     void run(int rounds)
     {
         for (int n = 0; n < rounds; ++n) {
@@ -91,13 +92,13 @@
                 if (it.links)
                     send(it);
             }
-            settle();
+            deliverAll();
             m_clock.advance(100ms);
         }
     }
 
-    // Datagrams on loopback have arrived when they are sent.
-    void settle()
+    // Handles all pending messages. Datagrams on loopback arrive as soon as they are sent.
+    void deliverAll()
     {
         while (m_context.poll() > 0) { }
     }
@@ -113,8 +114,8 @@
         std::unique_ptr<LoadExchange> exchange;
         std::optional<LoadReport> others;
         std::unique_ptr<QuarantineDuty> quarantine;
-        std::vector<QuarantineUpdate> requestNews; // told by others
-        std::size_t heard = 0;
+        std::vector<QuarantineUpdate> requestNews; // received from others
+        std::size_t received = 0;
     };
 
     std::size_t runningElsewhere(std::size_t n) const
@@ -127,8 +128,8 @@
     std::vector<Node> &nodes() { return m_nodes; }
 
 private:
-    // Hears nothing of a store that is not there.
-    struct DeafListener : StoreListener
+    // Ignores all events of the store, which does not exist here.
+    struct NullListener : StoreListener
     {
         void storeTold(const StoreChanges & /*changes*/,
                        const StoreAnswerTimes & /*times*/) override
@@ -136,12 +137,12 @@
         void storeReachable(bool /*reachable*/) override { }
     };
 
-    void heard(Node &node, const Gossip &message)
+    void onMessage(Node &node, const Gossip &message)
     {
-        m_arrived += 1;
-        if (m_loseEach > 0 && m_arrived % m_loseEach == 0)
+        m_receivedCount += 1;
+        if (m_dropEvery > 0 && m_receivedCount % m_dropEvery == 0)
             return;
-        node.heard += 1;
+        node.received += 1;
         node.exchange->take(message, node.isRelay);
         node.quarantine->takeHeard(message.requestNews, node.isRelay);
     }
@@ -162,17 +163,17 @@
         node.exchange->send(message, node.isRelay);
     }
 
-    const std::string m_net;
+    const std::string m_addressPrefix;
     const std::size_t m_domains;
     ManualClock m_clock;
     net::io_context m_context;
     HttpCaller m_caller{m_context, m_clock};
     StoreReplica m_replica;
-    DeafListener m_deaf;
-    StoreLink m_store{m_context, m_caller, m_clock, "127.0.0.1:1", m_replica, m_deaf};
+    NullListener m_listener;
+    StoreLink m_store{m_context, m_caller, m_clock, "127.0.0.1:1", m_replica, m_listener};
     std::vector<Node> m_nodes;
-    std::size_t m_loseEach = 0;
-    std::size_t m_arrived = 0;
+    std::size_t m_dropEvery = 0;
+    std::size_t m_receivedCount = 0;
 };
 
 } // namespace fordwood::node
--- a/tests/unit/configuration_test.cpp
+++ b/tests/unit/configuration_test.cpp
@@ -16,7 +16,7 @@
 
 const std::string kDigest(64, 'a');
 
-const std::string kSound = R"([[failure_domain]]
+const std::string kValid = R"([[failure_domain]]
 name = "a"
 region = "r"
 [[model]]
@@ -62,13 +62,13 @@
 
 } // namespace
 
-TEST_CASE("configuration: a sound one is accepted [configuration]")
+TEST_CASE("configuration: a valid one is accepted [configuration]")
 {
-    CHECK(firstError(kSound) == "");
+    CHECK(firstError(kValid) == "");
 }
 
 TEST_CASE(
-    "configuration: every fault names file, line, column and field [configuration][bad-input]")
+    "configuration: every error names file, line, column and field [configuration][bad-input]")
 {
     const std::string team
         = "[[team]]\nname = \"u\"\nkey_sha256 = [\"" + std::string(64, 'b') + "\"]\n";
@@ -93,22 +93,22 @@
          "f.toml:2:20: limits.default_deadline: is \"soon\""},
         {"[limits]\ndefault_deadline = \"20m\"\n",
          "limits.default_deadline: is longer than max_deadline"},
-        {kSound + team + team, "team.name: \"u\" stands twice"},
-        {kSound + "[[team]]\nname = \"u\"\nkey_sha256 = [\"" + kDigest + "\"]\n", "shares a key"},
-        {kSound
+        {kValid + team + team, "team.name: \"u\" stands twice"},
+        {kValid + "[[team]]\nname = \"u\"\nkey_sha256 = [\"" + kDigest + "\"]\n", "shares a key"},
+        {kValid
              + "[[upstream]]\nname = \"x\"\nkind = \"engine\"\nfailure_domain = \"zz\"\n"
                "address = \"127.0.0.1:1\"\nmodels = [\"m\"]\nslots = 1\n",
          "upstream.failure_domain: \"zz\" is not declared"},
-        {kSound
+        {kValid
              + "[[upstream]]\nname = \"x\"\nkind = \"engin\"\nfailure_domain = \"a\"\n"
                "address = \"127.0.0.1:1\"\nmodels = [\"m\"]\nslots = 1\n",
          "upstream.kind: is \"engin\""},
-        {kSound
+        {kValid
              + "[[upstream]]\nname = \"x\"\nkind = \"service\"\nfailure_domain = \"a\"\n"
                "address = \"somewhere:1\"\nservice = \"s\"\nslots = 1\n",
          "upstream.address: is \"somewhere:1\", expected IP:port"},
-        {kSound + "[[route]]\npath = \"/v1/x\"\nservice = \"s\"\n", "route.path: is \"/v1/x\""},
-        {kSound + "[[route]]\npath = \"/x\"\nservice = \"s\"\n",
+        {kValid + "[[route]]\npath = \"/v1/x\"\nservice = \"s\"\n", "route.path: is \"/v1/x\""},
+        {kValid + "[[route]]\npath = \"/x\"\nservice = \"s\"\n",
          "route.service: \"s\" has no upstream"},
     };
     for (const Case &it : cases) {
@@ -118,12 +118,12 @@
     }
 }
 
-TEST_CASE("configuration: all faults are told, not only the first [configuration]")
+TEST_CASE("configuration: all errors are reported, not only the first [configuration]")
 {
     CHECK(errorsOf("[[team]]\nname = 3\n[[model]]\nname = \"\"\n").size() == 4);
 }
 
-TEST_CASE("configuration: pieces depend on content alone, and a change touches one [configuration]")
+TEST_CASE("configuration: pieces depend on the content only; a change affects one [configuration]")
 {
     std::string teams;
     std::string reversed;
@@ -160,10 +160,10 @@
 }
 
 TEST_CASE(
-    "configuration: put together from pieces, step by step, as if read at once [configuration]")
+    "configuration: assembling from pieces gives the same result as reading it [configuration]")
 {
     const auto text = [](int from, int to) {
-        std::string teams = kSound;
+        std::string teams = kValid;
         for (int it = from; it < to; ++it)
             teams += "[[team]]\nname = \"t" + std::to_string(it) + "\"\nkey_sha256 = [\""
                      + std::string(61, '0') + std::to_string(100 + it) + "\"]\n";
@@ -171,7 +171,7 @@
     };
     ConfigurationAssembler assembler;
     ConfigErrors errors;
-    // The number of pieces changes on the way, so that tables move between pieces.
+    // The number of pieces differs between steps, so tables move between pieces.
     for (const auto &[from, to] : {std::pair{0, 10}, {0, 200}, {50, 60}, {5, 120}, {0, 0}}) {
         std::vector<StoredPiece> pieces;
         for (const auto &[name, piece] : piecesOf(text(from, to)))
--- a/tests/unit/key_registry_test.cpp
+++ b/tests/unit/key_registry_test.cpp
@@ -124,7 +124,7 @@
           "[keys][tenures]")
 {
     ManualClock clock;
-    const TenureLimits limits;
+    const TenureTimings limits;
     std::map<std::uint32_t, TenureChain> chains;
     std::uint64_t random = 7;
     for (int it = 0; it < 200; ++it) {
--- a/tests/unit/load_sums_test.cpp
+++ b/tests/unit/load_sums_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What relays tell of the load at the upstreams.
+// Aggregation of the load on the upstreams by relays.
 #include "fordwood/load_sums.hpp"
 
 #include <doctest/doctest.h>
@@ -21,26 +21,26 @@
 
 } // namespace
 
-TEST_CASE("load sums: nodes and other failure domains are added up once each [sums]")
+TEST_CASE("load sums: each node and each other failure domain is counted once [sums]")
 {
     ManualClock clock;
     LoadSums sums(clock);
     sums.setOwn(report(1));
     sums.setNode("a", 1, report(2));
-    sums.setNode("a", 2, report(3)); // in place of the one before
+    sums.setNode("a", 2, report(3)); // replaces the first one
     LoadReport domain = report(10);
     domain.nodes = 5;
     sums.setDomain("d2", domain);
     sums.setDomain("d2", domain); // from its other relay
-    CHECK(sums.ofDomain().loads.at("e").running == 4);
-    CHECK(sums.ofDomain().nodes == 2);
-    CHECK(sums.ofOthers().loads.at("e").running == 13);
-    CHECK(sums.ofOthers().nodes == 6);
-    CHECK(sums.ofOthers().shortContextTokens == 20);
-    CHECK(sums.numbers() == std::map<std::string, std::uint64_t>{{"a", 2}});
+    CHECK(sums.domainSum().loads.at("e").running == 4);
+    CHECK(sums.domainSum().nodes == 2);
+    CHECK(sums.othersSum().loads.at("e").running == 13);
+    CHECK(sums.othersSum().nodes == 6);
+    CHECK(sums.othersSum().shortContextTokens == 20);
+    CHECK(sums.reportNumbers() == std::map<std::string, std::uint64_t>{{"a", 2}});
 }
 
-TEST_CASE("load sums: the load of a node that is gone counts for a second at the most [sums]")
+TEST_CASE("load sums: the load of a node that is gone is counted for at most a second [sums]")
 {
     ManualClock clock;
     LoadSums sums(clock);
@@ -48,15 +48,15 @@
     sums.setNode("live", 1, report(3));
     sums.setDomain("gone", report(4));
     clock.advance(900ms);
-    CHECK(sums.ofOthers().loads.at("e").running == 9);
+    CHECK(sums.othersSum().loads.at("e").running == 9);
     sums.setNode("live", 2, report(3));
     clock.advance(200ms);
-    CHECK(sums.ofOthers().loads.at("e").running == 3);
-    CHECK(sums.ofOthers().nodes == 1);
-    CHECK(sums.numbers().size() == 1);
+    CHECK(sums.othersSum().loads.at("e").running == 3);
+    CHECK(sums.othersSum().nodes == 1);
+    CHECK(sums.reportNumbers().size() == 1);
 }
 
-TEST_CASE("load sums: nodes that were replaced take no room [sums]")
+TEST_CASE("load sums: entries of replaced nodes are removed [sums]")
 {
     ManualClock clock;
     LoadSums sums(clock);
@@ -64,19 +64,19 @@
         sums.setNode("n" + std::to_string(n), 1, report(1));
         clock.advance(100ms);
     }
-    CHECK(sums.keptNodes() <= 12);
+    CHECK(sums.nodeCount() <= 12);
 }
 
-TEST_CASE("load sums: a node that leaves counts no more [sums]")
+TEST_CASE("load sums: a node that leaves is no longer counted [sums]")
 {
     ManualClock clock;
     LoadSums sums(clock);
     sums.setNode("a", 1, report(2));
-    sums.forgetNode("a");
-    CHECK(sums.ofOthers() == LoadReport{0, {}, 0, {}});
+    sums.removeNode("a");
+    CHECK(sums.othersSum() == LoadReport{0, {}, 0, {}});
 }
 
-TEST_CASE("load sums: a node takes out the report that the sum holds, not its newest [sums]")
+TEST_CASE("load sums: a node subtracts the report that the sum includes, not its newest [sums]")
 {
     SentReports sent;
     CHECK(sent.add(report(2, 100)) == 1);
@@ -86,12 +86,12 @@
     CHECK(sent.withoutOwn(sum, 1).loads.at("e") == UpstreamLoad{7, 900, 900});
     CHECK(sent.withoutOwn(sum, 2).loads.at("e") == UpstreamLoad{4, 300, 300});
     CHECK(sent.withoutOwn(sum, 1).nodes == 3);
-    // A relay that has not heard this node, or one that heard its last life.
+    // The relay has no report of this node, or one from before it was restarted.
     CHECK(sent.withoutOwn(sum, std::nullopt) == sum);
     CHECK(sent.withoutOwn(sum, 77) == sum);
 }
 
-TEST_CASE("load sums: an upstream that only this node uses is in no sum without it [sums]")
+TEST_CASE("load sums: an upstream that only this node uses is not in the sum without it [sums]")
 {
     SentReports sent;
     sent.add(report(2));
@@ -100,7 +100,7 @@
     CHECK(sent.withoutOwn(sum, 1).loads.isEmpty());
 }
 
-TEST_CASE("load sums: reports of long ago are not kept [sums]")
+TEST_CASE("load sums: old sent reports are dropped [sums]")
 {
     SentReports sent;
     for (int n = 0; n < 1'000; ++n)
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Who follows the stores for others, and what a relay tells.
+// Which nodes become relays, and which store changes a relay sends.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -16,13 +16,14 @@
 
 constexpr std::size_t kNodes = 30;
 
-// A third of the nodes have strong VMs.
+// Every third node has a strong VM.
 RelayCandidate candidate(std::size_t n)
 {
     return {"node-" + std::to_string(n), n % 3 == 0 ? 50.0 : 12.0};
 }
 
-// Nodes of one failure domain that see each other, and whether the platform's store answers them.
+// Nodes of one failure domain that see each other; the platform's store can be unreachable for
+// some.
 class Domain
 {
 public:
@@ -30,7 +31,7 @@
     {
         for (std::size_t n = 0; n < kNodes; ++n)
             m_roles.emplace_back(m_clock, candidate(n));
-        m_isAnswered.assign(kNodes, true);
+        m_reachesStore.assign(kNodes, true);
     }
 
     void update(std::size_t liveNodes = kNodes)
@@ -40,14 +41,14 @@
         for (std::size_t n = 0; n < kNodes; ++n) {
             if (m_roles[n].isRelay())
                 relays.push_back(candidate(n));
-            if (m_roles[n].isRelay() && m_isAnswered[n])
+            if (m_roles[n].isRelay() && m_reachesStore[n])
                 reaching.push_back(candidate(n));
         }
         for (std::size_t n = 0; n < kNodes; ++n) {
             RelayRole::Peers peers{liveNodes, reaching, relays};
             const auto isSelf
                 = [n](const RelayCandidate &it) { return it.node == candidate(n).node; };
-            std::erase_if(peers.reachingInDomain, isSelf);
+            std::erase_if(peers.relaysReachingStore, isSelf);
             std::erase_if(peers.relays, isSelf);
             m_roles[n].update(peers);
         }
@@ -73,17 +74,17 @@
 
     ManualClock m_clock;
     std::vector<RelayRole> m_roles;
-    std::vector<bool> m_isAnswered;
+    std::vector<bool> m_reachesStore;
 };
 
-StoreNews news(std::uint64_t next, std::vector<StorePartChange> changes)
+StoreNews makeUpdate(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    StoreNews told;
-    told.store = "s";
-    told.epoch = 7;
-    told.next = next;
-    told.changes = std::move(changes);
-    return told;
+    StoreNews update;
+    update.store = "s";
+    update.epoch = 7;
+    update.next = next;
+    update.changes = std::move(changes);
+    return update;
 }
 
 StorePosition position(std::uint64_t next, std::uint64_t epoch = 7)
@@ -93,16 +94,16 @@
 
 } // namespace
 
-TEST_CASE("relays: two nodes of a large failure domain follow the stores [relays]")
+TEST_CASE("relays: two nodes of a large failure domain watch the stores [relays]")
 {
     Domain domain;
     domain.update();
-    CHECK(domain.relays().size() == kNodes); // none steps down before others have proved themselves
+    CHECK(domain.relays().size() == kNodes); // none steps down before stepDownDelay has passed
     domain.settle();
     CHECK(domain.relays().size() == 2);
 }
 
-TEST_CASE("relays: weak VMs leave the work to strong ones [relays]")
+TEST_CASE("relays: strong VMs are preferred over weak ones [relays]")
 {
     Domain domain;
     domain.settle();
@@ -110,27 +111,27 @@
         CHECK(candidate(it).strength == 50.0);
 }
 
-TEST_CASE("relays: in a small fleet every node follows the stores itself [relays]")
+TEST_CASE("relays: in a small fleet every node watches the stores itself [relays]")
 {
     Domain domain;
     domain.settle(8);
     CHECK(domain.relays().size() == kNodes);
 }
 
-TEST_CASE("relays: one that the store does not answer is replaced, and steps in again [relays]")
+TEST_CASE("relays: one that cannot reach the store is replaced until it can again [relays]")
 {
     Domain domain;
     domain.settle();
     const std::vector<std::size_t> before = domain.relays();
-    domain.m_isAnswered[before.front()] = false;
+    domain.m_reachesStore[before.front()] = false;
     domain.settle();
-    CHECK(domain.relays().size() == 3); // it goes on trying
-    domain.m_isAnswered[before.front()] = true;
+    CHECK(domain.relays().size() == 3); // it continues to try
+    domain.m_reachesStore[before.front()] = true;
     domain.settle();
     CHECK(domain.relays() == before);
 }
 
-TEST_CASE("relays: a node that hears no relay becomes one at once [relays]")
+TEST_CASE("relays: a node without a relay becomes one at once [relays]")
 {
     Domain domain;
     domain.settle();
@@ -140,11 +141,11 @@
     CHECK(role.followsContext());
 }
 
-TEST_CASE("relays: no more of them follow the stores of kept context than those serve [relays]")
+TEST_CASE("relays: no more of them watch the context stores than those can serve [relays]")
 {
     Domain domain;
     for (RelayRole &it : domain.m_roles)
-        it.setMostReaders(1);
+        it.setMaxReaders(1);
     domain.settle();
     const auto followers = std::count_if(domain.m_roles.begin(), domain.m_roles.end(),
                                          [](const RelayRole &it) { return it.followsContext(); });
@@ -152,13 +153,14 @@
     CHECK(followers == 1);
 }
 
-TEST_CASE("relays: a reader is told what it lacks, and all when that is not known [relays][stores]")
+TEST_CASE(
+    "relays: a reader gets the changes it lacks, or all if these are unknown [relays][stores]")
 {
     ManualClock clock;
     StoreNewsLog log(clock, {3});
-    log.told(news(10, {}));
-    log.told(news(12, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
-    log.told(news(13, {{"salt", "a", false, 0}}));
+    log.told(makeUpdate(10, {}));
+    log.told(makeUpdate(12, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
+    log.told(makeUpdate(13, {{"salt", "a", false, 0}}));
     clock.advance(300ms);
 
     const auto lacking = log.since({position(12)});
@@ -168,7 +170,7 @@
     CHECK(lacking[0].changes[0].partId == "a");
     CHECK_FALSE(lacking[0].changes[0].held);
     CHECK(lacking[0].next == 13);
-    CHECK(lacking[0].age == 300ms); // the store's word is as old as it is for the relay
+    CHECK(lacking[0].age == 300ms); // includes the time since the relay received it
 
     CHECK(log.since({position(13)})[0].changes.empty());
     for (const StorePosition &unknown : {position(9), position(13, 6)}) {
@@ -179,26 +181,26 @@
     }
     CHECK(log.since({})[0].restated);
 
-    log.told(news(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
-    CHECK(log.since({position(10)})[0].restated); // the oldest changes are no longer known
+    log.told(makeUpdate(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
+    CHECK(log.since({position(10)})[0].restated); // the oldest changes were dropped
     CHECK_FALSE(log.since({position(13)})[0].restated);
 }
 
-TEST_CASE("relays: a reader that is ahead is not set back; a silent store is not told of "
+TEST_CASE("relays: a reader that is ahead is not reset; a silent store is not included "
           "[relays][stores]")
 {
     ManualClock clock;
     StoreNewsLog log(clock);
-    log.told(news(10, {}));
-    const auto told = log.since({position(14)});
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].next == 14);
-    CHECK(told[0].changes.empty());
+    log.told(makeUpdate(10, {}));
+    const auto updates = log.since({position(14)});
+    REQUIRE(updates.size() == 1);
+    CHECK(updates[0].next == 14);
+    CHECK(updates[0].changes.empty());
     log.silent("s");
     CHECK(log.since({position(10)}).empty());
 }
 
-TEST_CASE("relays: a relay's word of a store is no fresher than the store's own [relays][stores]")
+TEST_CASE("relays: the age of a store's data includes its time at the relay [relays][stores]")
 {
     ManualClock clock;
     clock.advance(10s);
@@ -207,9 +209,9 @@
     store.name = "s";
     store.address = "10.0.0.1:80";
     contexts.setStores({store});
-    StoreNews told = news(1, {{"salt", "a", true, 100}});
-    told.age = 1'400ms;
-    contexts.storeAnswered(told);
+    StoreNews update = makeUpdate(1, {{"salt", "a", true, 100}});
+    update.age = 1'400ms;
+    contexts.storeAnswered(update);
     CHECK(contexts.hasWord());
     clock.advance(200ms);
     CHECK_FALSE(contexts.hasWord());
@@ -217,19 +219,19 @@
 
 namespace {
 
-// The nodes of a failure domain as they see each other in a large fleet: each knows all by their
-// keys, and hears the relays that live.
-class QuietDomain
+// The nodes of a failure domain in a large fleet: each node knows all others by their keys in the
+// store, and receives messages of the live relays.
+class LargeDomain
 {
 public:
-    QuietDomain()
+    LargeDomain()
     {
         RelayRole::Limits limits;
-        limits.learning = 750ms;
+        limits.discovery = 750ms;
         for (std::size_t n = 0; n < kNodes; ++n)
             m_roles.emplace_back(m_clock, candidate(n), limits);
         m_isLive.assign(kNodes, true);
-        m_isAnswered.assign(kNodes, true);
+        m_reachesStore.assign(kNodes, true);
     }
 
     void run(Duration time)
@@ -268,10 +270,10 @@
     ManualClock m_clock;
     std::vector<RelayRole> m_roles;
     std::vector<bool> m_isLive;
-    std::vector<bool> m_isAnswered; // by the platform's store
+    std::vector<bool> m_reachesStore; // by the platform's store
 
 private:
-    std::size_t knownBefore(std::size_t n) const
+    std::size_t higherRanked(std::size_t n) const
     {
         std::vector<RelayCandidate> others;
         for (std::size_t it = 0; it < kNodes; ++it) {
@@ -284,25 +286,26 @@
     void update()
     {
         const auto live = relays();
-        bool hears = false;
+        bool storeReached = false;
         for (std::size_t n = 0; n < kNodes; ++n)
-            hears = hears || (m_isLive[n] && m_roles[n].followsStore() && m_isAnswered[n]);
+            storeReached
+                = storeReached || (m_isLive[n] && m_roles[n].followsStore() && m_reachesStore[n]);
         for (std::size_t n = 0; n < kNodes; ++n) {
             if (!m_isLive[n])
                 continue;
             RelayRole::Peers peers;
             peers.liveNodes = kNodes;
-            peers.relayAnswered = false;
-            peers.relayHears = !live.empty() && hears;
+            peers.relayReachesStore = false;
+            peers.relayGetsStoreChanges = !live.empty() && storeReached;
             for (const std::size_t it : live) {
                 if (it == n)
                     continue;
-                peers.reachingInDomain.push_back(candidate(it));
+                peers.relaysReachingStore.push_back(candidate(it));
                 peers.relays.push_back(candidate(it));
-                peers.relayAnswered = peers.relayAnswered || m_isAnswered[it];
+                peers.relayReachesStore = peers.relayReachesStore || m_reachesStore[it];
             }
-            peers.knownBefore = knownBefore(n);
-            peers.isAnswered = m_isAnswered[n];
+            peers.higherRanked = higherRanked(n);
+            peers.reachesStore = m_reachesStore[n];
             m_roles[n].update(peers);
         }
     }
@@ -310,13 +313,13 @@
 
 } // namespace
 
-TEST_CASE("relays: of a large fleet that starts at once only two nodes of a domain become relays "
+TEST_CASE("relays: if all nodes of a large fleet start at once, two per domain become relays "
           "[relays][sums]")
 {
-    QuietDomain domain;
+    LargeDomain domain;
     domain.run(700ms);
     CHECK(domain.relays().empty());
-    CHECK(domain.followers() == kNodes); // each reads the store once
+    CHECK(domain.followers() == kNodes); // until they have discovered each other
     domain.run(100ms);
     CHECK(domain.relays().size() == 2);
     domain.run(2s);
@@ -324,9 +327,9 @@
     CHECK(domain.followers() == 2);
 }
 
-TEST_CASE("relays: few stand in for a relay that is gone, and at once [relays][sums]")
+TEST_CASE("relays: a failed relay is replaced by few nodes, and quickly [relays][sums]")
 {
-    QuietDomain domain;
+    LargeDomain domain;
     domain.run(3s);
     domain.stop({domain.relays().front()});
     domain.run(400ms);
@@ -336,17 +339,17 @@
     CHECK(domain.relays().size() == 2);
 }
 
-TEST_CASE("relays: however many of a domain are gone, others stand in within a second "
+TEST_CASE("relays: others take over within a second even if most of a domain failed "
           "[relays][sums]")
 {
-    QuietDomain domain;
+    LargeDomain domain;
     domain.run(3s);
-    std::vector<std::size_t> gone;
+    std::vector<std::size_t> failed;
     for (std::size_t n = 0; n < kNodes; ++n) {
         if (candidate(n).strength > 20.0 || n % 2 == 0)
-            gone.push_back(n); // all strong ones, and half of the others
+            failed.push_back(n); // all strong ones and half of the others
     }
-    domain.stop(gone);
+    domain.stop(failed);
     domain.run(1s);
     CHECK(domain.relays().size() >= 2);
     CHECK(domain.relays().size() <= 8);
@@ -354,23 +357,23 @@
     CHECK(domain.relays().size() == 2);
 }
 
-TEST_CASE("relays: where the store answers only others, a node that it answers asks it too "
+TEST_CASE("relays: if the relays cannot reach the store, some nodes that can read it too "
           "[relays][sums]")
 {
-    QuietDomain domain;
+    LargeDomain domain;
     domain.run(3s);
-    domain.m_isAnswered.assign(kNodes, false);
+    domain.m_reachesStore.assign(kNodes, false);
     domain.run(200ms);
     const auto relays = domain.relays();
     for (std::size_t n = 0; n < kNodes; ++n)
-        domain.m_isAnswered[n] = std::find(relays.begin(), relays.end(), n) == relays.end();
+        domain.m_reachesStore[n] = std::find(relays.begin(), relays.end(), n) == relays.end();
     domain.run(2s);
     const std::size_t asking = domain.followers();
     CHECK(asking >= 3);
     CHECK(asking <= 6); // not all of them
     domain.run(3s);
-    CHECK(domain.followers() == asking); // it goes on while the relays are not answered
-    domain.m_isAnswered.assign(kNodes, true);
+    CHECK(domain.followers() == asking); // as long as the relays cannot reach it
+    domain.m_reachesStore.assign(kNodes, true);
     domain.run(1s);
     CHECK(domain.followers() == 2);
     CHECK(domain.relays().size() == 2);
--- a/tests/unit/replicator_test.cpp
+++ b/tests/unit/replicator_test.cpp
@@ -13,20 +13,20 @@
 
 using Pieces = std::map<std::string, std::string>;
 
-Pieces piecesOf(const std::string &mark)
+Pieces piecesOf(const std::string &variant)
 {
     Pieces pieces;
     for (int it = 0; it < 20; ++it)
         pieces["piece-" + std::to_string(it)] = std::string(500, 'x') + std::to_string(it);
-    pieces["piece-7"] = std::string(250, 'a') + mark + std::string(250, 'b');
+    pieces["piece-7"] = std::string(250, 'a') + variant + std::string(250, 'b');
     return pieces;
 }
 
-int suspectedBy(const ReplicaFleet &fleet, int node)
+int countSuspecting(const ReplicaFleet &fleet, int node)
 {
     int n = 0;
     for (int it = 0; it < fleet.nodes(); ++it)
-        n += fleet.alive(it)
+        n += fleet.isAlive(it)
                      && fleet.replicator(it).isSuspected("node-" + std::to_string(10'000 + node))
                  ? 1
                  : 0;
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("delta: a splice carries only what differs, and only fits what it was made from [delta]")
+TEST_CASE("delta: a splice contains only the difference and applies only to its base [delta]")
 {
     const adapters::ProtoHeadCodec codec;
     const auto digest = [&](const std::string &bytes) { return codec.digest(bytes); };
@@ -60,12 +60,12 @@
         CHECK(after.at(it.name) == it.text);
     CHECK_FALSE(applyDelta(stored(piecesOf("other")), delta, digest));
     CHECK_FALSE(applyDelta({}, delta, digest));
-    ConfigDelta wild = delta;
-    wild.splices[0].keepBack = 1 << 30;
-    CHECK_FALSE(applyDelta(stored(before), wild, digest));
+    ConfigDelta corrupt = delta;
+    corrupt.splices[0].suffixLength = 1 << 30;
+    CHECK_FALSE(applyDelta(stored(before), corrupt, digest));
 }
 
-TEST_CASE("tree: two relays a domain, bounded fan-out, every other node has parents [membership]")
+TEST_CASE("tree: two relays per domain, bounded fan-out, two parents for other nodes [membership]")
 {
     std::vector<Member> members;
     members.reserve(300);
@@ -74,19 +74,19 @@
     int relays = 0;
     std::map<std::string, int> children;
     for (const Member &it : members) {
-        const SpreadingPlace place = spreadingPlace(it.name, it.failureDomain, members);
-        relays += place.relay ? 1 : 0;
-        CHECK(place.parents.size() == (place.relay ? 0 : 2));
-        CHECK(place.children.size() <= 2 * kFanOut);
-        CHECK(place.neighbours.size() <= 4);
-        for (const std::string &parent : place.parents)
+        const TreePosition position = treePosition(it.name, it.failureDomain, members);
+        relays += position.isRelay ? 1 : 0;
+        CHECK(position.parents.size() == (position.isRelay ? 0 : 2));
+        CHECK(position.children.size() <= 2 * kFanOut);
+        CHECK(position.neighbours.size() <= 4);
+        for (const std::string &parent : position.parents)
             ++children[parent];
     }
     CHECK(relays == 8);
     for (const Member &it : members)
-        CHECK(children[it.name]
-              == static_cast<int>(
-                  spreadingPlace(it.name, it.failureDomain, members).children.size()));
+        CHECK(
+            children[it.name]
+            == static_cast<int>(treePosition(it.name, it.failureDomain, members).children.size()));
 }
 
 TEST_CASE(
@@ -109,11 +109,11 @@
     CHECK(took <= 1s);
     for (int it = 0; it < fleet.nodes(); ++it)
         CHECK(fleet.text(it, "piece-7").find("two") != std::string::npos);
-    // 22 kB of pieces went nowhere: the change itself is a few bytes.
+    // The pieces of 22 kB are not sent; the change itself is a few bytes.
     CHECK(fleet.bytes() / 60 < 2000);
 }
 
-TEST_CASE("replicator: with 8 % of the nodes just dead a version is in force in 5 s [spreading]")
+TEST_CASE("replicator: a version is in effect in 5 s after 8 % of the nodes failed [spreading]")
 {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
         CAPTURE(seed);
@@ -126,12 +126,11 @@
             fleet.kill(static_cast<int>(random() % 200));
         REQUIRE(fleet.submit(piecesOf("two")) == 2);
         CHECK(fleet.runUntilServed(2, 5s));
-        CHECK_FALSE(fleet.versionsWentBack());
+        CHECK_FALSE(fleet.versionEverDecreased());
     }
 }
 
-TEST_CASE(
-    "replicator: the dead are suspected by all, a restarted node is trusted again [membership]")
+TEST_CASE("replicator: a dead node is suspected by all until it is restarted [membership]")
 {
     ReplicaFleet fleet(40, 2);
     fleet.submit(piecesOf("one"));
@@ -139,14 +138,14 @@
     fleet.run(20s);
     fleet.kill(5);
     fleet.run(15s);
-    CHECK(suspectedBy(fleet, 5) == 39);
+    CHECK(countSuspecting(fleet, 5) == 39);
     fleet.restart(5);
     fleet.run(15s);
-    CHECK(suspectedBy(fleet, 5) == 0);
+    CHECK(countSuspecting(fleet, 5) == 0);
     CHECK(fleet.version(5) == 1);
 }
 
-TEST_CASE("replicator: a paused node is suspected, and clears itself when it goes on [membership]")
+TEST_CASE("replicator: a paused node is suspected until it continues [membership]")
 {
     ReplicaFleet fleet(40, 2);
     fleet.submit(piecesOf("one"));
@@ -154,58 +153,58 @@
     fleet.run(20s);
     fleet.setPaused(3, true);
     fleet.run(20s);
-    CHECK(suspectedBy(fleet, 3) >= 38);
+    CHECK(countSuspecting(fleet, 3) >= 38);
     fleet.submit(piecesOf("two"));
     fleet.setPaused(3, false);
     fleet.run(20s);
-    CHECK(suspectedBy(fleet, 3) == 0);
+    CHECK(countSuspecting(fleet, 3) == 0);
     CHECK(fleet.version(3) == 2);
 }
 
-TEST_CASE("replicator: a domain cut off keeps serving, and catches up when it is back [partition]")
+TEST_CASE("replicator: an isolated domain continues serving, then catches up [partition]")
 {
     ReplicaFleet fleet(40, 4);
     fleet.submit(piecesOf("one"));
     fleet.runUntilServed(1, 30s);
     fleet.run(20s);
-    fleet.cutDomain("domain-1", true);
+    fleet.setDomainIsolated("domain-1", true);
     REQUIRE(fleet.submit(piecesOf("two")) == 2);
     fleet.run(30s);
     CHECK(fleet.version(1) == 1);
     CHECK(fleet.version(0) == 2);
-    fleet.cutDomain("domain-1", false);
+    fleet.setDomainIsolated("domain-1", false);
     CHECK(fleet.runUntilServed(2, 20s));
-    CHECK_FALSE(fleet.versionsWentBack());
+    CHECK_FALSE(fleet.versionEverDecreased());
 }
 
-TEST_CASE("replicator: nodes cut from the platform alone hear from the other domains [partition]")
+TEST_CASE("replicator: without the platform, nodes still get versions from relays [partition]")
 {
     ReplicaFleet fleet(24, 3);
     fleet.submit(piecesOf("one"));
     fleet.runUntilServed(1, 30s);
     fleet.run(20s);
-    // The platform is down for everybody but has spoken to one relay: its version reaches all.
+    // The relays read the version just before the platform goes down; it reaches all nodes.
     REQUIRE(fleet.submit(piecesOf("two")) == 2);
     fleet.run(200ms);
     fleet.setPlatformDown(true);
     CHECK(fleet.runUntilServed(2, 10s));
 }
 
-TEST_CASE("replicator: a fresh node in an outage learns the newest version from its seeds [outage]")
+TEST_CASE("replicator: a new node in an outage gets the newest version from its seeds [outage]")
 {
     ReplicaFleet fleet(16, 2);
     fleet.submit(piecesOf("one"));
     fleet.runUntilServed(1, 30s);
     fleet.run(20s);
     fleet.setPlatformDown(true);
-    fleet.setSeeds(true);
+    fleet.setUseSeeds(true);
     fleet.restart(9);
     fleet.run(10s);
     CHECK(fleet.version(9) == 1);
     CHECK(fleet.replicator(9).members().size() == 16);
 }
 
-TEST_CASE("replicator: a restored older platform takes no node back, and raises an alarm [outage]")
+TEST_CASE("replicator: an older restored head is not applied and raises an alarm [outage]")
 {
     ReplicaFleet fleet(16, 2);
     fleet.submit(piecesOf("one"));
@@ -218,14 +217,14 @@
     CHECK(fleet.alarms() > before);
     for (int it = 0; it < fleet.nodes(); ++it)
         CHECK(fleet.version(it) == 3);
-    // Also one that starts anew ends up with the newest, from its peers.
+    // A restarted node also gets the newest version, from its peers.
     fleet.restart(4);
     fleet.run(20s);
     CHECK(fleet.version(4) == 3);
-    CHECK(fleet.firstServed(4) == 3); // it never served the older one
+    CHECK(fleet.firstServed(4) == 3); // it never served the older version
 }
 
-TEST_CASE("replicator: a leaving upstream is known everywhere after the list's lag [leaving]")
+TEST_CASE("replicator: a leaving upstream is known on all nodes after the list's lag [leaving]")
 {
     ReplicaFleet fleet(40, 2);
     fleet.submit(piecesOf("one"));
@@ -238,8 +237,7 @@
         CHECK(fleet.replicator(it).list().leavingUpstreams.count("up-1") == 1);
 }
 
-TEST_CASE(
-    "replicator: all relays of a domain dead at once, its other nodes find new ones [recovery]")
+TEST_CASE("replicator: if all relays of a domain die, other nodes replace them [recovery]")
 {
     ReplicaFleet fleet(40, 2);
     fleet.submit(piecesOf("one"));
