--- a/include/fordwood/homes.hpp
+++ b/include/fordwood/allowed_regions.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_HOMES_HPP_INCLUDED
-#define FORDWOOD_HOMES_HPP_INCLUDED
+#ifndef FORDWOOD_ALLOWED_REGIONS_HPP_INCLUDED
+#define FORDWOOD_ALLOWED_REGIONS_HPP_INCLUDED
 
 #include <map>
 #include <string>
@@ -15,20 +15,20 @@
 
 // The regions that a request may go to, with its prompt and its context: where the route and the
 // team both name regions, both bind. A failure domain whose region is not known is in none of them.
-class Homes
+class AllowedRegions
 {
 public:
     // `team`: null for a request without one.
-    Homes(const ServiceRoute &route, const ServingTeam *team);
+    AllowedRegions(const ServiceRoute &route, const ServingTeam *team);
 
     // Whether any region will do.
-    bool isAnywhere() const { return m_ofRoute.empty() && m_ofTeam.empty(); }
+    bool isUnrestricted() const { return m_routeRegions.empty() && m_teamRegions.empty(); }
 
     bool allows(const std::string &failureDomain, const DomainRegions &regions) const;
 
 private:
-    const std::vector<std::string> &m_ofRoute;
-    const std::vector<std::string> &m_ofTeam;
+    const std::vector<std::string> &m_routeRegions;
+    const std::vector<std::string> &m_teamRegions;
 };
 
 } // namespace fordwood
--- a/include/fordwood/call.hpp
+++ b/include/fordwood/call.hpp
@@ -10,7 +10,7 @@
 #include "fordwood/allowance_book.hpp"
 #include "fordwood/clock.hpp"
 #include "fordwood/key_registry.hpp"
-#include "fordwood/prefill_line.hpp"
+#include "fordwood/prefill_queue.hpp"
 #include "fordwood/request_fingerprint.hpp"
 #include "fordwood/verdict.hpp"
 
--- a/include/fordwood/call_candidates.hpp
+++ b/include/fordwood/call_candidates.hpp
@@ -21,7 +21,7 @@
     // Chooses anew, at most `most` upstreams: those that broke are left out, those that were full
     // come last. `resuming`: only upstreams that can go on with a stream.
     void choose(std::shared_ptr<const FleetView> view, const CallRequest &call, bool resuming,
-                std::size_t most);
+                std::size_t maxCount);
 
     // The view that was chosen from.
     const FleetView &view() const { return *m_view; }
@@ -35,34 +35,34 @@
     bool advance();
 
     // The current upstream has no place, and could give the first token after `in`.
-    void noteFirstTokenIn(Duration in);
+    void recordFirstTokenDelay(Duration delay);
 
     // Whether the call waits for its turn where it asks, instead of going on to the next upstream.
     bool isQueueing() const { return m_queueing; }
     void setQueueing(bool queueing) { m_queueing = queueing; }
-    void queueWhereSoonest();
+    void queueAtSoonest();
 
     // What an attempt at the current upstream met.
-    void noteFull() { m_full.push_back(current()->name); }
-    void noteBroken() { m_broken.push_back(current()->name); }
-    void noteOtherWeights() { m_otherWeights.push_back(current()->name); }
+    void markFull() { m_full.push_back(current()->name); }
+    void markBroken() { m_broken.push_back(current()->name); }
+    void markWeightMismatch() { m_mismatched.push_back(current()->name); }
 
-    std::size_t metOtherWeights() const { return m_otherWeights.size(); }
+    std::size_t weightMismatches() const { return m_mismatched.size(); }
     // Whether the upstream turned the call away earlier.
     bool wasRefusedBy(const UpstreamConfig &upstream) const;
 
 private:
     std::vector<const UpstreamConfig *> select(const CallRequest &call, bool resuming,
-                                               std::size_t most) const;
+                                               std::size_t maxCount) const;
 
     std::shared_ptr<const FleetView> m_view; // keeps the upstreams alive
     std::vector<const UpstreamConfig *> m_upstreams;
     std::vector<std::string> m_full; // refused the call for want of a place
     std::vector<std::string> m_broken; // an attempt failed there
-    std::vector<std::string> m_otherWeights; // served another weight version
+    std::vector<std::string> m_mismatched; // served another weight version
     std::size_t m_current = 0;
     std::size_t m_soonest = 0; // of those that had no place
-    Duration m_soonestIn = Duration::max();
+    Duration m_soonestDelay = Duration::max();
     bool m_queueing = false;
 };
 
--- a/include/fordwood/call_plan.hpp
+++ b/include/fordwood/call_plan.hpp
@@ -12,7 +12,7 @@
 namespace fordwood {
 
 // What a request allows, taken from its route and its caller.
-struct CallTerms
+struct CallPolicy
 {
     bool mayRunAgain = false; // also after an attempt that may have run
     bool resumable = false; // a stream may go on at another upstream after its answer has begun
@@ -40,7 +40,7 @@
 class CallPlan
 {
 public:
-    explicit CallPlan(const CallTerms &terms) : m_terms(terms) { }
+    explicit CallPlan(const CallPolicy &terms) : m_terms(terms) { }
 
     // The request is about to be handed to an upstream.
     void sending(const std::string &instanceId);
@@ -51,12 +51,12 @@
 
     // The upstream takes no more requests for now, as this node knows by itself. Nothing came up
     // and nothing failed, so that it counts against nothing, and the upstream may be chosen again.
-    void turnedDown(const std::string &instanceId);
+    void rejectedLocally(const std::string &instanceId);
 
     // Another upstream has the address of the one that was meant, which has ended, and turned the
     // request away. The one that has ended does not count among those that the request may be sent
     // to, but what arrived at its address counts as a send of the fleet's.
-    void metAnother();
+    void reachedOtherInstance();
 
     // What follows. `takeRepeat` asks the fleet's budget of repeated sends, only when it is needed.
     AfterFailure afterFailure(const FailedAttempt &failure, TimePoint now,
@@ -71,12 +71,12 @@
     bool mayHaveRun() const { return m_mayHaveRun; }
     const std::set<std::string> &tried() const { return m_tried; }
     std::size_t sends() const { return m_sends; }
-    const CallTerms &terms() const { return m_terms; }
+    const CallPolicy &terms() const { return m_terms; }
 
 private:
-    CallTerms m_terms;
+    CallPolicy m_terms;
     std::size_t m_sends = 0; // that count against the upstreams that may be tried
-    std::size_t m_arrivals = 0; // anywhere
+    std::size_t m_deliveries = 0; // anywhere
     std::size_t m_connectFailures = 0;
     std::set<std::string> m_tried; // instances
     bool m_mayHaveRun = false;
--- a/include/fordwood/contention.hpp
+++ b/include/fordwood/contention.hpp
@@ -21,7 +21,7 @@
     {
         Duration window = std::chrono::seconds(2);
         double share = 0.05; // of sends that were refused
-        Duration calmFor = std::chrono::seconds(5); // without a refusal until contention ends
+        Duration quietTime = std::chrono::seconds(5); // without a refusal until contention ends
     };
 
     Contention(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
@@ -35,7 +35,7 @@
     bool isContended(const std::string &kind)
     {
         Meter &meter = m_meters[kind];
-        return meter.contended && m_clock.now() - meter.lastRefusal < m_limits.calmFor;
+        return meter.contended && m_clock.now() - meter.lastRefusal < m_limits.quietTime;
     }
 
 private:
@@ -53,7 +53,7 @@
         const TimePoint now = m_clock.now();
         if (refused)
             meter.lastRefusal = now;
-        else if (now - meter.lastRefusal >= m_limits.calmFor)
+        else if (now - meter.lastRefusal >= m_limits.quietTime)
             meter.contended = false;
         meter.recent.emplace_back(now, refused);
         meter.refusals += refused ? 1 : 0;
--- a/include/fordwood/context_directory.hpp
+++ b/include/fordwood/context_directory.hpp
@@ -26,11 +26,11 @@
 };
 
 // What one store of kept context has told.
-struct StoreNews
+struct StoreUpdate
 {
     std::string store; // its name
     std::uint64_t epoch = 0; // changes when the store has lost everything
-    bool restated = false; // `changes` is all that it holds
+    bool isSnapshot = false; // `changes` is all that it holds
     std::uint64_t next = 0; // the number of the store's first event that is not in here
     std::chrono::milliseconds clock{0}; // of the engines and stores, when it answered
     std::chrono::milliseconds age{0}; // how long ago it answered, to the relay that heard it
@@ -45,17 +45,18 @@
 public:
     struct Limits
     {
-        Duration engineMemory = std::chrono::seconds(20); // how long sends are remembered
-        Duration storeWord = std::chrono::milliseconds(1'500); // how long a store's answer holds
-        Duration saveLife
+        Duration sendMemory = std::chrono::seconds(20); // how long sends are remembered
+        Duration storeAnswerLife
+            = std::chrono::milliseconds(1'500); // how long a store's answer holds
+        Duration saveTimeout
             = std::chrono::seconds(4); // a save that was not confirmed by then is lost
-        std::size_t mostSends = 4'096; // sends remembered
+        std::size_t maxSends = 4'096; // sends remembered
         // Context that will not be fetched for so long any more is not worth a save.
-        Duration leastUse = std::chrono::seconds(2);
+        Duration minUseTime = std::chrono::seconds(2);
         // Sends are told to peers for so long: some messages may be lost.
-        Duration tellSends = std::chrono::milliseconds(600);
-        std::size_t leastTokensToTell = 1'000; // of context: smaller ones are read again quickly
-        std::size_t mostToldSends = 64; // in one message
+        Duration announceTime = std::chrono::milliseconds(600);
+        std::size_t minAnnouncedTokens = 1'000; // of context: smaller ones are read again quickly
+        std::size_t maxAnnouncedSends = 64; // in one message
     };
 
     explicit ContextDirectory(const Clock &clock) : ContextDirectory(clock, Limits{}) { }
@@ -65,23 +66,23 @@
     void setStores(const std::vector<ContextStore> &stores);
 
     // A request with this context, of so many tokens, was sent to an engine.
-    void sentTo(const std::string &instanceId, const std::string &salt, std::uint64_t contextHash,
-                std::size_t tokens);
+    void recordSend(const std::string &instanceId, const std::string &salt,
+                    std::uint64_t contextHash, std::size_t tokens);
 
     // Sends of long contexts of late, in a form for peers; and what a peer has told so.
     std::vector<std::uint64_t> recentSends();
-    void peerSent(const std::vector<std::uint64_t> &sends);
+    void recordPeerSends(const std::vector<std::uint64_t> &sends);
 
     // Whether a request with the context was sent to the engine within `keptFor`.
-    bool isAtEngine(const std::string &instanceId, const std::string &salt,
-                    std::uint64_t contextHash, Duration keptFor) const;
+    bool isContextAtEngine(const std::string &instanceId, const std::string &salt,
+                           std::uint64_t contextHash, Duration keptFor) const;
 
     // `waited`: since this node heard the news.
-    void storeAnswered(const StoreNews &news, Duration waited = Duration::zero());
-    void storeSilent(const std::string &store);
+    void storeAnswered(const StoreUpdate &update, Duration waited = Duration::zero());
+    void storeFailed(const std::string &store);
 
     // Whether any store's word holds now; true as well when there is no store.
-    bool hasWord() const;
+    bool hasCurrentStore() const;
 
     // A store that holds a part; without an address when there is none.
     struct Holder
@@ -94,10 +95,10 @@
     void setWeights(const std::string &model, const WeightHistory &history);
 
     // Whether this node hears of newly named weights: it reaches the platform's store or a peer.
-    void setInformed(bool informed) { m_isInformed = informed; }
+    void setReceivesVersions(bool informed) { m_receivesVersions = informed; }
 
     // A store that holds the part whole, and surely will while a fetch that begins now may run.
-    Holder storeWith(const std::string &salt, const std::string &partId) const;
+    Holder holderOf(const std::string &salt, const std::string &partId) const;
 
     // Address of the store that shall keep the part of a context of so many tokens, one in the
     // engine's failure domain if it has room; empty when none has, or a save is under way.
@@ -105,7 +106,7 @@
                              std::size_t contextTokens, const std::string &failureDomain);
 
     // A request was sent that saves the part to the store at the address.
-    void saveBegins(const std::string &address, const std::string &salt, const PromptPart &part);
+    void beginSave(const std::string &address, const std::string &salt, const PromptPart &part);
 
 private:
     struct Save
@@ -126,8 +127,8 @@
     };
 
     void remember(std::uint64_t send);
-    bool isKept(const std::string &salt, const std::string &partId, Duration ahead) const;
-    bool speaks(const Store &store) const;
+    bool willBeKept(const std::string &salt, const std::string &partId, Duration ahead) const;
+    bool isCurrent(const Store &store) const;
     static void forgetAll(Store &store);
     static void apply(Store &store, const StorePartChange &change);
     void dropOldSaves(Store &store) const;
@@ -137,9 +138,9 @@
     const Limits m_limits;
     std::map<std::string, Store> m_stores; // by name
     std::unordered_map<std::uint64_t, TimePoint> m_sends; // by hash of instance, salt, context
-    std::deque<std::pair<TimePoint, std::uint64_t>> m_toTell; // own sends, oldest first
+    std::deque<std::pair<TimePoint, std::uint64_t>> m_toAnnounce; // own sends, oldest first
     std::map<std::uint64_t, WeightHistory> m_weights; // by the hash of the model's name
-    bool m_isInformed = true;
+    bool m_receivesVersions = true;
 };
 
 } // namespace fordwood
--- a/include/fordwood/dispatcher.hpp
+++ b/include/fordwood/dispatcher.hpp
@@ -20,7 +20,7 @@
 #include "fordwood/permits_in_use.hpp"
 #include "fordwood/quarantine_gate.hpp"
 #include "fordwood/retry_budget.hpp"
-#include "fordwood/return_times.hpp"
+#include "fordwood/retry_schedule.hpp"
 #include "fordwood/team_admission.hpp"
 #include "fordwood/upstream_backoffs.hpp"
 #include "fordwood/upstream_ends.hpp"
@@ -40,7 +40,7 @@
     std::size_t maxCalls = 2048;
     Duration ownerTimeout = std::chrono::milliseconds(500);
     bool direct = true; // send without permits while there is no contention
-    std::size_t mostDirectTokens = 1000; // longer prompts always ask: they wait for one another
+    std::size_t maxDirectTokens = 1000; // longer prompts always ask: they wait for one another
     std::size_t candidates = 3; // upstreams tried without queueing before the call queues
     std::string node = {}; // this one's name
 };
@@ -105,7 +105,7 @@
     void attemptFinished(CallId call, unsigned attempt, double cost, KeptAnswer answer = {});
 
     // What an answer said of its upstream's limit has been taken in.
-    struct LimitHeard
+    struct LimitUpdate
     {
         std::string upstream; // empty: the attempt is over
         std::optional<LimitChange> change;
@@ -113,7 +113,7 @@
     };
 
     // The head of an answer says this of the upstream's limit.
-    LimitHeard limitRead(CallId call, unsigned attempt, const LimitReading &limit);
+    LimitUpdate limitRead(CallId call, unsigned attempt, const LimitReading &limit);
 
     // The head of an answer says this of its upstream. Gives the upstream's name and how long it
     // gets no requests; nothing: it changes nothing.
@@ -170,23 +170,23 @@
     void claim(Call &call, const Member *holder);
     void choose(Call &call);
     void ask(Call &call);
-    void askNext(Call &call, const Verdict &why);
-    void passOver(Call &call);
-    void askAgain(Call &call, const std::string &asked, const Verdict &why);
-    void fallBack(Call &call);
+    void tryNext(Call &call, const Verdict &why);
+    void skipUpstream(Call &call);
+    void retryAfterNotOwner(Call &call, const std::string &asked, const Verdict &why);
+    void sendWithoutOwner(Call &call);
     bool maySendDirectly(const UpstreamConfig &upstream, const Call &call);
     void send(Call &call, TimePoint sendBy);
-    static bool isFree(const Call &call, const AttemptFailure &failure, bool sentDirectly);
+    static bool needsNoRetry(const Call &call, const AttemptFailure &failure, bool sentDirectly);
     void renewVersion(Call &call) const;
     void withdraw(Call &call);
-    void endLate(Call &call);
+    void endExpired(Call &call);
     void end(CallId id, const Verdict &verdict);
     bool takeRetry(const Call &call, Reason reason);
-    void noteBrokeOff(const Call &call);
+    void recordBreakOff(const Call &call);
     bool isHeld(const CallRequest &request) const;
-    Verdict heldVerdict(const CallRequest &request) const;
+    Verdict quarantineVerdict(const CallRequest &request) const;
     bool maySend(const std::string &upstream);
-    Verdict closedVerdict(const UpstreamConfig &upstream);
+    Verdict limitedVerdict(const UpstreamConfig &upstream);
     Call *find(CallId id, unsigned attempt);
 
     const Clock &m_clock;
@@ -205,7 +205,7 @@
     UpstreamEnds m_ends;
     LimitGate m_gate;
     UpstreamBackoffs m_backoffs;
-    std::map<std::string, ReturnTimes> m_returnTimes; // by upstream that takes only so many
+    std::map<std::string, RetrySchedule> m_retrySchedules; // by upstream that takes only so many
     bool m_stopping = false;
 };
 
--- a/include/fordwood/engine_groups.hpp
+++ b/include/fordwood/engine_groups.hpp
@@ -21,17 +21,17 @@
 
 // How much context short prompts share, in tokens: what engines need to keep so that none of it is
 // computed again. Each node counts the contexts of its own requests and adds what its peers tell.
-class ShortContextDemand
+class ShortPromptDemand
 {
 public:
-    explicit ShortContextDemand(const Clock &clock, Duration window = std::chrono::seconds(20))
+    explicit ShortPromptDemand(const Clock &clock, Duration window = std::chrono::seconds(20))
         : m_clock(clock), m_window(window)
     { }
 
     void count(const Prompt &prompt);
 
     // Tokens of this node's contexts of late.
-    std::size_t own();
+    std::size_t ownTokens();
 
     void setPeer(const std::string &peer, std::size_t tokens);
 
@@ -39,21 +39,21 @@
     std::size_t total();
 
 private:
-    struct Seen
+    struct OwnContext
     {
         std::size_t tokens = 0;
-        TimePoint last{};
+        TimePoint lastUsed{};
     };
-    struct Told
+    struct PeerDemand
     {
         std::size_t tokens = 0;
-        TimePoint when{};
+        TimePoint receivedAt{};
     };
 
     const Clock &m_clock;
     const Duration m_window;
-    std::unordered_map<std::uint64_t, Seen> m_contexts; // by hash
-    std::map<std::string, Told> m_peers;
+    std::unordered_map<std::uint64_t, OwnContext> m_contexts; // by hash
+    std::map<std::string, PeerDemand> m_peers;
 };
 
 // The engines that short prompts prefer and long ones avoid. Without it, each long prompt drives
--- a/include/fordwood/event_splitter.hpp
+++ b/include/fordwood/event_splitter.hpp
@@ -15,7 +15,7 @@
 {
 public:
     // The most bytes that one event may have before its stream is taken as broken.
-    static constexpr std::size_t kMostEventBytes = 1 << 20;
+    static constexpr std::size_t kMaxEventBytes = 1 << 20;
 
     // Takes in bytes. Returns the whole events that are now complete, unaltered, as one text; it
     // stays valid until the next call.
@@ -25,18 +25,18 @@
     const std::optional<std::uint64_t> &lastId() const { return m_lastId; }
 
     // Bytes of an event that is not whole yet.
-    bool hasPartOfEvent() const { return m_bytes.size() > m_passed; }
+    bool hasPartialEvent() const { return m_bytes.size() > m_completeBytes; }
 
     // The stream goes on at another upstream: what is not whole is dropped.
-    void dropPartOfEvent();
+    void dropPartialEvent();
 
-    bool isTooLong() const { return m_bytes.size() - m_passed > kMostEventBytes; }
+    bool isTooLong() const { return m_bytes.size() - m_completeBytes > kMaxEventBytes; }
 
 private:
-    void noteIds(std::string_view events);
+    void updateLastId(std::string_view events);
 
     std::string m_bytes;
-    std::size_t m_passed = 0; // of m_bytes, given out by the last add()
+    std::size_t m_completeBytes = 0; // of m_bytes, given out by the last add()
     std::optional<std::uint64_t> m_lastId;
 };
 
--- a/include/fordwood/load_sums.hpp
+++ b/include/fordwood/load_sums.hpp
@@ -20,7 +20,7 @@
 {
     std::size_t nodes = 1; // that it speaks for
     UpstreamLoads loads;
-    std::size_t shortContextTokens = 0; // see ShortContextDemand
+    std::size_t shortContextTokens = 0; // see ShortPromptDemand
     std::vector<std::uint64_t> contextsSent; // see ContextDirectory::recentSends()
 
     LoadReport &operator+=(const LoadReport &other);
--- a/include/fordwood/seen_weights.hpp
+++ b/include/fordwood/observed_weights.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_SEEN_WEIGHTS_HPP_INCLUDED
-#define FORDWOOD_SEEN_WEIGHTS_HPP_INCLUDED
+#ifndef FORDWOOD_OBSERVED_WEIGHTS_HPP_INCLUDED
+#define FORDWOOD_OBSERVED_WEIGHTS_HPP_INCLUDED
 
 #include <cstdint>
 
@@ -9,7 +9,7 @@
 namespace fordwood {
 
 // The weight version that an engine was seen to run, by an answer of its own.
-struct SeenWeights
+struct ObservedWeights
 {
     std::uint64_t version = 0;
     TimePoint seen{}; // not later than the engine ran it
--- a/include/fordwood/permit_book.hpp
+++ b/include/fordwood/permit_book.hpp
@@ -10,7 +10,7 @@
 
 #include "fordwood/clock.hpp"
 #include "fordwood/fair_queue.hpp"
-#include "fordwood/prefill_line.hpp"
+#include "fordwood/prefill_queue.hpp"
 #include "fordwood/reason.hpp"
 
 namespace fordwood {
@@ -143,7 +143,7 @@
         FairQueue queue;
         TimePoint fullUntil{};
         bool held = false;
-        PrefillLine prefill;
+        PrefillQueue prefill;
         Duration waitingPrefill{0}; // of all waiting asks
         Duration meanHold{0}; // of a permit, from grant to release
         std::unordered_map<FairQueue::EntryId, Waiting> waiting;
--- a/include/fordwood/prefill_pace.hpp
+++ b/include/fordwood/prefill_pace.hpp
@@ -19,8 +19,8 @@
     void observe(std::size_t tokens, Duration took)
     {
         // Shorter ones tell of the fixed part of the time.
-        constexpr std::size_t kLeastTokens = 4'000;
-        if (tokens < kLeastTokens || took <= Duration(0))
+        constexpr std::size_t kMinTokens = 4'000;
+        if (tokens < kMinTokens || took <= Duration(0))
             return;
         m_tokensPerMs.add(static_cast<double>(tokens) / milliseconds(took));
     }
@@ -41,7 +41,7 @@
 
     // How long it takes at most, about, until `n` of the requests have ended, of which so many run
     // at once: those that began together end together.
-    Duration timeForEnds(std::size_t n, std::size_t atOnce) const
+    Duration timeUntilFinished(std::size_t n, std::size_t atOnce) const
     {
         const std::size_t places = std::max<std::size_t>(atOnce, 1);
         const std::size_t rounds = (n + places - 1) / places;
@@ -56,9 +56,9 @@
     {
         void add(double sample)
         {
-            constexpr double kLeastWeight = 0.05;
+            constexpr double kMinWeight = 0.05;
             samples += 1;
-            const double weight = std::max(kLeastWeight, 1.0 / static_cast<double>(samples));
+            const double weight = std::max(kMinWeight, 1.0 / static_cast<double>(samples));
             value += weight * (sample - value);
         }
 
--- a/include/fordwood/prefill_line.hpp
+++ b/include/fordwood/prefill_queue.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_PREFILL_LINE_HPP_INCLUDED
-#define FORDWOOD_PREFILL_LINE_HPP_INCLUDED
+#ifndef FORDWOOD_PREFILL_QUEUE_HPP_INCLUDED
+#define FORDWOOD_PREFILL_QUEUE_HPP_INCLUDED
 
 #include <algorithm>
 #include <cstddef>
@@ -24,46 +24,49 @@
 // will have computed all that it was given. Engines compute prompts one after the other at a
 // roughly fixed rate, so this, and not the number of running requests, tells how long a new one
 // waits. A wrong belief makes a request slower and never an answer wrong. Not thread-safe.
-class PrefillLine
+class PrefillQueue
 {
 public:
     // Tokens a second, and the tokens of context that the engine keeps.
     void setEngine(double tokensPerSecond, std::size_t cacheTokens)
     {
         m_rate = tokensPerSecond;
-        m_most = cacheTokens;
+        m_maxCachedTokens = cacheTokens;
     }
 
-    bool isWarm(const PromptSize &prompt) const { return m_places.count(prompt.prefixHash) != 0; }
+    bool isCached(const PromptSize &prompt) const
+    {
+        return m_cacheIndex.count(prompt.prefixHash) != 0;
+    }
 
     // Time to compute what the engine does not keep of the prompt.
     Duration timeFor(const PromptSize &prompt) const
     {
-        const std::size_t context = isWarm(prompt) ? 0 : prompt.contextTokens;
-        return timeOf(context + prompt.questionTokens);
+        const std::size_t context = isCached(prompt) ? 0 : prompt.contextTokens;
+        return computeTime(context + prompt.questionTokens);
     }
 
     // Time to compute the prompt where nothing of it is kept.
-    Duration coldTimeFor(const PromptSize &prompt) const
+    Duration uncachedTimeFor(const PromptSize &prompt) const
     {
-        return timeOf(prompt.contextTokens + prompt.questionTokens);
+        return computeTime(prompt.contextTokens + prompt.questionTokens);
     }
 
     // Time until all prompts given so far are computed.
-    Duration backlog(TimePoint now) const { return std::max(Duration::zero(), m_free - now); }
+    Duration backlog(TimePoint now) const { return std::max(Duration::zero(), m_idleAt - now); }
 
     // The engine was given a prompt.
-    void give(const PromptSize &prompt, TimePoint now)
+    void enqueue(const PromptSize &prompt, TimePoint now)
     {
-        m_free = std::max(m_free, now) + timeFor(prompt);
+        m_idleAt = std::max(m_idleAt, now) + timeFor(prompt);
         touch(prompt);
     }
 
     // Nothing runs on the engine any more: whatever was believed, it waits for work.
-    void setIdle(TimePoint now) { m_free = std::min(m_free, now); }
+    void setIdle(TimePoint now) { m_idleAt = std::min(m_idleAt, now); }
 
 private:
-    Duration timeOf(std::size_t tokens) const
+    Duration computeTime(std::size_t tokens) const
     {
         return std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(static_cast<double>(tokens) / m_rate));
@@ -73,27 +76,27 @@
     {
         if (prompt.contextTokens == 0)
             return;
-        const auto known = m_places.find(prompt.prefixHash);
-        if (known != m_places.end()) {
-            m_kept.splice(m_kept.begin(), m_kept, known->second);
+        const auto known = m_cacheIndex.find(prompt.prefixHash);
+        if (known != m_cacheIndex.end()) {
+            m_cached.splice(m_cached.begin(), m_cached, known->second);
             return;
         }
-        m_kept.push_front(prompt);
-        m_places[prompt.prefixHash] = m_kept.begin();
+        m_cached.push_front(prompt);
+        m_cacheIndex[prompt.prefixHash] = m_cached.begin();
         m_tokens += prompt.contextTokens;
-        while (m_tokens > m_most && !m_kept.empty()) {
-            m_tokens -= m_kept.back().contextTokens;
-            m_places.erase(m_kept.back().prefixHash);
-            m_kept.pop_back();
+        while (m_tokens > m_maxCachedTokens && !m_cached.empty()) {
+            m_tokens -= m_cached.back().contextTokens;
+            m_cacheIndex.erase(m_cached.back().prefixHash);
+            m_cached.pop_back();
         }
     }
 
     double m_rate = 10'000;
-    std::size_t m_most = 100'000;
+    std::size_t m_maxCachedTokens = 100'000;
     std::size_t m_tokens = 0;
-    std::list<PromptSize> m_kept; // the least recently used last
-    std::unordered_map<std::uint64_t, std::list<PromptSize>::iterator> m_places;
-    TimePoint m_free{};
+    std::list<PromptSize> m_cached; // the least recently used last
+    std::unordered_map<std::uint64_t, std::list<PromptSize>::iterator> m_cacheIndex;
+    TimePoint m_idleAt{};
 };
 
 } // namespace fordwood
--- a/include/fordwood/prompt.hpp
+++ b/include/fordwood/prompt.hpp
@@ -22,7 +22,7 @@
     std::string model;
     std::vector<PromptPart> parts; // in order; the last belongs to the request or its session
     std::size_t tokensIn = 0;
-    std::size_t mostTokensOut = 0;
+    std::size_t maxTokensOut = 0;
 
     // Tokens of all parts but the last.
     std::size_t sharedTokens() const;
@@ -32,9 +32,9 @@
 };
 
 // The name under which an engine or a store keeps context: no request finds what other weights or a
-// walled team have made. `walledTeam` is empty for teams that share.
+// walled team have made. `isolatedTeam` is empty for teams that share.
 std::string contextSalt(const std::string &model, std::uint64_t weightVersion,
-                        const std::string &walledTeam);
+                        const std::string &isolatedTeam);
 
 // What a salt of contextSalt() says.
 struct SaltParts
--- a/include/fordwood/return_times.hpp
+++ b/include/fordwood/retry_schedule.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_RETURN_TIMES_HPP_INCLUDED
-#define FORDWOOD_RETURN_TIMES_HPP_INCLUDED
+#ifndef FORDWOOD_RETRY_SCHEDULE_HPP_INCLUDED
+#define FORDWOOD_RETRY_SCHEDULE_HPP_INCLUDED
 
 #include <chrono>
 
@@ -13,10 +13,10 @@
 // The load pattern that it answers: callers who are all told the same time come back together, and
 // all but a few are refused once more. So they return one after the other, in the order in which
 // they were refused, as often as requests are taken.
-class ReturnTimes
+class RetrySchedule
 {
 public:
-    explicit ReturnTimes(const Clock &clock) : m_clock(clock) { }
+    explicit RetrySchedule(const Clock &clock) : m_clock(clock) { }
 
     // From now until the next caller may come again, where so many requests are taken a second, and
     // none within `closedFor`. Bounded: later, other upstreams may serve it.
--- a/include/fordwood/upstream_directory.hpp
+++ b/include/fordwood/upstream_directory.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "fordwood/clock.hpp"
-#include "fordwood/seen_weights.hpp"
+#include "fordwood/observed_weights.hpp"
 #include "fordwood/upstream_record.hpp"
 
 namespace fordwood {
@@ -24,10 +24,10 @@
     {
         // How long after the store's return upstreams need to write themselves again.
         // Two seconds by the platform's pages, and what a change needs to be seen.
-        Duration returnWithin = std::chrono::milliseconds(2'300);
+        Duration republishWithin = std::chrono::milliseconds(2'300);
         // An engine writes its record anew within this after its weights have changed, or is gone:
         // three of its heartbeats, and what a change needs to be seen.
-        Duration recordWithin = std::chrono::seconds(5);
+        Duration recordUpdateWithin = std::chrono::seconds(5);
     };
 
     UpstreamDirectory(const Clock &clock, Limits limits)
@@ -86,16 +86,16 @@
     // record says so, or would have said so if it were still true. False when it tells nothing new:
     // something later is known.
     bool setWeightVersion(const std::string &instanceId, const std::string &model,
-                          const SeenWeights &weights);
+                          const ObservedWeights &weights);
 
     // The engine was seen not to run these weights, and did not say which. Until something later is
     // known, or its record would say so, none are believed. False as above.
-    bool doubtWeights(const std::string &instanceId, const std::string &model,
-                      const SeenWeights &notThese);
+    bool rejectWeights(const std::string &instanceId, const std::string &model,
+                       const ObservedWeights &rejected);
 
     // Whether the version is believed although the engine's record does not say so yet.
-    bool isAhead(const std::string &instanceId, const std::string &model,
-                 std::uint64_t version) const;
+    bool isAheadOfRecord(const std::string &instanceId, const std::string &model,
+                         std::uint64_t version) const;
 
     // Whether weights have changed without a record since the last call.
     bool takeWeightsChanged() { return std::exchange(m_weightsChanged, false); }
@@ -106,11 +106,11 @@
     // What is known of an engine's weights of one model.
     struct Weights
     {
-        std::optional<std::uint64_t> told; // by the record; nothing: it does not name the model
-        TimePoint read{}; // when the record was
-        std::optional<SeenWeights> shown; // otherwise than told
-        std::optional<TimePoint> doubted; // since when neither is believed
-        TimePoint lastSeen{}; // by an answer; what was seen before counts no more
+        std::optional<std::uint64_t> recorded; // by the record; nothing: it does not name the model
+        TimePoint recordedAt{}; // when the record was
+        std::optional<ObservedWeights> observed; // otherwise than told
+        std::optional<TimePoint> rejectedAt; // since when neither is believed
+        TimePoint lastObserved{}; // by an answer; what was seen before counts no more
     };
     struct Entry
     {
@@ -121,9 +121,10 @@
     };
 
     bool isUsable(const UpstreamRecord &record) const;
-    bool mustBeWritten(const SeenWeights &shown) const;
-    Weights merged(const Entry &entry, const std::string &model, std::uint64_t told) const;
-    static bool isNewer(const Weights &weights, const SeenWeights &seen);
+    bool isRecordDue(const ObservedWeights &observed) const;
+    Weights mergeObserved(const Entry &entry, const std::string &model,
+                          std::uint64_t recorded) const;
+    static bool isNewer(const Weights &weights, const ObservedWeights &seen);
     void dropUnconfirmed(Entry &entry);
 
     const Clock &m_clock;
--- a/include/fordwood/upstream_health.hpp
+++ b/include/fordwood/upstream_health.hpp
@@ -18,19 +18,19 @@
 public:
     struct Limits
     {
-        Duration firstPause = std::chrono::milliseconds(500);
-        Duration longestPause = std::chrono::seconds(4);
+        Duration initialPause = std::chrono::milliseconds(500);
+        Duration maxPause = std::chrono::seconds(4);
         double failureWeight = 0.2; // of the newest outcome in the failure rate
         // Half of the failure rate is forgotten in this time, longer than a pause, so that one that
         // goes on failing costs few requests; but not before the upstream has missed so many of
         // its turns, since in a large fleet each node has a request for it only now and then.
-        Duration forgetsHalfIn = std::chrono::seconds(4);
-        double turnsToForgetHalf = 12.0;
+        Duration halfLife = std::chrono::seconds(4);
+        double turnsPerHalfLife = 12.0;
         // Less than this is none: where the others are idle, the least rate would keep every
         // request away from an upstream.
-        double leastRate = 0.05;
+        double minFailureRate = 0.05;
         // An upstream that owes an answer for so long and has said nothing since may be gone.
-        Duration silence = std::chrono::milliseconds(500);
+        Duration silenceLimit = std::chrono::milliseconds(500);
     };
 
     explicit UpstreamHealth(const Clock &clock) : UpstreamHealth(clock, Limits{}) { }
@@ -41,7 +41,7 @@
     void ended(const std::string &instanceId);
 
     // It has sent something.
-    void heard(const std::string &instanceId);
+    void dataReceived(const std::string &instanceId);
 
     // Whether it has owed an answer for long and said nothing.
     bool isSilent(const std::string &instanceId) const;
@@ -52,7 +52,7 @@
     void failed(const std::string &instanceId);
 
     // It answered, but with a failure of its own.
-    void answeredFailure(const std::string &instanceId);
+    void answeredWithError(const std::string &instanceId);
 
     // It refused for want of room: it is passed over for `pause`.
     void refused(const std::string &instanceId, Duration pause);
@@ -68,16 +68,16 @@
 private:
     struct Entry
     {
-        unsigned failuresInARow = 0;
+        unsigned consecutiveFailures = 0;
         TimePoint pausedUntil{};
         double failureRate = 0.0; // when it was weighed
-        TimePoint weighed{};
-        std::uint64_t sendsThen = 0; // of this node to all upstreams
+        TimePoint updatedAt{};
+        std::uint64_t sendsAtUpdate = 0; // of this node to all upstreams
         std::size_t open = 0; // requests that it owes an answer to
-        TimePoint owesSince{}; // or heard last
+        TimePoint silentSince{}; // or heard last
     };
 
-    void weigh(Entry &entry, bool failure) const;
+    void updateFailureRate(Entry &entry, bool failure) const;
     double failureRate(const Entry &entry) const;
 
     const Clock &m_clock;
--- a/include/fordwood/weight_rollout.hpp
+++ b/include/fordwood/weight_rollout.hpp
@@ -15,7 +15,7 @@
 #include "fordwood/clock.hpp"
 #include "fordwood/fenced_lock.hpp"
 #include "fordwood/load_book.hpp"
-#include "fordwood/seen_weights.hpp"
+#include "fordwood/observed_weights.hpp"
 #include "fordwood/upstream_record.hpp"
 
 namespace fordwood {
@@ -129,7 +129,7 @@
     std::map<std::string, EngineBehind> behind(const FencedLock::Holding &holding) const;
 
     // Versions of engines by model that reports have shown, and that the records may not say yet.
-    using Shown = std::map<std::string, std::map<std::string, SeenWeights>>;
+    using Shown = std::map<std::string, std::map<std::string, ObservedWeights>>;
     const Shown &shown() const { return m_shown; }
 
     // The engine's record has said what was shown, or should have.
--- a/include/fordwood/window_budget.hpp
+++ b/include/fordwood/window_budget.hpp
@@ -21,7 +21,7 @@
         double slack = 0.0; // of the whole fleet
         // The part of it that is spent: nodes may see different windows, and a node that starts
         // again has forgotten what it spent.
-        double usablePart = 0.7;
+        double usableShare = 0.7;
     };
 
     WindowBudget(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
--- a/src/config/node_settings.hpp
+++ b/src/config/node_settings.hpp
@@ -8,8 +8,8 @@
 
 #include "config/config_error.hpp"
 #include "config/settings.hpp"
+#include "fordwood/allowed_regions.hpp"
 #include "fordwood/clock.hpp"
-#include "fordwood/homes.hpp"
 #include "fordwood/mechanisms.hpp"
 
 namespace fordwood::config {
--- a/src/core/call_candidates.cpp
+++ b/src/core/call_candidates.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool names(const std::vector<std::string> &list, const UpstreamConfig &upstream)
+bool contains(const std::vector<std::string> &list, const UpstreamConfig &upstream)
 {
     return std::find(list.begin(), list.end(), upstream.name) != list.end();
 }
@@ -16,27 +16,27 @@
 } // namespace
 
 void CallCandidates::choose(std::shared_ptr<const FleetView> view, const CallRequest &call,
-                            bool resuming, std::size_t most)
+                            bool resuming, std::size_t maxCount)
 {
     m_view = std::move(view);
     m_current = 0;
     m_soonest = 0;
-    m_soonestIn = Duration::max();
+    m_soonestDelay = Duration::max();
     m_queueing = false;
-    m_upstreams = select(call, resuming, most);
-    std::erase_if(m_upstreams, [&](const UpstreamConfig *it) { return names(m_broken, *it); });
+    m_upstreams = select(call, resuming, maxCount);
+    std::erase_if(m_upstreams, [&](const UpstreamConfig *it) { return contains(m_broken, *it); });
     std::stable_partition(m_upstreams.begin(), m_upstreams.end(),
                           [&](const UpstreamConfig *it) { return !wasRefusedBy(*it); });
-    if (m_upstreams.size() > most)
-        m_upstreams.resize(most);
+    if (m_upstreams.size() > maxCount)
+        m_upstreams.resize(maxCount);
 }
 
 std::vector<const UpstreamConfig *> CallCandidates::select(const CallRequest &call, bool resuming,
-                                                           std::size_t most) const
+                                                           std::size_t maxCount) const
 {
-    const bool anywhere = resuming || !m_otherWeights.empty();
+    const bool considersAll = resuming || !m_mismatched.empty();
     const std::size_t count
-        = anywhere ? m_view->configuration().upstreams.size() : most + m_broken.size();
+        = considersAll ? m_view->configuration().upstreams.size() : maxCount + m_broken.size();
     if (call.kind == CallKind::Service)
         return m_view->services(call.target, call.prefixHash, count);
     auto upstreams = m_view->engines(call.target, call.prefixHash, count);
@@ -44,7 +44,7 @@
         std::erase_if(upstreams, [](const UpstreamConfig *it) { return !it->resumes; });
     // Weights that are not those of this node's configuration: if the domain is cut off, its own
     // engines are the ones that still have them.
-    if (!m_otherWeights.empty())
+    if (!m_mismatched.empty())
         std::stable_partition(upstreams.begin(), upstreams.end(), [&](const auto *it) {
             return it->failureDomain == m_view->ownFailureDomain();
         });
@@ -62,15 +62,15 @@
     return m_current < m_upstreams.size();
 }
 
-void CallCandidates::noteFirstTokenIn(Duration in)
+void CallCandidates::recordFirstTokenDelay(Duration delay)
 {
-    if (in >= m_soonestIn)
+    if (delay >= m_soonestDelay)
         return;
     m_soonest = m_current;
-    m_soonestIn = in;
+    m_soonestDelay = delay;
 }
 
-void CallCandidates::queueWhereSoonest()
+void CallCandidates::queueAtSoonest()
 {
     m_current = m_soonest;
     m_queueing = true;
@@ -78,7 +78,7 @@
 
 bool CallCandidates::wasRefusedBy(const UpstreamConfig &upstream) const
 {
-    return names(m_full, upstream) || names(m_otherWeights, upstream);
+    return contains(m_full, upstream) || contains(m_mismatched, upstream);
 }
 
 } // namespace fordwood
--- a/src/core/call_plan.cpp
+++ b/src/core/call_plan.cpp
@@ -7,7 +7,7 @@
 
 // Upstreams that one request tries to reach in vain before it is refused: two dead ones are likely
 // in a bad hour, more mean that this node is cut off.
-constexpr std::size_t kMostConnectFailures = 4;
+constexpr std::size_t kMaxConnectFailures = 4;
 
 } // namespace
 
@@ -15,24 +15,24 @@
 {
     m_tried.insert(instanceId);
     m_sends += 1;
-    m_arrivals += 1;
+    m_deliveries += 1;
 }
 
 void CallPlan::notSent()
 {
     m_sends -= 1;
-    m_arrivals -= 1;
+    m_deliveries -= 1;
     m_connectFailures += 1;
 }
 
-void CallPlan::turnedDown(const std::string &instanceId)
+void CallPlan::rejectedLocally(const std::string &instanceId)
 {
     m_tried.erase(instanceId);
     m_sends -= 1;
-    m_arrivals -= 1;
+    m_deliveries -= 1;
 }
 
-void CallPlan::metAnother()
+void CallPlan::reachedOtherInstance()
 {
     m_sends -= 1;
     m_connectFailures += 1;
@@ -50,10 +50,10 @@
     if (!maySendAgain(state, m_terms.mayRunAgain, failure.answerBegun && !m_terms.resumable))
         return end;
     if (now >= m_terms.answerBy || m_sends >= m_terms.maxAttempts
-        || m_connectFailures >= kMostConnectFailures)
+        || m_connectFailures >= kMaxConnectFailures)
         return end;
     // A first send that never reached an upstream is no repetition.
-    if (m_arrivals > 0 && !takeRepeat()) {
+    if (m_deliveries > 0 && !takeRepeat()) {
         if (!m_mayHaveRun)
             m_reason = Reason::RetryBudgetUsed;
         return end;
--- a/src/core/context_directory.cpp
+++ b/src/core/context_directory.cpp
@@ -16,10 +16,10 @@
 // a small first part the large one is fetched in vain. Saving such first parts too takes the shared
 // tokens that are computed again from 24 to 11 in 100 of all computed ones (mean of nine played
 // days of a deployment whose contexts begin with a part of 340 or 510 tokens).
-constexpr std::size_t kLeastContextToSave = 1'000;
+constexpr std::size_t kMinContextToSave = 1'000;
 
 // The part of a store that is filled: what other nodes save at the same moment is not known yet.
-constexpr double kFillPart = 0.95;
+constexpr double kMaxFillShare = 0.95;
 
 std::string partName(const std::string &salt, const std::string &partId)
 {
@@ -49,62 +49,63 @@
     std::erase_if(m_stores, [&](const auto &it) { return !names.contains(it.first); });
 }
 
-void ContextDirectory::sentTo(const std::string &instanceId, const std::string &salt,
-                              std::uint64_t contextHash, std::size_t tokens)
+void ContextDirectory::recordSend(const std::string &instanceId, const std::string &salt,
+                                  std::uint64_t contextHash, std::size_t tokens)
 {
     const std::uint64_t send = sendHash(instanceId, salt, contextHash);
     remember(send);
-    if (tokens >= m_limits.leastTokensToTell)
-        m_toTell.emplace_back(m_clock.now(), send);
-    if (m_toTell.size() > m_limits.mostToldSends)
-        m_toTell.pop_front();
+    if (tokens >= m_limits.minAnnouncedTokens)
+        m_toAnnounce.emplace_back(m_clock.now(), send);
+    if (m_toAnnounce.size() > m_limits.maxAnnouncedSends)
+        m_toAnnounce.pop_front();
 }
 
 void ContextDirectory::remember(std::uint64_t send)
 {
-    if (m_sends.size() >= m_limits.mostSends) {
-        const TimePoint oldest = m_clock.now() - m_limits.engineMemory;
+    if (m_sends.size() >= m_limits.maxSends) {
+        const TimePoint oldest = m_clock.now() - m_limits.sendMemory;
         std::erase_if(m_sends, [&](const auto &it) { return it.second < oldest; });
     }
-    if (m_sends.size() >= m_limits.mostSends)
+    if (m_sends.size() >= m_limits.maxSends)
         m_sends.clear();
     m_sends[send] = m_clock.now();
 }
 
 std::vector<std::uint64_t> ContextDirectory::recentSends()
 {
-    while (!m_toTell.empty() && m_clock.now() - m_toTell.front().first >= m_limits.tellSends)
-        m_toTell.pop_front();
+    while (!m_toAnnounce.empty()
+           && m_clock.now() - m_toAnnounce.front().first >= m_limits.announceTime)
+        m_toAnnounce.pop_front();
     std::vector<std::uint64_t> sends;
-    for (const auto &[when, send] : m_toTell)
+    for (const auto &[when, send] : m_toAnnounce)
         sends.push_back(send);
     return sends;
 }
 
-void ContextDirectory::peerSent(const std::vector<std::uint64_t> &sends)
+void ContextDirectory::recordPeerSends(const std::vector<std::uint64_t> &sends)
 {
     for (const std::uint64_t it : sends)
         remember(it);
 }
 
-bool ContextDirectory::isAtEngine(const std::string &instanceId, const std::string &salt,
-                                  std::uint64_t contextHash, Duration keptFor) const
+bool ContextDirectory::isContextAtEngine(const std::string &instanceId, const std::string &salt,
+                                         std::uint64_t contextHash, Duration keptFor) const
 {
     const auto it = m_sends.find(sendHash(instanceId, salt, contextHash));
     return it != m_sends.end() && m_clock.now() - it->second < keptFor;
 }
 
-bool ContextDirectory::speaks(const Store &store) const
+bool ContextDirectory::isCurrent(const Store &store) const
 {
     return store.answered != TimePoint::min()
-           && m_clock.now() - store.answered < m_limits.storeWord;
+           && m_clock.now() - store.answered < m_limits.storeAnswerLife;
 }
 
-bool ContextDirectory::hasWord() const
+bool ContextDirectory::hasCurrentStore() const
 {
     return m_stores.empty()
            || std::any_of(m_stores.begin(), m_stores.end(),
-                          [this](const auto &it) { return speaks(it.second); });
+                          [this](const auto &it) { return isCurrent(it.second); });
 }
 
 void ContextDirectory::forgetAll(Store &store)
@@ -116,17 +117,17 @@
     store.answered = TimePoint::min();
 }
 
-void ContextDirectory::storeAnswered(const StoreNews &news, Duration waited)
+void ContextDirectory::storeAnswered(const StoreUpdate &update, Duration waited)
 {
-    const auto it = m_stores.find(news.store);
+    const auto it = m_stores.find(update.store);
     if (it == m_stores.end())
         return;
     Store &store = it->second;
-    if (news.restated || news.epoch != store.epoch)
+    if (update.isSnapshot || update.epoch != store.epoch)
         forgetAll(store);
-    store.epoch = news.epoch;
-    store.answered = std::max(store.answered, m_clock.now() - waited - news.age);
-    for (const StorePartChange &change : news.changes)
+    store.epoch = update.epoch;
+    store.answered = std::max(store.answered, m_clock.now() - waited - update.age);
+    for (const StorePartChange &change : update.changes)
         apply(store, change);
 }
 
@@ -160,11 +161,11 @@
 }
 
 // Whether a part under the salt is surely not freed while a fetch that begins `ahead` of now runs.
-bool ContextDirectory::isKept(const std::string &salt, const std::string &partId,
-                              Duration ahead) const
+bool ContextDirectory::willBeKept(const std::string &salt, const std::string &partId,
+                                  Duration ahead) const
 {
     const auto parsed = parseSalt(salt);
-    if (!parsed || !m_isInformed)
+    if (!parsed || !m_receivesVersions)
         return false;
     const auto history = m_weights.find(parsed->modelHash);
     if (history == m_weights.end())
@@ -175,21 +176,21 @@
                && m_clock.now() + ahead - *replaced->earliest < OldContext::useOf(partId));
 }
 
-void ContextDirectory::storeSilent(const std::string &store)
+void ContextDirectory::storeFailed(const std::string &store)
 {
     const auto it = m_stores.find(store);
     if (it != m_stores.end())
         it->second.answered = TimePoint::min();
 }
 
-ContextDirectory::Holder ContextDirectory::storeWith(const std::string &salt,
-                                                     const std::string &partId) const
+ContextDirectory::Holder ContextDirectory::holderOf(const std::string &salt,
+                                                    const std::string &partId) const
 {
-    if (!isKept(salt, partId, Duration::zero()))
+    if (!willBeKept(salt, partId, Duration::zero()))
         return {};
     const std::string name = partName(salt, partId);
     for (const auto &[key, store] : m_stores) {
-        if (speaks(store) && store.parts.contains(name))
+        if (isCurrent(store) && store.parts.contains(name))
             return {store.config.address, store.config.failureDomain};
     }
     return {};
@@ -199,7 +200,7 @@
 {
     std::vector<std::string> lost;
     for (const auto &[name, save] : store.saves) {
-        if (m_clock.now() - save.since >= m_limits.saveLife)
+        if (m_clock.now() - save.since >= m_limits.saveTimeout)
             lost.push_back(name);
     }
     for (const std::string &it : lost)
@@ -210,8 +211,8 @@
                                            std::size_t contextTokens,
                                            const std::string &failureDomain)
 {
-    if (contextTokens < kLeastContextToSave || !isKept(salt, part.id, m_limits.leastUse)
-        || !storeWith(salt, part.id).address.empty())
+    if (contextTokens < kMinContextToSave || !willBeKept(salt, part.id, m_limits.minUseTime)
+        || !holderOf(salt, part.id).address.empty())
         return {};
     const std::string name = partName(salt, part.id);
     const std::uint64_t hash = stableHash(name);
@@ -222,8 +223,8 @@
         if (store.saves.contains(name))
             return {};
         const auto room = static_cast<std::size_t>(
-            kFillPart * static_cast<double>(store.config.capacityTokens));
-        if (!speaks(store) || store.tokens + store.tokensOfSaves + part.tokens > room)
+            kMaxFillShare * static_cast<double>(store.config.capacityTokens));
+        if (!isCurrent(store) || store.tokens + store.tokensOfSaves + part.tokens > room)
             continue;
         const std::pair weight(store.config.failureDomain == failureDomain,
                                rendezvousWeight(hash, store.hash));
@@ -235,8 +236,8 @@
     return best == nullptr ? std::string() : best->config.address;
 }
 
-void ContextDirectory::saveBegins(const std::string &address, const std::string &salt,
-                                  const PromptPart &part)
+void ContextDirectory::beginSave(const std::string &address, const std::string &salt,
+                                 const PromptPart &part)
 {
     for (auto &[key, store] : m_stores) {
         if (store.config.address != address)
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -16,7 +16,7 @@
 // Here an upstream goes on under its name when it starts again, so that an answer by which it is
 // draining counts for a while only.
 constexpr Duration kDrainingPause = std::chrono::seconds(10);
-constexpr std::size_t kMostMismatches = 20;
+constexpr std::size_t kMaxMismatches = 20;
 constexpr Duration kLocalSendWithin = std::chrono::seconds(2);
 
 } // namespace
@@ -56,7 +56,7 @@
     if (m_calls.size() >= m_limits.maxCalls)
         return refuse(Reason::InFlightLimit);
     if (isHeld(request))
-        return refuseWith(heldVerdict(request));
+        return refuseWith(quarantineVerdict(request));
     Call &call = m_calls[request.id];
     call.request = request;
     call.last = Verdict::of(Reason::NoUpstream, {}, kRetrySoon);
@@ -112,15 +112,15 @@
     }
     const Verdict why = Verdict::of(reply.reason, {}, reply.retryAfter);
     if (reply.reason == Reason::UpstreamBusy)
-        call.candidates.noteFirstTokenIn(reply.firstTokenIn);
+        call.candidates.recordFirstTokenDelay(reply.firstTokenIn);
     if (reply.reason == Reason::NotOwner)
-        return askAgain(call, owner, why);
-    askNext(call, why);
+        return retryAfterNotOwner(call, owner, why);
+    tryNext(call, why);
 }
 
 // Whoever was asked owns the upstream no more, or not yet: the views of two nodes differ for a
 // moment.
-void Dispatcher::askAgain(Call &call, const std::string &asked, const Verdict &why)
+void Dispatcher::retryAfterNotOwner(Call &call, const std::string &asked, const Verdict &why)
 {
     const bool queueing = call.candidates.isQueueing();
     choose(call);
@@ -132,7 +132,7 @@
     const Member *owner = call.candidates.view().owner(*upstream);
     if (owner != nullptr && owner->name != asked)
         return ask(call);
-    fallBack(call);
+    sendWithoutOwner(call);
 }
 
 void Dispatcher::allowanceAnswered(const std::string &team, std::uint64_t askId,
@@ -157,7 +157,7 @@
         Call &call = m_calls.at(id);
         m_asks.erase(call.askId);
         call.askId = 0;
-        fallBack(call);
+        sendWithoutOwner(call);
     }
 }
 
@@ -171,11 +171,11 @@
         = failure.reason == Reason::UpstreamPushback || failure.reason == Reason::VersionMismatch;
     m_permits.release(id, 0.0, busy);
     if (failure.reason == Reason::UpstreamBroke || failure.reason == Reason::AnswerCut)
-        noteBrokeOff(*call);
+        recordBreakOff(*call);
     if (failure.reason == Reason::VersionMismatch)
-        call->candidates.noteOtherWeights();
+        call->candidates.markWeightMismatch();
     else if (busy)
-        call->candidates.noteFull();
+        call->candidates.markFull();
     Verdict verdict{failure.state, failure.reason, std::chrono::milliseconds(0), failure.detail};
     // A stream of whole events is not begun again but continued.
     const bool cutForGood = failure.answerBegun && !failure.passedEvents;
@@ -183,7 +183,7 @@
         return end(id, verdict);
     if (call->request.deadline <= m_clock.now() || isHeld(call->request))
         return end(id, verdict);
-    const bool free = isFree(*call, failure, sentDirectly);
+    const bool free = needsNoRetry(*call, failure, sentDirectly);
     if (free)
         m_actions.emplace_back(CountRetry{failure.reason});
     if (!free && !takeRetry(*call, failure.reason)) {
@@ -198,7 +198,7 @@
     call->last = verdict;
     call->mayHaveRun = call->mayHaveRun || failure.state != RunState::NotRun;
     if (!busy && failure.reason != Reason::PermitExpired)
-        call->candidates.noteBroken();
+        call->candidates.markBroken();
     choose(*call);
     if (call->candidates.isEmpty())
         return end(id, verdict);
@@ -207,10 +207,10 @@
 
 // Whether sending again costs nothing of the team's budget, since it adds no load: a direct send
 // that met a full upstream now waits its turn at the owner, and so does one that met other weights.
-bool Dispatcher::isFree(const Call &call, const AttemptFailure &failure, bool sentDirectly)
+bool Dispatcher::needsNoRetry(const Call &call, const AttemptFailure &failure, bool sentDirectly)
 {
     if (failure.reason == Reason::VersionMismatch)
-        return call.candidates.metOtherWeights() <= kMostMismatches;
+        return call.candidates.weightMismatches() <= kMaxMismatches;
     return sentDirectly && failure.reason == Reason::UpstreamPushback;
 }
 
@@ -227,19 +227,20 @@
     forget(id);
 }
 
-Dispatcher::LimitHeard Dispatcher::limitRead(CallId id, unsigned attempt, const LimitReading &limit)
+Dispatcher::LimitUpdate Dispatcher::limitRead(CallId id, unsigned attempt,
+                                              const LimitReading &limit)
 {
     const Call *call = find(id, attempt);
     if (call == nullptr)
         return {};
-    LimitHeard heard;
-    heard.upstream = call->candidates.current()->name;
+    LimitUpdate update;
+    update.upstream = call->candidates.current()->name;
     if (limit.perSecond)
-        m_gate.beliefs().know(heard.upstream);
+        m_gate.beliefs().know(update.upstream);
     if (limit.perSecond || !limit.isUnreadable)
-        heard.change = m_gate.beliefs().answered(heard.upstream, limit.perSecond, call->sentAt);
-    heard.ownPart = m_gate.ownPart(heard.upstream);
-    return heard;
+        update.change = m_gate.beliefs().answered(update.upstream, limit.perSecond, call->sentAt);
+    update.ownPart = m_gate.ownPart(update.upstream);
+    return update;
 }
 
 std::optional<Dispatcher::Backoff> Dispatcher::noticeRead(CallId id, unsigned attempt,
@@ -297,11 +298,11 @@
     for (const CallId id : unclaimed)
         end(id, Verdict::of(Reason::OwnerSilent, {}, kRetrySoon));
     for (const CallId id : late)
-        endLate(m_calls.at(id));
+        endExpired(m_calls.at(id));
     for (const CallId id : silent) {
         Call &call = m_calls.at(id);
         withdraw(call);
-        fallBack(call);
+        sendWithoutOwner(call);
     }
     m_admission.tick();
     m_quarantine.tick();
@@ -310,7 +311,7 @@
 }
 
 // Ends a call whose time is up.
-void Dispatcher::endLate(Call &call)
+void Dispatcher::endExpired(Call &call)
 {
     const CallId id = call.request.id;
     withdraw(call);
@@ -380,14 +381,14 @@
     if (upstream == nullptr)
         return end(call.request.id, call.last);
     if (!maySend(upstream->name))
-        return passOver(call);
+        return skipUpstream(call);
     if (maySendDirectly(*upstream, call)) {
         m_permits.takeDirect(call.request, upstream->name);
         return send(call, m_clock.now() + kLocalSendWithin);
     }
     const Member *owner = call.candidates.view().owner(*upstream);
     if (owner == nullptr)
-        return fallBack(call);
+        return sendWithoutOwner(call);
     m_permits.aboutToAsk(*owner);
     // A lone candidate is queued for at once; else the first round only looks for a free place.
     const bool queueing = call.candidates.isQueueing() || call.candidates.isOnlyOne();
@@ -413,7 +414,7 @@
         {call.request.prefixHash, call.request.contextTokens, call.request.questionTokens}});
 }
 
-void Dispatcher::askNext(Call &call, const Verdict &why)
+void Dispatcher::tryNext(Call &call, const Verdict &why)
 {
     call.last = why;
     if (call.candidates.isQueueing())
@@ -422,17 +423,17 @@
         return ask(call);
     m_contention.countRefused(call.request.target);
     // No place is free anywhere near.
-    call.candidates.queueWhereSoonest();
+    call.candidates.queueAtSoonest();
     ask(call);
 }
 
 // The upstream takes no more requests for now. Others come first; where there is none, the call is
 // refused at once.
-void Dispatcher::passOver(Call &call)
+void Dispatcher::skipUpstream(Call &call)
 {
     if (call.candidates.isQueueing())
-        return end(call.request.id, closedVerdict(*call.candidates.current()));
-    askNext(call, Verdict::of(Reason::UpstreamLimited, {}, kRetrySoon));
+        return end(call.request.id, limitedVerdict(*call.candidates.current()));
+    tryNext(call, Verdict::of(Reason::UpstreamLimited, {}, kRetrySoon));
 }
 
 // Only where a full upstream says that it did not run the request. A call that found every
@@ -441,7 +442,7 @@
 bool Dispatcher::maySendDirectly(const UpstreamConfig &upstream, const Call &call)
 {
     const std::size_t tokens = call.request.contextTokens + call.request.questionTokens;
-    if (!m_limits.direct || !upstream.refusesWhenFull || tokens > m_limits.mostDirectTokens)
+    if (!m_limits.direct || !upstream.refusesWhenFull || tokens > m_limits.maxDirectTokens)
         return false;
     const bool triedAll = call.candidates.wasRefusedBy(upstream);
     if (triedAll)
@@ -449,12 +450,12 @@
     return !triedAll && !m_contention.isContended(call.request.target);
 }
 
-void Dispatcher::fallBack(Call &call)
+void Dispatcher::sendWithoutOwner(Call &call)
 {
     if (!m_permits.takeLocal(call.request, *call.candidates.current())) {
         const Verdict verdict = Verdict::of(Reason::LocalAllowanceUsed, {}, kRetrySoon);
         return call.candidates.isQueueing() ? end(call.request.id, verdict)
-                                            : askNext(call, verdict);
+                                            : tryNext(call, verdict);
     }
     m_actions.emplace_back(CountRetry{Reason::OwnerSilent});
     send(call, m_clock.now() + kLocalSendWithin);
@@ -466,19 +467,19 @@
     const UpstreamConfig *upstream = call.candidates.current();
     if (m_view->isLeaving(upstream->name)) {
         m_permits.release(call.request.id, 0.0);
-        return askNext(call, Verdict::of(Reason::UpstreamLeaving, {}, kRetrySoon));
+        return tryNext(call, Verdict::of(Reason::UpstreamLeaving, {}, kRetrySoon));
     }
     // Its upstreams may have ended under other copies of it while it waited.
     if (isHeld(call.request)) {
         m_permits.release(call.request.id, 0.0);
-        return end(call.request.id, heldVerdict(call.request));
+        return end(call.request.id, quarantineVerdict(call.request));
     }
     // Another call may have used this daemon's part of the limit, or the limit been named, while
     // this one waited for its permit. An engine that named two requests a second got ten from one
     // daemon.
     if (!maySend(upstream->name)) {
         m_permits.release(call.request.id, 0.0);
-        return passOver(call);
+        return skipUpstream(call);
     }
     m_gate.sent(upstream->name);
     renewVersion(call);
@@ -543,7 +544,7 @@
 
 // An upstream has broken off under the call. Without counting that, a request that its caller sends
 // again and again ends an upstream each time.
-void Dispatcher::noteBrokeOff(const Call &call)
+void Dispatcher::recordBreakOff(const Call &call)
 {
     if (call.request.fingerprint)
         m_quarantine.brokeOff(*call.request.fingerprint,
@@ -555,23 +556,23 @@
     return request.fingerprint && m_quarantine.isHeld(*request.fingerprint);
 }
 
-Verdict Dispatcher::heldVerdict(const CallRequest &request) const
+Verdict Dispatcher::quarantineVerdict(const CallRequest &request) const
 {
     return Verdict::of(
         Reason::RequestQuarantined, {},
         std::chrono::ceil<std::chrono::milliseconds>(m_quarantine.heldFor(*request.fingerprint)));
 }
 
-Verdict Dispatcher::closedVerdict(const UpstreamConfig &upstream)
+Verdict Dispatcher::limitedVerdict(const UpstreamConfig &upstream)
 {
     const double nodes = static_cast<double>(std::max<std::size_t>(m_view->members().size(), 1));
-    ReturnTimes &times = m_returnTimes.try_emplace(upstream.name, m_clock).first->second;
+    RetrySchedule &schedule = m_retrySchedules.try_emplace(upstream.name, m_clock).first->second;
     const Duration backoff = m_backoffs.remaining(upstream.name);
     if (backoff > Duration::zero())
         return Verdict::of(Reason::UpstreamBackoff, {},
-                           times.next(static_cast<double>(upstream.slots) / nodes, backoff));
+                           schedule.next(static_cast<double>(upstream.slots) / nodes, backoff));
     const double perSecond = m_gate.partOfAll(upstream.name).value_or(0.0);
-    return Verdict::of(Reason::UpstreamLimited, {}, times.next(perSecond / nodes));
+    return Verdict::of(Reason::UpstreamLimited, {}, schedule.next(perSecond / nodes));
 }
 
 Dispatcher::Call *Dispatcher::find(CallId id, unsigned attempt)
--- a/src/core/engine_chooser.cpp
+++ b/src/core/engine_chooser.cpp
@@ -16,56 +16,56 @@
 // but then it is fetched. What no store holds is probably read for the first time.
 constexpr double kComputeWeight = 1.0;
 // The engine that all nodes prefer for a context may have it from a request of another node.
-constexpr double kHomeComputeWeight = 0.9;
+constexpr double kPreferredComputeWeight = 0.9;
 // Reading a context again that another engine has costs the fleet more than the request's wait.
-constexpr double kReadAgainWeight = 4.0;
+constexpr double kRecomputeWeight = 4.0;
 // For short prompts, which come from all nodes, most to few contexts.
-constexpr double kShortHomeWeight = 0.2;
-constexpr double kShortNextWeight = 2.0;
-constexpr double kShortElsewhereWeight = 4.0;
+constexpr double kShortPreferredWeight = 0.2;
+constexpr double kShortSecondWeight = 2.0;
+constexpr double kShortOtherWeight = 4.0;
 // Moving a token of context takes a part of the time of computing it, with the wait for the links.
 constexpr double kFetchWeight = 0.2;
 // Links between failure domains are half as fast.
-constexpr double kFarFactor = 2.0;
+constexpr double kCrossDomainFactor = 2.0;
 // How long an engine keeps a context after its last use, about: long prompts fill its memory within
 // seconds, short ones do so only after minutes.
 constexpr Duration kLongContextKept = std::chrono::seconds(3);
 constexpr Duration kShortContextKept = std::chrono::seconds(20);
 // Each running request slows every token of the others a little.
-constexpr double kRunningCost = 60.0;
+constexpr double kRunningRequestCost = 60.0;
 // The part of the waiting work of an engine that a short prompt waits for.
-constexpr double kShortSeesLong = 0.3;
+constexpr double kShortQueueShare = 0.3;
 // A request beyond the slots waits for a whole other request to end.
-constexpr double kNoSlotCost = 12'000.0;
+constexpr double kMissingSlotCost = 12'000.0;
 // Memory beyond the engine's preempts others, which then compute their prompts again.
-constexpr double kNoMemoryWeight = 4.0;
+constexpr double kMissingMemoryWeight = 4.0;
 // A short prompt among long ones waits for their computation, and loses its context to them.
-constexpr double kShortOutsideCost = 6'000.0;
+constexpr double kShortOutsideGroupCost = 6'000.0;
 // A long prompt among short ones does so to some hundred of them.
-constexpr double kLongInsideCost = 25'000.0;
+constexpr double kLongInShortGroupCost = 25'000.0;
 // An answer on older weights loses a fifth of its value.
 constexpr double kOldWeightsCost = 6'000.0;
 // An engine all of whose requests fail is used only when there is no other.
 constexpr double kFailureCost = 60'000.0;
 // Of so many places at an engine one may be taken by a request that a peer has not told of yet.
-constexpr std::size_t kPlacesForOneUntold = 8;
+constexpr std::size_t kSlotsPerUnreportedRequest = 8;
 // For what a wait takes beyond what is expected: an engine may be slower than the others, and peers
 // may have sent it prompts that they have not told of yet.
-constexpr Duration kBeginMargin = std::chrono::seconds(1);
+constexpr Duration kFirstTokenMargin = std::chrono::seconds(1);
 
 } // namespace
 
-bool EngineChooser::mayUse(const UpstreamRecord &engine, const Question &question,
+bool EngineChooser::mayUse(const UpstreamRecord &engine, const Query &query,
                            const UpstreamHealth &health) const
 {
-    if (question.tried.contains(engine.instanceId) || health.isPaused(engine.instanceId))
+    if (query.tried.contains(engine.instanceId) || health.isPaused(engine.instanceId))
         return false;
-    const auto version = engine.weightVersions.find(question.prompt.model);
+    const auto version = engine.weightVersions.find(query.prompt.model);
     // Versions begin at 1: 0 tells none, and the request could be held to nothing.
     return version != engine.weightVersions.end() && version->second != 0;
 }
 
-bool EngineChooser::beginsInTime(std::uint64_t version, Duration beginsAfter,
+bool EngineChooser::beginsInTime(std::uint64_t version, Duration firstTokenDelay,
                                  const WeightHistory &weights) const
 {
     const auto replaced = weights.superseded(version);
@@ -77,124 +77,125 @@
         return false;
     // A fixed time for the wait is too short where requests queue, and leaves engines without work
     // that could still begin it at once.
-    const Duration begins = m_clock.now() - *replaced->earliest + beginsAfter;
-    return begins + kBeginMargin < m_limits.weightsWithin;
+    const Duration begins = m_clock.now() - *replaced->earliest + firstTokenDelay;
+    return begins + kFirstTokenMargin < m_limits.weightsWithin;
 }
 
 // How long a request waits at an engine for its first token. All that lies there counts, also what
 // a short prompt may overtake: an engine that is left out for its queue has work meanwhile.
-Duration EngineChooser::timeToBegin(const UpstreamLoad &load, const Question &question,
-                                    const Weights &weights) const
+Duration EngineChooser::timeToFirstToken(const UpstreamLoad &load, const Query &query,
+                                         const VersionInfo &weights) const
 {
-    const Prompt &prompt = question.prompt;
-    const EngineTraits &traits = question.traits;
+    const Prompt &prompt = query.prompt;
+    const EngineTraits &traits = query.traits;
     const std::size_t requests = load.running + 1;
-    const std::size_t held = load.tokensHeld + prompt.tokensIn + prompt.mostTokensOut;
-    std::size_t atOnce = traits.slots;
+    const std::size_t held = load.tokensHeld + prompt.tokensIn + prompt.maxTokensOut;
+    std::size_t concurrent = traits.slots;
     // Where the memory holds fewer requests than there are slots, it decides how many run at once.
     if (held > 0 && traits.contextTokens > 0)
-        atOnce = std::min(atOnce, requests * traits.contextTokens / held);
-    const std::size_t places = atOnce - atOnce / kPlacesForOneUntold;
+        concurrent = std::min(concurrent, requests * traits.contextTokens / held);
+    const std::size_t places = concurrent - concurrent / kSlotsPerUnreportedRequest;
     const std::size_t mustEnd = requests - std::min(requests, places);
     const double tokens = static_cast<double>(load.tokensToCompute + prompt.tokensIn)
                           + storeWait(weights, static_cast<double>(prompt.sharedTokens()));
-    return question.pace.timeFor(tokens) + question.pace.timeForEnds(mustEnd, atOnce);
+    return query.pace.timeFor(tokens) + query.pace.timeUntilFinished(mustEnd, concurrent);
 }
 
 // What the store of a context sends before it, in tokens to compute; nothing where the context is
 // computed instead.
-double EngineChooser::storeWait(const Weights &weights, double sharedTokens) const
+double EngineChooser::storeWait(const VersionInfo &weights, double sharedTokens) const
 {
-    const double waiting = kFetchWeight * weights.storeTokens;
+    const double waitingTokens = kFetchWeight * weights.storeTokens;
     const bool isFetched
-        = waiting + sharedTokens * kFetchWeight <= sharedTokens * readAgainWeight();
-    return isFetched || !m_limits.mechanisms.computingInstead ? waiting : 0.0;
+        = waitingTokens + sharedTokens * kFetchWeight <= sharedTokens * readAgainWeight();
+    return isFetched || !m_limits.mechanisms.computingInstead ? waitingTokens : 0.0;
 }
 
 // What is to be computed before a prompt: a short one goes before long ones that wait, but not
 // before those that are being computed.
-double EngineChooser::queueCost(const UpstreamLoad &load, const Terms &terms) const
+double EngineChooser::queueCost(const UpstreamLoad &load, const PromptInfo &promptInfo) const
 {
-    return static_cast<double>(load.tokensToCompute) * (terms.isShort ? kShortSeesLong : 1.0);
+    return static_cast<double>(load.tokensToCompute)
+           * (promptInfo.isShort ? kShortQueueShare : 1.0);
 }
 
-double EngineChooser::waitingCost(const UpstreamLoad &load, const Terms &terms,
-                                  const Question &question) const
+double EngineChooser::waitingCost(const UpstreamLoad &load, const PromptInfo &promptInfo,
+                                  const Query &query) const
 {
-    double cost = queueCost(load, terms);
-    cost += kRunningCost * static_cast<double>(load.running);
-    if (load.running >= question.traits.slots)
-        cost += kNoSlotCost * static_cast<double>(load.running - question.traits.slots + 1);
-    cost += kNoMemoryWeight * static_cast<double>(missingMemory(load, question));
+    double cost = queueCost(load, promptInfo);
+    cost += kRunningRequestCost * static_cast<double>(load.running);
+    if (load.running >= query.traits.slots)
+        cost += kMissingSlotCost * static_cast<double>(load.running - query.traits.slots + 1);
+    cost += kMissingMemoryWeight * static_cast<double>(missingMemory(load, query));
     return cost;
 }
 
 // Tokens for which the engine would have no memory beside the requests that run there.
-std::size_t EngineChooser::missingMemory(const UpstreamLoad &load, const Question &question)
+std::size_t EngineChooser::missingMemory(const UpstreamLoad &load, const Query &query)
 {
-    const std::size_t memory
-        = load.tokensHeld + question.prompt.tokensIn + question.prompt.mostTokensOut;
-    return memory - std::min(memory, question.traits.contextTokens);
+    const std::size_t memory = load.tokensHeld + query.prompt.tokensIn + query.prompt.maxTokensOut;
+    return memory - std::min(memory, query.traits.contextTokens);
 }
 
 // Orders the engines as all nodes prefer them for the context: first those of its group.
-void EngineChooser::rank(std::vector<Rated> &rated, const Terms &terms,
+void EngineChooser::rank(std::vector<Candidate> &candidates, const PromptInfo &promptInfo,
                          const std::set<std::string> &shortGroup)
 {
-    for (Rated &it : rated) {
+    for (Candidate &it : candidates) {
         const std::string &id = it.engine->instanceId;
-        it.isInGroup = shortGroup.contains(id) == terms.isShort;
+        it.isInMatchingGroup = shortGroup.contains(id) == promptInfo.isShort;
         it.hash = stableHash(id);
-        it.weight = rendezvousWeight(terms.context, it.hash);
+        it.weight = rendezvousWeight(promptInfo.context, it.hash);
     }
-    std::sort(rated.begin(), rated.end(), [](const Rated &a, const Rated &b) {
-        return std::pair(a.isInGroup, a.weight) > std::pair(b.isInGroup, b.weight);
+    std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &b) {
+        return std::pair(a.isInMatchingGroup, a.weight) > std::pair(b.isInMatchingGroup, b.weight);
     });
-    for (std::size_t n = 0; n < rated.size(); ++n)
-        rated[n].rank = n;
+    for (std::size_t n = 0; n < candidates.size(); ++n)
+        candidates[n].rank = n;
 }
 
 // What it costs to compute the shared context at the engine, in its own tokens. All nodes send the
 // short prompts of a context to the same engine, and the others to the same next one, so that it is
 // probably there; the more of them have it, the less room there is for other contexts.
-double EngineChooser::computeWeight(const Rated &rated, const Terms &terms) const
+double EngineChooser::recomputeWeight(const Candidate &candidate,
+                                      const PromptInfo &promptInfo) const
 {
-    if (!terms.isShort) {
-        if (rated.weights->isHeld)
+    if (!promptInfo.isShort) {
+        if (candidate.weights->isAtEngine)
             return readAgainWeight();
-        return rated.rank == 0 ? kHomeComputeWeight : kComputeWeight;
+        return candidate.rank == 0 ? kPreferredComputeWeight : kComputeWeight;
     }
-    if (rated.rank == 0)
-        return kShortHomeWeight;
-    return rated.rank == 1 ? kShortNextWeight : kShortElsewhereWeight;
+    if (candidate.rank == 0)
+        return kShortPreferredWeight;
+    return candidate.rank == 1 ? kShortSecondWeight : kShortOtherWeight;
 }
 
 double EngineChooser::readAgainWeight() const
 {
-    return m_limits.mechanisms.readAgainWeight ? kReadAgainWeight : kComputeWeight;
+    return m_limits.mechanisms.readAgainWeight ? kRecomputeWeight : kComputeWeight;
 }
 
-double EngineChooser::versionCost(std::uint64_t version, const WeightHistory &weights) const
+double EngineChooser::oldWeightsCost(std::uint64_t version, const WeightHistory &weights) const
 {
     const auto replaced = weights.superseded(version);
     const bool losesValue = replaced
                             && (!replaced->earliest
-                                || m_clock.now() - *replaced->earliest >= m_limits.oldWeightsFine);
+                                || m_clock.now() - *replaced->earliest >= m_limits.oldWeightsGrace);
     return losesValue ? kOldWeightsCost : 0.0;
 }
 
-EngineChooser::Weights EngineChooser::weightsOf(std::uint64_t version, const Question &question,
-                                                const LoadBook &loads,
-                                                const ContextDirectory &contexts) const
+EngineChooser::VersionInfo EngineChooser::weightsInfo(std::uint64_t version, const Query &query,
+                                                      const LoadBook &loads,
+                                                      const ContextDirectory &contexts) const
 {
-    const Prompt &prompt = question.prompt;
-    Weights weights;
+    const Prompt &prompt = query.prompt;
+    VersionInfo weights;
     weights.version = version;
-    weights.salt = contextSalt(prompt.model, version, question.walledTeam);
-    weights.cost = versionCost(version, question.weights);
-    weights.isReplaced = question.weights.superseded(version).has_value();
+    weights.salt = contextSalt(prompt.model, version, query.isolatedTeam);
+    weights.cost = oldWeightsCost(version, query.weights);
+    weights.isReplaced = query.weights.superseded(version).has_value();
     if (prompt.parts.size() > 1 && m_limits.mechanisms.contextStores)
-        weights.holder = contexts.storeWith(weights.salt, prompt.parts.front().id);
+        weights.holder = contexts.holderOf(weights.salt, prompt.parts.front().id);
     if (!weights.holder.address.empty())
         weights.storeTokens
             = static_cast<double>(loads.total(weights.holder.address).tokensToCompute);
@@ -204,97 +205,103 @@
 // What it costs to have the shared context at the engine. Where the store's link has more to send
 // than computing the context again costs the fleet, it is computed: so a link that turns slow makes
 // few answers late.
-double EngineChooser::contextCost(Rated &rated, const Terms &terms) const
+double EngineChooser::contextCost(Candidate &candidate, const PromptInfo &promptInfo) const
 {
-    if (rated.holdsContext)
+    if (candidate.holdsContext)
         return 0.0;
-    const ContextDirectory::Holder &holder = rated.weights->holder;
+    const ContextDirectory::Holder &holder = candidate.weights->holder;
     if (holder.address.empty())
-        return terms.sharedTokens * computeWeight(rated, terms);
-    const bool isNear = holder.failureDomain == rated.engine->failureDomain;
+        return promptInfo.sharedTokens * recomputeWeight(candidate, promptInfo);
+    const bool isNear = holder.failureDomain == candidate.engine->failureDomain;
     // Moves over the store's link run one after the other.
-    const double waiting = kFetchWeight * rated.weights->storeTokens;
+    const double waitingTokens = kFetchWeight * candidate.weights->storeTokens;
     const double fetching
-        = waiting + terms.sharedTokens * kFetchWeight * (isNear ? 1.0 : kFarFactor);
-    const double computing = terms.sharedTokens * readAgainWeight();
-    rated.fetches = fetching <= computing || !m_limits.mechanisms.computingInstead;
-    return rated.fetches ? fetching : computing;
+        = waitingTokens
+          + promptInfo.sharedTokens * kFetchWeight * (isNear ? 1.0 : kCrossDomainFactor);
+    const double computing = promptInfo.sharedTokens * readAgainWeight();
+    candidate.fetches = fetching <= computing || !m_limits.mechanisms.computingInstead;
+    return candidate.fetches ? fetching : computing;
 }
 
 // Those that have the context or are preferred for it, and a random part of the others.
-bool EngineChooser::isConsidered(const Rated &rated, const Question &question)
+bool EngineChooser::isConsidered(const Candidate &candidate, const Query &query)
 {
     constexpr std::size_t kPreferred = 2; // of the order that all nodes share
-    return rated.holdsContext || rated.rank < kPreferred
-           || question.coldToUse.contains(rated.engine->instanceId)
-           || hashFraction(rendezvousWeight(question.draw, rated.hash)) < question.consideredPart;
+    return candidate.holdsContext || candidate.rank < kPreferred
+           || query.assignedColdEngines.contains(candidate.engine->instanceId)
+           || hashFraction(rendezvousWeight(query.sampleSeed, candidate.hash))
+                  < query.consideredShare;
 }
 
-void EngineChooser::rate(Rated &rated, const Terms &terms, const Question &question,
-                         const LoadBook &loads, const UpstreamHealth &health) const
+void EngineChooser::computeCost(Candidate &candidate, const PromptInfo &promptInfo,
+                                const Query &query, const LoadBook &loads,
+                                const UpstreamHealth &health) const
 {
-    const std::string &id = rated.engine->instanceId;
-    rated.load = loads.total(id);
-    rated.cost = waitingCost(rated.load, terms, question) + kFailureCost * health.failureRate(id)
-                 + rated.weights->cost + contextCost(rated, terms);
+    const std::string &id = candidate.engine->instanceId;
+    candidate.load = loads.total(id);
+    candidate.cost = waitingCost(candidate.load, promptInfo, query)
+                     + kFailureCost * health.failureRate(id) + candidate.weights->cost
+                     + contextCost(candidate, promptInfo);
     if (health.isSilent(id))
-        rated.cost += kFailureCost;
-    if (!rated.isInGroup)
-        rated.cost += terms.isShort ? kShortOutsideCost : kLongInsideCost;
+        candidate.cost += kFailureCost;
+    if (!candidate.isInMatchingGroup)
+        candidate.cost += promptInfo.isShort ? kShortOutsideGroupCost : kLongInShortGroupCost;
 }
 
-double partToConsider(std::size_t liveNodes)
+double shareToConsider(std::size_t liveNodes)
 {
     // Nodes that choose at the same time and do not yet see each other's choices do little harm.
-    constexpr double kChoosersOfAnEngine = 12.0;
+    constexpr double kMaxNodesPerEngine = 12.0;
     return std::min(1.0,
-                    kChoosersOfAnEngine / static_cast<double>(std::max<std::size_t>(liveNodes, 1)));
+                    kMaxNodesPerEngine / static_cast<double>(std::max<std::size_t>(liveNodes, 1)));
 }
 
 std::optional<EngineChoice>
-EngineChooser::choose(const Question &question, const std::vector<const UpstreamRecord *> &engines,
+EngineChooser::choose(const Query &query, const std::vector<const UpstreamRecord *> &engines,
                       const LoadBook &loads, const UpstreamHealth &health,
                       ContextDirectory &contexts) const
 {
-    const Prompt &prompt = question.prompt;
-    std::map<std::uint64_t, Weights> weights; // by version
-    std::vector<Rated> rated;
+    const Prompt &prompt = query.prompt;
+    std::map<std::uint64_t, VersionInfo> weights; // by version
+    std::vector<Candidate> candidates;
     for (const UpstreamRecord *it : engines) {
-        if (!mayUse(*it, question, health))
+        if (!mayUse(*it, query, health))
             continue;
         const std::uint64_t version = it->weightVersions.at(prompt.model);
         auto known = weights.find(version);
         if (known == weights.end())
-            known = weights.emplace(version, weightsOf(version, question, loads, contexts)).first;
+            known = weights.emplace(version, weightsInfo(version, query, loads, contexts)).first;
         if (known->second.isReplaced) {
-            const Duration wait = timeToBegin(loads.total(it->instanceId), question, known->second);
-            if (!beginsInTime(version, wait, question.weights))
+            const Duration wait
+                = timeToFirstToken(loads.total(it->instanceId), query, known->second);
+            if (!beginsInTime(version, wait, query.weights))
                 continue;
         }
-        Rated entry;
+        Candidate entry;
         entry.engine = it;
         entry.weights = &known->second;
-        rated.push_back(entry);
+        candidates.push_back(entry);
     }
-    if (rated.empty())
+    if (candidates.empty())
         return std::nullopt;
-    Terms terms;
-    terms.isShort = isShortPrompt(prompt, question.traits);
-    terms.context = prompt.contextHash();
-    terms.sharedTokens = static_cast<double>(prompt.sharedTokens());
-    rank(rated, terms, question.shortGroup);
-    const Duration keptFor = terms.isShort ? kShortContextKept : kLongContextKept;
-    for (Rated &it : rated) {
-        it.holdsContext
-            = contexts.isAtEngine(it.engine->instanceId, it.weights->salt, terms.context, keptFor);
-        it.weights->isHeld = it.weights->isHeld || it.holdsContext;
+    PromptInfo promptInfo;
+    promptInfo.isShort = isShortPrompt(prompt, query.traits);
+    promptInfo.context = prompt.contextHash();
+    promptInfo.sharedTokens = static_cast<double>(prompt.sharedTokens());
+    rank(candidates, promptInfo, query.shortGroup);
+    const Duration keptFor = promptInfo.isShort ? kShortContextKept : kLongContextKept;
+    for (Candidate &it : candidates) {
+        it.holdsContext = contexts.isContextAtEngine(it.engine->instanceId, it.weights->salt,
+                                                     promptInfo.context, keptFor);
+        it.weights->isAtEngine = it.weights->isAtEngine || it.holdsContext;
     }
-    std::erase_if(rated, [&](const Rated &it) { return !isConsidered(it, question); });
-    for (Rated &it : rated)
-        rate(it, terms, question, loads, health);
-    const auto best = std::min_element(
-        rated.begin(), rated.end(), [](const Rated &a, const Rated &b) { return a.cost < b.cost; });
-    return complete(*best, terms, question, contexts);
+    std::erase_if(candidates, [&](const Candidate &it) { return !isConsidered(it, query); });
+    for (Candidate &it : candidates)
+        computeCost(it, promptInfo, query, loads, health);
+    const auto best
+        = std::min_element(candidates.begin(), candidates.end(),
+                           [](const Candidate &a, const Candidate &b) { return a.cost < b.cost; });
+    return complete(*best, promptInfo, query, contexts);
 }
 
 // The size that decides whether a part is worth a save.
@@ -303,29 +310,29 @@
     return m_limits.mechanisms.smallFirstParts ? prompt.sharedTokens() : part.tokens;
 }
 
-EngineChoice EngineChooser::complete(const Rated &rated, const Terms &terms,
-                                     const Question &question, ContextDirectory &contexts) const
+EngineChoice EngineChooser::complete(const Candidate &candidate, const PromptInfo &promptInfo,
+                                     const Query &query, ContextDirectory &contexts) const
 {
-    const Prompt &prompt = question.prompt;
+    const Prompt &prompt = query.prompt;
     EngineChoice choice;
-    choice.instanceId = rated.engine->instanceId;
-    choice.weightVersion = rated.weights->version;
-    choice.newestWeights = question.weights.newest();
-    const auto replaced = question.weights.superseded(choice.weightVersion);
+    choice.instanceId = candidate.engine->instanceId;
+    choice.weightVersion = candidate.weights->version;
+    choice.newestWeights = query.weights.newest();
+    const auto replaced = query.weights.superseded(choice.weightVersion);
     if (replaced && replaced->earliest)
         choice.replacedFor = m_clock.now() - *replaced->earliest;
-    choice.salt = rated.weights->salt;
-    choice.context = terms.context;
+    choice.salt = candidate.weights->salt;
+    choice.context = promptInfo.context;
     choice.sharedTokens = prompt.sharedTokens();
-    choice.isHome = rated.rank == 0;
-    choice.holdsContext = rated.holdsContext;
-    choice.isStored = !rated.weights->holder.address.empty();
-    choice.found = rated.load;
-    choice.beginsAfter = timeToBegin(rated.load, question, *rated.weights);
-    choice.isShort = terms.isShort;
-    choice.waitTokens
-        = queueCost(rated.load, terms)
-          + kNoMemoryWeight * static_cast<double>(missingMemory(rated.load, question));
+    choice.isPreferred = candidate.rank == 0;
+    choice.holdsContext = candidate.holdsContext;
+    choice.isStored = !candidate.weights->holder.address.empty();
+    choice.loadBefore = candidate.load;
+    choice.firstTokenDelay = timeToFirstToken(candidate.load, query, *candidate.weights);
+    choice.isShort = promptInfo.isShort;
+    choice.queuedTokens
+        = queueCost(candidate.load, promptInfo)
+          + kMissingMemoryWeight * static_cast<double>(missingMemory(candidate.load, query));
     std::size_t fetched = 0;
     for (std::size_t n = 0; n < prompt.parts.size(); ++n) {
         const bool isShared = n + 1 < prompt.parts.size();
@@ -333,33 +340,33 @@
         std::string from;
         std::string to;
         if (isShared && m_limits.mechanisms.contextStores) {
-            if (rated.fetches)
-                from = contexts.storeWith(choice.salt, part.id).address;
+            if (candidate.fetches)
+                from = contexts.holderOf(choice.salt, part.id).address;
             if (from.empty())
                 to = contexts.storeForSave(choice.salt, part, contextToSave(prompt, part),
-                                           rated.engine->failureDomain);
+                                           candidate.engine->failureDomain);
         }
         if (!from.empty()) {
             fetched += part.tokens;
-            if (!rated.holdsContext)
+            if (!candidate.holdsContext)
                 choice.fetchTokens[from] += part.tokens;
         }
         choice.fetchFrom.push_back(std::move(from));
         choice.saveTo.push_back(std::move(to));
     }
-    const std::size_t known = rated.holdsContext ? prompt.sharedTokens() : fetched;
+    const std::size_t known = candidate.holdsContext ? prompt.sharedTokens() : fetched;
     choice.load.tokensToCompute = prompt.tokensIn - std::min(prompt.tokensIn, known);
-    choice.load.tokensHeld = prompt.tokensIn + prompt.mostTokensOut;
+    choice.load.tokensHeld = prompt.tokensIn + prompt.maxTokensOut;
     return choice;
 }
 
-void EngineChooser::noteSent(const EngineChoice &choice, const Prompt &prompt,
-                             ContextDirectory &contexts)
+void EngineChooser::recordSent(const EngineChoice &choice, const Prompt &prompt,
+                               ContextDirectory &contexts)
 {
-    contexts.sentTo(choice.instanceId, choice.salt, choice.context, prompt.sharedTokens());
+    contexts.recordSend(choice.instanceId, choice.salt, choice.context, prompt.sharedTokens());
     for (std::size_t n = 0; n < choice.saveTo.size(); ++n) {
         if (!choice.saveTo[n].empty())
-            contexts.saveBegins(choice.saveTo[n], choice.salt, prompt.parts[n]);
+            contexts.beginSave(choice.saveTo[n], choice.salt, prompt.parts[n]);
     }
 }
 
--- a/src/core/engine_groups.cpp
+++ b/src/core/engine_groups.cpp
@@ -11,48 +11,48 @@
 namespace {
 
 // A prompt is short when this many fit into an engine's memory beside each other.
-constexpr std::size_t kShortPart = 32;
+constexpr std::size_t kShortPromptsPerEngine = 32;
 
 // Room for requests that run, beside the contexts that are kept.
-constexpr double kRoomForRuns = 1.3;
+constexpr double kRunningRequestsFactor = 1.3;
 
 // The most engines that are set apart: long prompts need the others.
-constexpr double kMostPart = 0.4;
+constexpr double kMaxShare = 0.4;
 
 } // namespace
 
 bool isShortPrompt(const Prompt &prompt, const EngineTraits &traits)
 {
-    return prompt.tokensIn * kShortPart <= traits.contextTokens;
+    return prompt.tokensIn * kShortPromptsPerEngine <= traits.contextTokens;
 }
 
-void ShortContextDemand::count(const Prompt &prompt)
+void ShortPromptDemand::count(const Prompt &prompt)
 {
     m_contexts[prompt.contextHash()] = {prompt.sharedTokens(), m_clock.now()};
 }
 
-std::size_t ShortContextDemand::own()
+std::size_t ShortPromptDemand::ownTokens()
 {
     const TimePoint oldest = m_clock.now() - m_window;
     std::size_t sum = 0;
-    std::erase_if(m_contexts, [&](const auto &it) { return it.second.last < oldest; });
-    for (const auto &[hash, seen] : m_contexts)
-        sum += seen.tokens;
+    std::erase_if(m_contexts, [&](const auto &it) { return it.second.lastUsed < oldest; });
+    for (const auto &[hash, context] : m_contexts)
+        sum += context.tokens;
     return sum;
 }
 
-void ShortContextDemand::setPeer(const std::string &peer, std::size_t tokens)
+void ShortPromptDemand::setPeer(const std::string &peer, std::size_t tokens)
 {
     m_peers[peer] = {tokens, m_clock.now()};
 }
 
-std::size_t ShortContextDemand::total()
+std::size_t ShortPromptDemand::total()
 {
     const TimePoint oldest = m_clock.now() - m_window;
-    std::size_t sum = own();
-    for (const auto &[name, told] : m_peers) {
-        if (told.when >= oldest)
-            sum += told.tokens;
+    std::size_t sum = ownTokens();
+    for (const auto &[name, demand] : m_peers) {
+        if (demand.receivedAt >= oldest)
+            sum += demand.tokens;
     }
     return sum;
 }
@@ -62,19 +62,19 @@
 {
     if (engines.size() < 2 || traits.contextTokens == 0 || demandTokens == 0)
         return {};
-    const double needed = kRoomForRuns * static_cast<double>(demandTokens)
+    const double needed = kRunningRequestsFactor * static_cast<double>(demandTokens)
                           / static_cast<double>(traits.contextTokens);
-    const auto most = static_cast<std::size_t>(kMostPart * static_cast<double>(engines.size()));
+    const auto most = static_cast<std::size_t>(kMaxShare * static_cast<double>(engines.size()));
     const std::size_t n = std::clamp<std::size_t>(static_cast<std::size_t>(std::ceil(needed)), 1,
                                                   std::max<std::size_t>(most, 1));
     std::vector<std::uint64_t> hashes;
     hashes.reserve(engines.size());
     for (const UpstreamRecord *it : engines)
         hashes.push_back(stableHash(it->instanceId));
-    std::set<std::string> chosen;
+    std::set<std::string> selected;
     for (const std::size_t it : rendezvousOrder(stableHash("short prompts"), hashes, n))
-        chosen.insert(engines[it]->instanceId);
-    return chosen;
+        selected.insert(engines[it]->instanceId);
+    return selected;
 }
 
 } // namespace fordwood
--- a/src/core/event_splitter.cpp
+++ b/src/core/event_splitter.cpp
@@ -24,22 +24,22 @@
 
 std::string_view EventSplitter::add(std::string_view bytes)
 {
-    m_bytes.erase(0, m_passed);
-    m_passed = 0;
+    m_bytes.erase(0, m_completeBytes);
+    m_completeBytes = 0;
     m_bytes.append(bytes);
-    m_passed = endOfLastEvent(m_bytes);
-    const std::string_view events = std::string_view(m_bytes).substr(0, m_passed);
-    noteIds(events);
+    m_completeBytes = endOfLastEvent(m_bytes);
+    const std::string_view events = std::string_view(m_bytes).substr(0, m_completeBytes);
+    updateLastId(events);
     return events;
 }
 
-void EventSplitter::dropPartOfEvent()
+void EventSplitter::dropPartialEvent()
 {
     m_bytes.clear();
-    m_passed = 0;
+    m_completeBytes = 0;
 }
 
-void EventSplitter::noteIds(std::string_view events)
+void EventSplitter::updateLastId(std::string_view events)
 {
     constexpr std::string_view kIdField = "id:";
     while (!events.empty()) {
--- a/src/core/permit_book.cpp
+++ b/src/core/permit_book.cpp
@@ -188,7 +188,7 @@
 void PermitBook::grant(Line &line, const PermitAsk &ask, Duration waited)
 {
     const std::uint64_t id = m_nextPermit++;
-    line.prefill.give(ask.prompt, m_clock.now());
+    line.prefill.enqueue(ask.prompt, m_clock.now());
     line.running.emplace(std::pair(ask.holder, id),
                          Permit{ask.holder, ask.team, ask.cost, m_clock.now()});
     PermitAnswer answer;
@@ -268,9 +268,10 @@
     const TimePoint now = m_clock.now();
     if (line.held || now < line.fullUntil || line.running.size() >= line.upstream.slots)
         return false;
-    const Duration most = line.prefill.isWarm(ask.prompt)
-                              ? std::max(m_limits.mostBacklog, line.prefill.coldTimeFor(ask.prompt))
-                              : m_limits.mostBacklog;
+    const Duration most
+        = line.prefill.isCached(ask.prompt)
+              ? std::max(m_limits.mostBacklog, line.prefill.uncachedTimeFor(ask.prompt))
+              : m_limits.mostBacklog;
     return line.prefill.backlog(now) <= most;
 }
 
--- a/src/core/prompt.cpp
+++ b/src/core/prompt.cpp
@@ -25,11 +25,11 @@
 }
 
 std::string contextSalt(const std::string &model, std::uint64_t weightVersion,
-                        const std::string &walledTeam)
+                        const std::string &isolatedTeam)
 {
     // Hashes of fixed width, so that no two lists of names give the same text.
     constexpr std::uint64_t kTeamSeed = 1;
-    const std::uint64_t team = walledTeam.empty() ? 0 : stableHash(walledTeam, kTeamSeed);
+    const std::uint64_t team = isolatedTeam.empty() ? 0 : stableHash(isolatedTeam, kTeamSeed);
     std::array<char, 64> text{};
     const int n = std::snprintf(text.data(), text.size(), "%llu-%016llx-%016llx",
                                 static_cast<unsigned long long>(weightVersion),
--- a/src/core/recent_answers.cpp
+++ b/src/core/recent_answers.cpp
@@ -8,7 +8,7 @@
 // A node answers some tens of requests a second; 48 KB.
 constexpr std::size_t kSlots = 2'048;
 
-constexpr Duration kOfLate = std::chrono::minutes(1);
+constexpr Duration kMaxAge = std::chrono::minutes(1);
 
 } // namespace
 
@@ -22,7 +22,7 @@
 bool RecentAnswers::contains(const RequestFingerprint &request) const
 {
     const Slot &slot = m_slots[request.low % kSlots];
-    return slot.request == request && m_clock.now() - slot.when < kOfLate;
+    return slot.request == request && m_clock.now() - slot.when < kMaxAge;
 }
 
 } // namespace fordwood
--- a/src/core/store_keeper.cpp
+++ b/src/core/store_keeper.cpp
@@ -38,10 +38,10 @@
     m_weights[modelHashOfSalt(model)] = history;
 }
 
-void StoreKeeper::storeAnswered(const StoreNews &news)
+void StoreKeeper::storeAnswered(const StoreUpdate &news)
 {
     Store &store = m_stores[news.store];
-    if (news.restated || news.epoch != store.epoch)
+    if (news.isSnapshot || news.epoch != store.epoch)
         store.parts.clear();
     store.epoch = news.epoch;
     store.answers = true;
--- a/src/core/store_news_log.cpp
+++ b/src/core/store_news_log.cpp
@@ -7,10 +7,10 @@
 
 namespace fordwood {
 
-void StoreNewsLog::told(const StoreNews &news)
+void StoreNewsLog::told(const StoreUpdate &news)
 {
     Store &store = m_stores[news.store];
-    if (news.restated || news.epoch != store.epoch) {
+    if (news.isSnapshot || news.epoch != store.epoch) {
         store.parts.clear();
         store.recent.clear();
         store.recentChanges = 0;
@@ -22,7 +22,7 @@
         else
             store.parts.erase({it.salt, it.partId});
     }
-    if (!news.restated && news.epoch == store.epoch)
+    if (!news.isSnapshot && news.epoch == store.epoch)
         remember(store, news);
     store.epoch = news.epoch;
     store.next = news.next;
@@ -32,7 +32,7 @@
     store.clock = news.clock;
 }
 
-void StoreNewsLog::remember(Store &store, const StoreNews &news) const
+void StoreNewsLog::remember(Store &store, const StoreUpdate &news) const
 {
     if (news.changes.empty())
         return;
@@ -49,10 +49,10 @@
     m_stores[store].answers = false;
 }
 
-StoreNews StoreNewsLog::newsFor(const std::string &name, const Store &store,
-                                const StorePosition &position) const
+StoreUpdate StoreNewsLog::newsFor(const std::string &name, const Store &store,
+                                  const StorePosition &position) const
 {
-    StoreNews news;
+    StoreUpdate news;
     news.store = name;
     news.epoch = store.epoch;
     news.next = store.next;
@@ -61,7 +61,7 @@
         = std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.now() - store.answered);
     const std::uint64_t oldest = store.recent.empty() ? store.next : store.recent.front().from;
     if (position.epoch != store.epoch || position.next < oldest) {
-        news.restated = true;
+        news.isSnapshot = true;
         for (const auto &[part, tokens] : store.parts)
             news.changes.push_back({part.first, part.second, true, tokens});
         return news;
@@ -80,9 +80,9 @@
     return news;
 }
 
-std::vector<StoreNews> StoreNewsLog::since(const std::vector<StorePosition> &positions) const
+std::vector<StoreUpdate> StoreNewsLog::since(const std::vector<StorePosition> &positions) const
 {
-    std::vector<StoreNews> told;
+    std::vector<StoreUpdate> told;
     for (const auto &[name, store] : m_stores) {
         if (!store.answers)
             continue;
--- a/src/core/upstream_directory.cpp
+++ b/src/core/upstream_directory.cpp
@@ -10,9 +10,9 @@
     Entry &entry = m_entries[record.instanceId];
     std::map<std::string, Weights> weights;
     for (auto &[model, version] : record.weightVersions) {
-        const Weights &it = weights[model] = merged(entry, model, version);
-        if (it.shown)
-            version = it.shown->version;
+        const Weights &it = weights[model] = mergeObserved(entry, model, version);
+        if (it.observed)
+            version = it.observed->version;
     }
     entry.weights = std::move(weights);
     entry.record = std::move(record);
@@ -23,44 +23,47 @@
 // An answer may have shown newer weights before the record does, but only for so long. A record
 // that goes on naming older ones is right: an engine goes back when it carries out a late order
 // after a restart. Else it would be taken for loaded for good, and turn all its requests away.
-UpstreamDirectory::Weights UpstreamDirectory::merged(const Entry &entry, const std::string &model,
-                                                     std::uint64_t told) const
+UpstreamDirectory::Weights UpstreamDirectory::mergeObserved(const Entry &entry,
+                                                            const std::string &model,
+                                                            std::uint64_t recorded) const
 {
     Weights weights;
-    weights.told = told;
-    weights.read = m_clock.now();
-    const auto known = entry.weights.find(model);
-    if (known == entry.weights.end())
+    weights.recorded = recorded;
+    weights.recordedAt = m_clock.now();
+    const auto existing = entry.weights.find(model);
+    if (existing == entry.weights.end())
         return weights;
-    weights.lastSeen = known->second.lastSeen;
-    if (!known->second.shown)
+    weights.lastObserved = existing->second.lastObserved;
+    if (!existing->second.observed)
         return weights;
-    const SeenWeights &shown = *known->second.shown;
-    if (shown.version > told && !mustBeWritten(shown))
-        weights.shown = shown;
+    const ObservedWeights &observed = *existing->second.observed;
+    if (observed.version > recorded && !isRecordDue(observed))
+        weights.observed = observed;
     return weights;
 }
 
 // Whether the record would say by now what was shown. While the store is away nothing is written.
-bool UpstreamDirectory::mustBeWritten(const SeenWeights &shown) const
+bool UpstreamDirectory::isRecordDue(const ObservedWeights &observed) const
 {
     return m_storeReachable
-           && m_clock.now() - std::max(shown.seen, m_reachableSince) >= m_limits.recordWithin;
+           && m_clock.now() - std::max(observed.seen, m_reachableSince)
+                  >= m_limits.recordUpdateWithin;
 }
 
 void UpstreamDirectory::dropUnconfirmed(Entry &entry)
 {
     for (auto &[model, weights] : entry.weights) {
-        const bool isUnconfirmed = weights.shown && mustBeWritten(*weights.shown);
+        const bool isUnconfirmed = weights.observed && isRecordDue(*weights.observed);
         // Also while the store is away: the engine is tried again with what it told last.
-        const bool isDoubtOver
-            = weights.doubted && m_clock.now() - *weights.doubted >= m_limits.recordWithin;
-        if (!isUnconfirmed && !isDoubtOver)
+        const bool isRejectionOver
+            = weights.rejectedAt
+              && m_clock.now() - *weights.rejectedAt >= m_limits.recordUpdateWithin;
+        if (!isUnconfirmed && !isRejectionOver)
             continue;
-        weights.shown.reset();
-        weights.doubted.reset();
-        if (weights.told)
-            entry.record.weightVersions[model] = *weights.told;
+        weights.observed.reset();
+        weights.rejectedAt.reset();
+        if (weights.recorded)
+            entry.record.weightVersions[model] = *weights.recorded;
         else
             entry.record.weightVersions.erase(model);
         m_weightsChanged = true;
@@ -146,7 +149,7 @@
     for (auto &[id, entry] : m_entries)
         dropUnconfirmed(entry);
     std::vector<std::string> gone;
-    if (!m_storeReachable || m_clock.now() - m_reachableSince < m_limits.returnWithin)
+    if (!m_storeReachable || m_clock.now() - m_reachableSince < m_limits.republishWithin)
         return gone;
     for (auto it = m_entries.begin(); it != m_entries.end();) {
         if (!it->second.expired) {
@@ -186,70 +189,70 @@
 }
 
 bool UpstreamDirectory::setWeightVersion(const std::string &instanceId, const std::string &model,
-                                         const SeenWeights &weights)
+                                         const ObservedWeights &weights)
 {
     const auto it = m_entries.find(instanceId);
     const bool isNone = weights.version == 0; // versions begin at 1
-    if (it == m_entries.end() || isNone || mustBeWritten(weights))
+    if (it == m_entries.end() || isNone || isRecordDue(weights))
         return false;
     Entry &entry = it->second;
-    const auto known = entry.weights.find(model);
-    Weights next = known == entry.weights.end() ? Weights{} : known->second;
+    const auto existing = entry.weights.find(model);
+    Weights next = existing == entry.weights.end() ? Weights{} : existing->second;
     if (!isNewer(next, weights))
         return false;
     const auto before = entry.record.weightVersions.find(model);
-    const bool isNews
+    const bool isChange
         = before == entry.record.weightVersions.end() || before->second != weights.version;
-    next.lastSeen = weights.seen;
-    next.doubted.reset();
-    if (next.told == weights.version)
-        next.shown.reset();
+    next.lastObserved = weights.seen;
+    next.rejectedAt.reset();
+    if (next.recorded == weights.version)
+        next.observed.reset();
     else
-        next.shown = weights;
+        next.observed = weights;
     entry.weights[model] = next;
     entry.record.weightVersions[model] = weights.version;
-    m_weightsChanged = m_weightsChanged || isNews;
-    return isNews;
+    m_weightsChanged = m_weightsChanged || isChange;
+    return isChange;
 }
 
 // Whether nothing later is known than what was seen.
-bool UpstreamDirectory::isNewer(const Weights &weights, const SeenWeights &seen)
+bool UpstreamDirectory::isNewer(const Weights &weights, const ObservedWeights &seen)
 {
-    if (seen.seen <= weights.lastSeen)
+    if (seen.seen <= weights.lastObserved)
         return false;
     // Older weights that were seen before the record was read have been replaced since.
-    return !weights.told || seen.version >= *weights.told || seen.seen > weights.read;
+    return !weights.recorded || seen.version >= *weights.recorded || seen.seen > weights.recordedAt;
 }
 
-bool UpstreamDirectory::doubtWeights(const std::string &instanceId, const std::string &model,
-                                     const SeenWeights &notThese)
+bool UpstreamDirectory::rejectWeights(const std::string &instanceId, const std::string &model,
+                                      const ObservedWeights &rejected)
 {
     const auto it = m_entries.find(instanceId);
     if (it == m_entries.end())
         return false;
-    std::map<std::string, std::uint64_t> &believed = it->second.record.weightVersions;
-    const auto version = believed.find(model);
+    std::map<std::string, std::uint64_t> &versions = it->second.record.weightVersions;
+    const auto version = versions.find(model);
     Weights &weights = it->second.weights[model];
-    const bool isLater = notThese.seen > std::max(weights.lastSeen, weights.read);
-    if (!isLater || version == believed.end() || version->second != notThese.version)
+    const bool isLater = rejected.seen > std::max(weights.lastObserved, weights.recordedAt);
+    if (!isLater || version == versions.end() || version->second != rejected.version)
         return false;
-    weights.shown.reset();
-    weights.doubted = notThese.seen;
-    weights.lastSeen = notThese.seen;
-    believed.erase(version);
+    weights.observed.reset();
+    weights.rejectedAt = rejected.seen;
+    weights.lastObserved = rejected.seen;
+    versions.erase(version);
     m_weightsChanged = true;
     return true;
 }
 
-bool UpstreamDirectory::isAhead(const std::string &instanceId, const std::string &model,
-                                std::uint64_t version) const
+bool UpstreamDirectory::isAheadOfRecord(const std::string &instanceId, const std::string &model,
+                                        std::uint64_t version) const
 {
     const auto it = m_entries.find(instanceId);
     if (it == m_entries.end())
         return false;
     const auto weights = it->second.weights.find(model);
-    return weights != it->second.weights.end() && weights->second.shown
-           && weights->second.shown->version == version;
+    return weights != it->second.weights.end() && weights->second.observed
+           && weights->second.observed->version == version;
 }
 
 } // namespace fordwood
--- a/src/core/upstream_health.cpp
+++ b/src/core/upstream_health.cpp
@@ -6,25 +6,25 @@
 
 namespace fordwood {
 
-void UpstreamHealth::weigh(Entry &entry, bool failure) const
+void UpstreamHealth::updateFailureRate(Entry &entry, bool failure) const
 {
     const double rate = failureRate(entry);
     entry.failureRate = rate + m_limits.failureWeight * ((failure ? 1.0 : 0.0) - rate);
-    entry.weighed = m_clock.now();
-    entry.sendsThen = m_sends;
+    entry.updatedAt = m_clock.now();
+    entry.sendsAtUpdate = m_sends;
 }
 
 // What is known of an upstream that gets no requests grows old. Without that one that had failed
 // and was well again got none of 1,200 requests in 30 s, where the other three had room.
 double UpstreamHealth::failureRate(const Entry &entry) const
 {
-    const std::chrono::duration<double> age = m_clock.now() - entry.weighed;
-    const std::chrono::duration<double> half = m_limits.forgetsHalfIn;
-    const double turns = static_cast<double>(m_sends - entry.sendsThen)
+    const std::chrono::duration<double> age = m_clock.now() - entry.updatedAt;
+    const std::chrono::duration<double> half = m_limits.halfLife;
+    const double turns = static_cast<double>(m_sends - entry.sendsAtUpdate)
                          / static_cast<double>(std::max<std::size_t>(m_entries.size(), 1));
-    const double halvings = std::min(age / half, turns / m_limits.turnsToForgetHalf);
+    const double halvings = std::min(age / half, turns / m_limits.turnsPerHalfLife);
     const double rate = entry.failureRate * std::exp2(-halvings);
-    return rate < m_limits.leastRate ? 0.0 : rate;
+    return rate < m_limits.minFailureRate ? 0.0 : rate;
 }
 
 void UpstreamHealth::sent(const std::string &instanceId)
@@ -32,7 +32,7 @@
     m_sends += 1;
     Entry &entry = m_entries[instanceId];
     if (entry.open == 0)
-        entry.owesSince = m_clock.now();
+        entry.silentSince = m_clock.now();
     entry.open += 1;
 }
 
@@ -43,18 +43,18 @@
         it->second.open -= 1;
 }
 
-void UpstreamHealth::heard(const std::string &instanceId)
+void UpstreamHealth::dataReceived(const std::string &instanceId)
 {
     const auto it = m_entries.find(instanceId);
     if (it != m_entries.end())
-        it->second.owesSince = m_clock.now();
+        it->second.silentSince = m_clock.now();
 }
 
 bool UpstreamHealth::isSilent(const std::string &instanceId) const
 {
     const auto it = m_entries.find(instanceId);
     return it != m_entries.end() && it->second.open > 0
-           && m_clock.now() - it->second.owesSince >= m_limits.silence;
+           && m_clock.now() - it->second.silentSince >= m_limits.silenceLimit;
 }
 
 void UpstreamHealth::succeeded(const std::string &instanceId)
@@ -62,27 +62,27 @@
     const auto it = m_entries.find(instanceId);
     if (it == m_entries.end())
         return;
-    it->second.failuresInARow = 0;
+    it->second.consecutiveFailures = 0;
     it->second.pausedUntil = {};
-    weigh(it->second, false);
+    updateFailureRate(it->second, false);
 }
 
 void UpstreamHealth::failed(const std::string &instanceId)
 {
-    constexpr unsigned kMostDoublings = 10; // beyond it the pause is at its longest anyway
+    constexpr unsigned kMaxDoublings = 10; // beyond it the pause is at its longest anyway
     Entry &entry = m_entries[instanceId];
-    const unsigned doublings = std::min(entry.failuresInARow, kMostDoublings);
-    const Duration pause = std::min(m_limits.firstPause * (1U << doublings), m_limits.longestPause);
-    entry.failuresInARow += 1;
+    const unsigned doublings = std::min(entry.consecutiveFailures, kMaxDoublings);
+    const Duration pause = std::min(m_limits.initialPause * (1U << doublings), m_limits.maxPause);
+    entry.consecutiveFailures += 1;
     entry.pausedUntil = std::max(entry.pausedUntil, m_clock.now() + pause);
-    weigh(entry, true);
+    updateFailureRate(entry, true);
 }
 
-void UpstreamHealth::answeredFailure(const std::string &instanceId)
+void UpstreamHealth::answeredWithError(const std::string &instanceId)
 {
     Entry &entry = m_entries[instanceId];
-    entry.failuresInARow = 0;
-    weigh(entry, true);
+    entry.consecutiveFailures = 0;
+    updateFailureRate(entry, true);
 }
 
 void UpstreamHealth::refused(const std::string &instanceId, Duration pause)
--- a/src/core/window_budget.cpp
+++ b/src/core/window_budget.cpp
@@ -16,7 +16,7 @@
     forgetOld();
     const double share = m_limits.slack / static_cast<double>(std::max<std::size_t>(nodes, 1));
     const double allowed
-        = m_limits.usablePart * (m_limits.ratio * static_cast<double>(m_requests.size()) + share);
+        = m_limits.usableShare * (m_limits.ratio * static_cast<double>(m_requests.size()) + share);
     if (static_cast<double>(m_repeats.size()) + 1.0 > allowed)
         return false;
     m_repeats.push_back(m_clock.now());
--- a/src/node/admitted_call.cpp
+++ b/src/node/admitted_call.cpp
@@ -15,12 +15,12 @@
     return {text.data(), text.size()};
 }
 
-CallTerms termsOf(const ServiceRoute &route, const platform::CallerHead &caller, TimePoint arrived)
+CallPolicy termsOf(const ServiceRoute &route, const platform::CallerHead &caller, TimePoint arrived)
 {
     std::chrono::milliseconds patience = caller.patience.value_or(kUsualPatience);
     if (route.timeout.count() > 0)
         patience = std::min(patience, route.timeout);
-    CallTerms terms;
+    CallPolicy terms;
     terms.mayRunAgain = route.mayRunAgain();
     terms.resumable = route.streaming && route.resumable;
     terms.maxAttempts = route.maxAttempts;
--- a/src/node/admitted_call.hpp
+++ b/src/node/admitted_call.hpp
@@ -25,7 +25,7 @@
     const ServiceRoute *route = nullptr;
     const ServingTeam *team = nullptr; // null on a public route
     const ServicePool *pool = nullptr;
-    CallTerms terms;
+    CallPolicy terms;
 };
 
 // Fills `call` as far as the request gets, and tells why it must be refused; nothing: it need not.
--- a/src/node/call_log.cpp
+++ b/src/node/call_log.cpp
@@ -31,12 +31,12 @@
         << " weights:" << choice.weightVersion << " newest:" << choice.newestWeights;
     if (choice.replacedFor)
         out << " replaced_ms:" << inMilliseconds(*choice.replacedFor);
-    out << " home:" << choice.isHome << " held:" << choice.holdsContext
+    out << " home:" << choice.isPreferred << " held:" << choice.holdsContext
         << " stored:" << choice.isStored << " fetch:" << countGiven(choice.fetchFrom)
         << " save:" << countGiven(choice.saveTo) << " shared:" << choice.sharedTokens
-        << " compute:" << choice.load.tokensToCompute << " found:" << choice.found.running << "/"
-        << choice.found.tokensToCompute << "/" << choice.found.tokensHeld
-        << " wait:" << static_cast<std::uint64_t>(choice.waitTokens);
+        << " compute:" << choice.load.tokensToCompute << " found:" << choice.loadBefore.running
+        << "/" << choice.loadBefore.tokensToCompute << "/" << choice.loadBefore.tokensHeld
+        << " wait:" << static_cast<std::uint64_t>(choice.queuedTokens);
     return out.str();
 }
 
--- a/src/node/call_run.cpp
+++ b/src/node/call_run.cpp
@@ -248,7 +248,7 @@
     if (!m_call.pool->engine || !m_caller.prompt)
         return true;
     const EngineChoice &engine = m_attempt->engine;
-    return m_traffic.engines().beginsInTime(engine.weightVersion, engine.beginsAfter,
+    return m_traffic.engines().beginsInTime(engine.weightVersion, engine.firstTokenDelay,
                                             m_traffic.weights(m_caller.prompt->model));
 }
 
@@ -268,7 +268,7 @@
     if (!m_traffic.gate().maySend(m_attempt->upstream.instanceId,
                                   m_call.pool->coldRequestsPerSecond)
         || !beginsInTime()) {
-        m_plan.turnedDown(m_attempt->upstream.instanceId);
+        m_plan.rejectedLocally(m_attempt->upstream.instanceId);
         endAttempt(true);
         attempt();
         return;
@@ -285,13 +285,13 @@
 void CallRun::headRead(const http::response_header<> &head)
 {
     const auto self = shared_from_this();
-    m_traffic.health().heard(m_attempt->upstream.instanceId);
+    m_traffic.health().dataReceived(m_attempt->upstream.instanceId);
     m_attempt->head = platform::readAnswerHead(head.result_int(), head);
     m_attempt->answer = head;
     m_traffic.noteState(m_caller.requestId, *m_attempt);
     // An answer to another request stands in the place of ours, which may have run.
     if (m_attempt->head.requestId != m_caller.requestId) {
-        m_traffic.health().answeredFailure(m_attempt->upstream.instanceId);
+        m_traffic.health().answeredWithError(m_attempt->upstream.instanceId);
         endAttempt(false);
         judgeFailure({RunState::MayHaveRun, Reason::UpstreamBroke, m_streamBegun});
         return;
@@ -300,7 +300,7 @@
     if (m_attempt->head.notRun || !isGood(head.result_int()))
         return;
     if (!m_attempt->head.isSealed) {
-        m_traffic.health().answeredFailure(m_attempt->upstream.instanceId);
+        m_traffic.health().answeredWithError(m_attempt->upstream.instanceId);
         endAttempt(false);
         judgeFailure({RunState::MayHaveRun, Reason::AnswerCut, m_streamBegun});
     }
@@ -309,7 +309,7 @@
 bool CallRun::bodyRead(std::string_view bytes)
 {
     const auto self = shared_from_this();
-    m_traffic.health().heard(m_attempt->upstream.instanceId);
+    m_traffic.health().dataReceived(m_attempt->upstream.instanceId);
     if (isStream() && !m_attempt->head.notRun)
         return passEvents(bytes);
     m_attempt->body.append(bytes);
@@ -351,7 +351,7 @@
     // Short ones go before what lies at the engine, and so tell nothing of its pace.
     if (!engine.isShort)
         m_traffic.pace(m_call.pool->name)
-            .observe(engine.found.tokensToCompute + engine.load.tokensToCompute,
+            .observe(engine.loadBefore.tokensToCompute + engine.load.tokensToCompute,
                      *m_firstEvent - m_attempt->begun);
     m_port.beginStream(callersHead());
 }
@@ -387,7 +387,7 @@
         return;
     }
     if (isStream()) {
-        const bool isWhole = !m_events.hasPartOfEvent();
+        const bool isWhole = !m_events.hasPartialEvent();
         endAttempt(true);
         if (!isWhole) {
             health.failed(id);
@@ -410,7 +410,7 @@
     if (status < kFirstServerError)
         health.succeeded(id);
     else
-        health.answeredFailure(id);
+        health.answeredWithError(id);
     if (m_streamBegun) { // the stream was to go on here, and does not
         endAttempt(true);
         judgeFailure({RunState::MayHaveRun, Reason::UpstreamBroke, true});
@@ -450,7 +450,7 @@
     endAttempt(true);
     if (isGone) {
         m_traffic.channels().closeResting(id);
-        m_plan.metAnother();
+        m_plan.reachedOtherInstance();
         judgeFailure({RunState::NotRun, Reason::UpstreamGone, m_streamBegun});
         return;
     }
@@ -508,7 +508,7 @@
 
 void CallRun::judgeFailure(const FailedAttempt &failure)
 {
-    m_events.dropPartOfEvent();
+    m_events.dropPartialEvent();
     const AfterFailure next = m_plan.afterFailure(failure, m_traffic.clock().now(), [this] {
         return m_traffic.takeRepeat(m_call.pool->name);
     });
--- a/src/node/call_run.hpp
+++ b/src/node/call_run.hpp
@@ -83,7 +83,7 @@
     const TimePoint m_arrived;
     platform::CallerHead m_caller;
     AdmittedCall m_call;
-    CallPlan m_plan{CallTerms{}};
+    CallPlan m_plan{CallPolicy{}};
     std::optional<UpstreamAttempt> m_attempt;
     DeadlineTimer m_deadline;
     net::steady_timer m_retry; // while no upstream may be used
--- a/src/node/context_messages.cpp
+++ b/src/node/context_messages.cpp
@@ -82,30 +82,30 @@
     return positions;
 }
 
-std::string encodeContextNews(const std::vector<StoreNews> &news)
+std::string encodeContextNews(const std::vector<StoreUpdate> &news)
 {
     Json stores = Json::array();
-    for (const StoreNews &it : news) {
+    for (const StoreUpdate &it : news) {
         // An array: most stores have nothing new, and names of fields would be most of the message.
         stores.push_back({it.store, it.epoch, it.next, it.clock.count(), it.age.count(),
-                          it.restated, changesBySalt(it.changes)});
+                          it.isSnapshot, changesBySalt(it.changes)});
     }
     return encodeCbor(stores);
 }
 
-std::optional<std::vector<StoreNews>> decodeContextNews(std::string_view bytes)
+std::optional<std::vector<StoreUpdate>> decodeContextNews(std::string_view bytes)
 {
-    return decodeCbor<std::vector<StoreNews>>(bytes, [](const Json &stores) {
-        std::vector<StoreNews> news;
+    return decodeCbor<std::vector<StoreUpdate>>(bytes, [](const Json &stores) {
+        std::vector<StoreUpdate> news;
         for (const Json &it : stores) {
-            StoreNews told;
+            StoreUpdate told;
             std::size_t field = 0;
             it.at(field++).get_to(told.store);
             it.at(field++).get_to(told.epoch);
             it.at(field++).get_to(told.next);
             told.clock = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
             told.age = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
-            it.at(field++).get_to(told.restated);
+            it.at(field++).get_to(told.isSnapshot);
             told.changes = readChanges(it.at(field++));
             news.push_back(std::move(told));
         }
--- a/src/node/context_watch.cpp
+++ b/src/node/context_watch.cpp
@@ -13,7 +13,7 @@
 using adapters::logEvent;
 
 // How long a store holds a call that has nothing to tell. Shorter than the time for which its word
-// holds (ContextDirectory::Limits::storeWord), longer than what counts as a probe.
+// holds (ContextDirectory::Limits::storeAnswerLife), longer than what counts as a probe.
 constexpr std::chrono::milliseconds kWait{900};
 constexpr Duration kGrace = std::chrono::milliseconds(500); // beyond the wait
 
--- a/src/node/control_duty.cpp
+++ b/src/node/control_duty.cpp
@@ -416,7 +416,7 @@
 }
 
 void ControlDuty::tellShown(const std::string &instanceId, const std::string &model,
-                            const SeenWeights &weights)
+                            const ObservedWeights &weights)
 {
     if (m_upstreams.setWeightVersion(instanceId, model, weights))
         tell(WeightsShown{instanceId, model, weights});
@@ -606,7 +606,7 @@
     const WeightRollout::Shown shown = rollout.shown();
     for (const auto &[id, models] : shown) {
         for (const auto &[model, weights] : models) {
-            if (!m_upstreams.isAhead(id, model, weights.version))
+            if (!m_upstreams.isAheadOfRecord(id, model, weights.version))
                 rollout.forgetShown(id, model);
         }
     }
--- a/src/node/control_duty.hpp
+++ b/src/node/control_duty.hpp
@@ -121,7 +121,7 @@
     void noteShown();
     void noteEngines();
     void tellShown(const std::string &instanceId, const std::string &model,
-                   const SeenWeights &weights);
+                   const ObservedWeights &weights);
     OrderWord ownOrders() const;
     bool inDoubt() const;
     void tell(FleetUpdate update);
--- a/src/node/fleet_update.hpp
+++ b/src/node/fleet_update.hpp
@@ -11,9 +11,9 @@
 
 #include "fordwood/context_directory.hpp"
 #include "fordwood/load_book.hpp"
+#include "fordwood/observed_weights.hpp"
 #include "fordwood/quarantine.hpp"
 #include "fordwood/route_table.hpp"
-#include "fordwood/seen_weights.hpp"
 #include "fordwood/upstream_limits.hpp"
 #include "fordwood/upstream_record.hpp"
 #include "fordwood/weight_history.hpp"
@@ -71,7 +71,7 @@
 {
     std::string instanceId;
     std::string model;
-    SeenWeights weights;
+    ObservedWeights weights;
 };
 
 // The engines that load weights, or are about to, by the word of one node.
@@ -111,7 +111,7 @@
 // A store of kept context has told what it holds.
 struct ContextStoreTold
 {
-    StoreNews news;
+    StoreUpdate news;
     TimePoint heard{}; // by this node, which is when the age in the news holds
 };
 
--- a/src/node/traffic.cpp
+++ b/src/node/traffic.cpp
@@ -138,7 +138,7 @@
     m_loads.setPeer(update.peer, update.loads);
     m_shortDemand.setPeer(update.peer, update.shortContextTokens);
     if (m_settings.mechanisms.toldContexts)
-        m_contexts.peerSent(update.contextsSent);
+        m_contexts.recordPeerSends(update.contextsSent);
 }
 
 void Traffic::apply(const LiveNodes &update)
@@ -162,7 +162,7 @@
 
 void Traffic::apply(const Informed &update)
 {
-    m_contexts.setInformed(update.informed);
+    m_contexts.setReceivesVersions(update.informed);
 }
 
 std::chrono::milliseconds Traffic::fetchUntil() const
@@ -177,7 +177,7 @@
 
 void Traffic::apply(const ContextStoreSilent &update)
 {
-    m_contexts.storeSilent(update.store);
+    m_contexts.storeFailed(update.store);
 }
 
 void Traffic::apply(const RequestsHeard &update)
@@ -288,7 +288,7 @@
     // It was judged after it was sent: what has become known since then may be newer.
     const bool isNews
         = told > 0 ? m_upstreams.setWeightVersion(id, attempt.model, {told, attempt.sentAt})
-                   : m_upstreams.doubtWeights(id, attempt.model, {expected, attempt.sentAt});
+                   : m_upstreams.rejectWeights(id, attempt.model, {expected, attempt.sentAt});
     if (isNews)
         adapters::logEvent(adapters::Event::OtherWeightsFound, {{"upstream", id},
                                                                 {"request", requestId},
@@ -311,7 +311,7 @@
 bool Traffic::isWaking()
 {
     noteStandstill();
-    return m_woke && m_clock.now() - *m_woke < kWakeTime && !m_contexts.hasWord();
+    return m_woke && m_clock.now() - *m_woke < kWakeTime && !m_contexts.hasCurrentStore();
 }
 
 void Traffic::tick()
@@ -349,9 +349,9 @@
     return m_shortGroups[pool.name];
 }
 
-double Traffic::consideredPart() const
+double Traffic::consideredShare() const
 {
-    return m_settings.mechanisms.fewCandidates ? partToConsider(m_liveNodes) : 1.0;
+    return m_settings.mechanisms.fewCandidates ? shareToConsider(m_liveNodes) : 1.0;
 }
 
 void Traffic::countPrompt(const Prompt &prompt, const EngineTraits &traits)
@@ -402,7 +402,7 @@
     double perSecond = 0.0;
     for (const UpstreamRecord *it : m_upstreams.usable(pool.name))
         perSecond += m_gate.limits().partOfAll(it->instanceId).value_or(0.0);
-    const auto times = m_returnTimes.try_emplace(pool.name, m_clock).first;
+    const auto times = m_retrySchedules.try_emplace(pool.name, m_clock).first;
     return times->second.next(perSecond / static_cast<double>(m_liveNodes));
 }
 
@@ -413,7 +413,7 @@
     std::size_t slots = 0;
     for (const UpstreamRecord *it : m_upstreams.usable(pool.name))
         slots += it->slots;
-    const auto times = m_returnTimes.try_emplace(pool.name, m_clock).first;
+    const auto times = m_retrySchedules.try_emplace(pool.name, m_clock).first;
     return times->second.next(static_cast<double>(slots) / static_cast<double>(m_liveNodes),
                               backoff);
 }
--- a/src/node/traffic.hpp
+++ b/src/node/traffic.hpp
@@ -20,7 +20,7 @@
 #include "fordwood/load_book.hpp"
 #include "fordwood/prefill_pace.hpp"
 #include "fordwood/quarantine_gate.hpp"
-#include "fordwood/return_times.hpp"
+#include "fordwood/retry_schedule.hpp"
 #include "fordwood/route_table.hpp"
 #include "fordwood/send_gate.hpp"
 #include "fordwood/standstill_watch.hpp"
@@ -75,13 +75,13 @@
     const std::set<std::string> &shortGroup(const ServicePool &pool);
 
     // The part of the engines that a request considers.
-    double consideredPart() const;
+    double consideredShare() const;
 
     // Counts a prompt, for what the engines must keep.
     void countPrompt(const Prompt &prompt, const EngineTraits &traits);
 
     // Tokens of context that this node's short prompts share.
-    std::size_t shortContextTokens() { return m_shortDemand.own(); }
+    std::size_t shortContextTokens() { return m_shortDemand.ownTokens(); }
 
     // The weight versions that were named for the model.
     const WeightHistory &weights(const std::string &model) { return m_weights[model]; }
@@ -188,7 +188,7 @@
     UpstreamHealth m_health;
     adapters::LimitLog m_limitLog;
     SendGate m_gate;
-    std::map<std::string, ReturnTimes> m_returnTimes; // by service
+    std::map<std::string, RetrySchedule> m_retrySchedules; // by service
     QuarantineGate m_quarantine;
     ContextDirectory m_contexts;
     EngineChooser m_engines;
@@ -202,7 +202,7 @@
     std::map<std::string, LoadingWord> m_loading; // by the node that says so
     std::map<std::string, WindowBudget> m_budgets; // by service
     std::map<std::string, PrefillPace> m_paces; // by service
-    ShortContextDemand m_shortDemand;
+    ShortPromptDemand m_shortDemand;
     std::map<std::string, std::set<std::string>> m_shortGroups; // by service, as of the last tick
     struct EngineClock
     {
--- a/src/node/update_queue.cpp
+++ b/src/node/update_queue.cpp
@@ -58,9 +58,9 @@
 }
 
 // Adds what a store tells to what it told before.
-void addNews(StoreNews &older, StoreNews newer)
+void addNews(StoreUpdate &older, StoreUpdate newer)
 {
-    if (newer.restated || newer.epoch != older.epoch) {
+    if (newer.isSnapshot || newer.epoch != older.epoch) {
         older = std::move(newer);
         return;
     }
--- a/src/node/upstream_choice.cpp
+++ b/src/node/upstream_choice.cpp
@@ -5,8 +5,8 @@
 #include <functional>
 #include <set>
 
+#include "fordwood/allowed_regions.hpp"
 #include "fordwood/engine_groups.hpp"
-#include "fordwood/homes.hpp"
 #include "fordwood/rendezvous.hpp"
 #include "fordwood/service_chooser.hpp"
 
@@ -20,12 +20,12 @@
 // Context of a prompt that is bound to regions is saved in no other.
 void keepContextAtHome(const AdmittedCall &call, const DomainRegions &regions, EngineChoice &choice)
 {
-    const Homes homes(*call.route, call.team);
-    if (homes.isAnywhere())
+    const AllowedRegions allowedRegions(*call.route, call.team);
+    if (allowedRegions.isUnrestricted())
         return;
     for (std::string &address : choice.saveTo) {
         const ContextStore *store = call.table->findStore(address);
-        if (store != nullptr && !homes.allows(store->failureDomain, regions))
+        if (store != nullptr && !allowedRegions.allows(store->failureDomain, regions))
             address.clear();
     }
 }
@@ -36,7 +36,7 @@
 {
     if (!traffic.settings().mechanisms.earlyRefusals)
         return false;
-    const Duration wait = traffic.pace(call.pool->name).timeFor(choice.waitTokens);
+    const Duration wait = traffic.pace(call.pool->name).timeFor(choice.queuedTokens);
     const std::chrono::duration<double, std::nano> longest
         = kLongestWait * std::chrono::duration<double, std::nano>(call.route->targetLatency);
     return call.route->targetLatency.count() > 0 && wait > longest;
@@ -47,16 +47,16 @@
                                        const std::vector<const UpstreamRecord *> &candidates)
 {
     const std::string walled = call.team != nullptr && call.team->isolated ? call.team->name : "";
-    const EngineChooser::Question question{*caller.prompt,
-                                           walled,
-                                           traffic.weights(caller.prompt->model),
-                                           *call.pool->engine,
-                                           plan.tried(),
-                                           traffic.shortGroup(*call.pool),
-                                           traffic.consideredPart(),
-                                           stableHash(caller.requestId, plan.sends()),
-                                           traffic.boundedAmong(candidates),
-                                           traffic.pace(call.pool->name)};
+    const EngineChooser::Query question{*caller.prompt,
+                                        walled,
+                                        traffic.weights(caller.prompt->model),
+                                        *call.pool->engine,
+                                        plan.tried(),
+                                        traffic.shortGroup(*call.pool),
+                                        traffic.consideredShare(),
+                                        stableHash(caller.requestId, plan.sends()),
+                                        traffic.boundedAmong(candidates),
+                                        traffic.pace(call.pool->name)};
     return traffic.engines().choose(question, candidates, traffic.loads(), traffic.health(),
                                     traffic.contexts());
 }
@@ -74,7 +74,7 @@
     if (!choice->isShort && !answerBegun && waitsTooLong(traffic, call, *choice))
         return {std::nullopt, std::move(choice), std::nullopt};
     keepContextAtHome(call, traffic.settings().regions, *choice);
-    EngineChooser::noteSent(*choice, *caller.prompt, traffic.contexts());
+    EngineChooser::recordSent(*choice, *caller.prompt, traffic.contexts());
     UpstreamChoice chosen;
     chosen.attempt.emplace();
     chosen.attempt->upstream = *traffic.upstreams().find(choice->instanceId);
@@ -115,9 +115,9 @@
 
 MayServe servingFor(const Traffic &traffic, const AdmittedCall &call)
 {
-    const Homes homes(*call.route, call.team);
-    return [homes, &regions = traffic.settings().regions](const UpstreamRecord &it) {
-        return homes.isAnywhere() || homes.allows(it.failureDomain, regions);
+    const AllowedRegions allowedRegions(*call.route, call.team);
+    return [allowedRegions, &regions = traffic.settings().regions](const UpstreamRecord &it) {
+        return allowedRegions.isUnrestricted() || allowedRegions.allows(it.failureDomain, regions);
     };
 }
 
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -31,7 +31,7 @@
         REQUIRE(m_server.listening());
     }
 
-    void tell(const StoreNews &news)
+    void tell(const StoreUpdate &news)
     {
         const std::lock_guard lock(m_mutex);
         m_log.told(news);
@@ -59,9 +59,9 @@
     standins::BlockingServer m_server;
 };
 
-StoreNews news(std::uint64_t next, std::vector<StorePartChange> changes)
+StoreUpdate news(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    StoreNews told;
+    StoreUpdate told;
     told.store = "s";
     told.epoch = 3;
     told.next = next;
@@ -97,7 +97,7 @@
 
     boost::asio::io_context context;
     HttpCaller caller;
-    std::vector<StoreNews> told;
+    std::vector<StoreUpdate> told;
     ContextRelayReader reader;
 };
 
@@ -112,11 +112,11 @@
     clock.advance(400ms);
     Reading reading(clock, [&](const std::string &) { return relay.address; });
     reading.untilTold(1);
-    CHECK(reading.told[0].restated);
+    CHECK(reading.told[0].isSnapshot);
     CHECK(reading.told[0].changes.size() == 1);
     CHECK(reading.told[0].age == 400ms);
     relay.tell(news(6, {{"salt", "b", true, 10}}));
-    while (reading.told.back().changes.empty() || reading.told.back().restated)
+    while (reading.told.back().changes.empty() || reading.told.back().isSnapshot)
         reading.untilTold(reading.told.size() + 1);
     CHECK(reading.told.back().changes.size() == 1);
     CHECK(reading.told.back().changes[0].partId == "b");
@@ -143,13 +143,13 @@
 {
     ManualClock clock;
     Relay relay(clock, 1);
-    StoreNews other = news(5, {});
+    StoreUpdate other = news(5, {});
     other.store = "unknown";
     relay.tell(other);
     relay.tell(news(5, {}));
     Reading reading(clock, [&](const std::string &) { return relay.address; });
     reading.untilTold(2);
-    for (const StoreNews &it : reading.told)
+    for (const StoreUpdate &it : reading.told)
         CHECK(it.store == "s");
     reading.reader.setReading(false);
 }
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -49,7 +49,7 @@
     CHECK(head.resumeFrom == 12);
     REQUIRE(head.prompt);
     CHECK(head.prompt->tokensIn == 1460);
-    CHECK(head.prompt->mostTokensOut == 80);
+    CHECK(head.prompt->maxTokensOut == 80);
     REQUIRE(head.prompt->parts.size() == 3);
     CHECK(head.prompt->parts[1].id == "91bd");
     CHECK(head.prompt->sharedTokens() == 1210);
@@ -439,7 +439,7 @@
         "held":[["s1","5c1e",800,"m"]]})"),
                                     "store");
     REQUIRE(list);
-    CHECK(list->news.restated);
+    CHECK(list->news.isSnapshot);
 }
 
 TEST_CASE("refusals: a status that promises \"not run\" stands only where that is true [not-run]")
@@ -544,13 +544,13 @@
                             "/contexts?since=1.2.x,", "/contexts?since=-1.2.3,"})
         CHECK_FALSE(node::readContextNewsTarget(bad));
 
-    StoreNews news;
+    StoreUpdate news;
     news.store = "s";
     news.epoch = 5;
     news.next = 9;
     news.age = 120ms;
     news.clock = 77ms;
-    news.restated = true;
+    news.isSnapshot = true;
     news.changes = {{"salt", "a", true, 100}, {"salt", "b", false, 0}, {"other", "a", true, 1}};
     const std::string bytes = node::encodeContextNews({news});
     const auto read = node::decodeContextNews(bytes);
@@ -559,7 +559,7 @@
     CHECK(read->front().next == 9);
     CHECK(read->front().age == 120ms);
     CHECK(read->front().clock == 77ms);
-    CHECK(read->front().restated);
+    CHECK(read->front().isSnapshot);
     REQUIRE(read->front().changes.size() == 3);
     CHECK_FALSE(read->front().changes[1].held);
     CHECK(read->front().changes[2].salt == "other");
--- a/tests/unit/call_plan_test.cpp
+++ b/tests/unit/call_plan_test.cpp
@@ -10,7 +10,7 @@
 
 const TimePoint kNow{1h};
 
-CallTerms termsOf(bool mayRunAgain, bool resumable = false, std::size_t maxAttempts = 2)
+CallPolicy termsOf(bool mayRunAgain, bool resumable = false, std::size_t maxAttempts = 2)
 {
     return {mayRunAgain, resumable, maxAttempts, kNow + 1s};
 }
@@ -79,7 +79,7 @@
     CallPlan plan(termsOf(false));
     for (int n = 0; n < 20; ++n) {
         plan.sending("a");
-        plan.turnedDown("a");
+        plan.rejectedLocally("a");
     }
     CHECK(plan.sends() == 0);
     CHECK(plan.tried().empty());
@@ -151,7 +151,7 @@
     "call plan: an upstream that has ended, with another at its address, is not among those that "
     "the request may be sent to [not-run][retry]")
 {
-    CallTerms terms;
+    CallPolicy terms;
     terms.maxAttempts = 1;
     terms.answerBy = TimePoint(1h);
     CallPlan plan(terms);
@@ -162,7 +162,7 @@
     };
     const FailedAttempt gone{RunState::NotRun, Reason::UpstreamGone, false};
     plan.sending("ended");
-    plan.metAnother();
+    plan.reachedOtherInstance();
     CHECK(plan.afterFailure(gone, TimePoint{}, takeRepeat) == AfterFailure::SendAgain);
     CHECK(repeats == 1); // what arrived there counts for the fleet's budget
     plan.sending("lives");
@@ -174,7 +174,7 @@
         std::size_t sends = 0;
         do {
             other.sending("ended-" + std::to_string(sends++));
-            other.metAnother();
+            other.reachedOtherInstance();
         } while (other.afterFailure(gone, TimePoint{}, takeRepeat) == AfterFailure::SendAgain
                  && sends < 100);
         CHECK(sends < 10);
--- a/tests/unit/engine_chooser_test.cpp
+++ b/tests/unit/engine_chooser_test.cpp
@@ -20,10 +20,10 @@
 constexpr std::size_t kEngines = 8;
 
 // One node's view of a few engines and one store.
-class View
+class NodeView
 {
 public:
-    View() : m_loads(m_clock), m_health(m_clock), m_contexts(m_clock), m_chooser(m_clock, {})
+    NodeView() : m_loads(m_clock), m_health(m_clock), m_contexts(m_clock), m_chooser(m_clock, {})
     {
         m_traits.slots = 16;
         m_traits.contextTokens = 87'000;
@@ -40,33 +40,33 @@
         store.failureDomain = "even";
         store.capacityTokens = 1'000'000;
         m_contexts.setStores({store});
-        tellStore({});
+        updateStore({});
     }
 
-    void tellStore(std::vector<StorePartChange> changes, std::uint64_t epoch = 1)
+    void updateStore(std::vector<StorePartChange> changes, std::uint64_t epoch = 1)
     {
-        StoreNews news;
-        news.store = "store";
-        news.epoch = epoch;
-        news.changes = std::move(changes);
-        m_contexts.storeAnswered(news);
+        StoreUpdate update;
+        update.store = "store";
+        update.epoch = epoch;
+        update.changes = std::move(changes);
+        m_contexts.storeAnswered(update);
     }
 
-    std::optional<EngineChoice> choose(const Prompt &prompt, const std::string &walledTeam = "")
+    std::optional<EngineChoice> choose(const Prompt &prompt, const std::string &isolatedTeam = "")
     {
         std::vector<const UpstreamRecord *> engines;
         for (const UpstreamRecord &it : m_records)
             engines.push_back(&it);
-        return m_chooser.choose({prompt, walledTeam, m_weights, m_traits, m_tried, m_shortGroup},
+        return m_chooser.choose({prompt, isolatedTeam, m_weights, m_traits, m_tried, m_shortGroup},
                                 engines, m_loads, m_health, m_contexts);
     }
 
     // Chooses, and sends as chosen.
-    std::optional<EngineChoice> send(const Prompt &prompt, const std::string &walledTeam = "")
+    std::optional<EngineChoice> send(const Prompt &prompt, const std::string &isolatedTeam = "")
     {
-        auto choice = choose(prompt, walledTeam);
+        auto choice = choose(prompt, isolatedTeam);
         if (choice)
-            EngineChooser::noteSent(*choice, prompt, m_contexts);
+            EngineChooser::recordSent(*choice, prompt, m_contexts);
         return choice;
     }
 
@@ -96,8 +96,8 @@
 
 TEST_CASE("engines: the same context goes to the same engine on every node [routing]")
 {
-    View one;
-    View other;
+    NodeView one;
+    NodeView other;
     for (int n = 0; n < 50; ++n) {
         const Prompt prompt = shortPrompt("s" + std::to_string(n));
         CHECK(one.choose(prompt)->instanceId == other.choose(prompt)->instanceId);
@@ -107,45 +107,45 @@
 TEST_CASE("engines: short prompts of a context keep to two engines while those have places "
           "[routing]")
 {
-    View view;
+    NodeView view;
     const Prompt prompt = shortPrompt();
-    const std::string home = view.choose(prompt)->instanceId;
-    view.m_loads.begin(home, {0, 0});
+    const std::string preferred = view.choose(prompt)->instanceId;
+    view.m_loads.begin(preferred, {0, 0});
     for (int n = 0; n < 5; ++n)
-        view.m_loads.begin(home, {0, 500});
-    CHECK(view.choose(prompt)->instanceId == home); // six runs slow it less than a cold read
-    view.m_loads.setPeer("peer", {{home, {11, 0, 0}}});
+        view.m_loads.begin(preferred, {0, 500});
+    CHECK(view.choose(prompt)->instanceId == preferred); // six runs slow it less than a cold read
+    view.m_loads.setPeer("peer", {{preferred, {11, 0, 0}}});
     const std::string next = view.choose(prompt)->instanceId;
-    CHECK(next != home); // it has no place left
-    View other;
-    other.m_loads.setPeer("peer", {{home, {17, 0, 0}}});
+    CHECK(next != preferred); // it has no place left
+    NodeView other;
+    other.m_loads.setPeer("peer", {{preferred, {17, 0, 0}}});
     CHECK(other.choose(prompt)->instanceId == next); // the same one by another node's choice
 }
 
 TEST_CASE("engines: a context goes elsewhere when its engine has too much to do [routing]")
 {
-    View view;
-    const std::string home = view.choose(longPrompt())->instanceId;
-    view.m_loads.begin(home, {40'000, 40'000});
-    CHECK(view.choose(longPrompt())->instanceId != home);
+    NodeView view;
+    const std::string preferred = view.choose(longPrompt())->instanceId;
+    view.m_loads.begin(preferred, {40'000, 40'000});
+    CHECK(view.choose(longPrompt())->instanceId != preferred);
 }
 
 TEST_CASE(
     "engines: what other nodes have sent counts as well, until they fall silent [routing][peers]")
 {
-    View view;
-    const std::string home = view.choose(longPrompt())->instanceId;
-    view.m_loads.setPeer("peer", {{home, {3, 40'000, 40'000}}});
-    CHECK(view.choose(longPrompt("c1"))->instanceId != home);
+    NodeView view;
+    const std::string preferred = view.choose(longPrompt())->instanceId;
+    view.m_loads.setPeer("peer", {{preferred, {3, 40'000, 40'000}}});
+    CHECK(view.choose(longPrompt("c1"))->instanceId != preferred);
     view.m_clock.advance(5s);
-    view.tellStore({});
-    CHECK(view.choose(longPrompt("c1"))->instanceId == home);
+    view.updateStore({});
+    CHECK(view.choose(longPrompt("c1"))->instanceId == preferred);
 }
 
 TEST_CASE(
     "engines: a part that no store holds is saved once; one that is held whole is fetched [stores]")
 {
-    View view;
+    NodeView view;
     const auto first = view.send(longPrompt());
     CHECK(first->saveTo == std::vector<std::string>{"10.0.0.1:80", ""});
     CHECK_FALSE(first->isFetching());
@@ -153,7 +153,7 @@
     const auto second = view.choose(longPrompt());
     CHECK(second->saveTo == std::vector<std::string>{"", ""}); // the save is under way
     CHECK_FALSE(second->isFetching()); // it is not whole yet
-    view.tellStore({{first->salt, "c1", true, 12'800}});
+    view.updateStore({{first->salt, "c1", true, 12'800}});
     const auto third = view.choose(longPrompt());
     CHECK(third->fetchFrom == std::vector<std::string>{"10.0.0.1:80", ""});
     CHECK(third->load.tokensToCompute == 4'200);
@@ -161,11 +161,11 @@
 
 TEST_CASE("engines: context is computed where its store has too much to send already [stores]")
 {
-    View view;
+    NodeView view;
     const auto first = view.send(longPrompt());
-    view.tellStore({{first->salt, "c1", true, 12'800}});
+    view.updateStore({{first->salt, "c1", true, 12'800}});
     view.m_clock.advance(4s); // the engine has probably dropped it
-    view.tellStore({});
+    view.updateStore({});
     CHECK(view.choose(longPrompt())->isFetching());
     view.m_loads.begin("10.0.0.1:80", {200'000, 0});
     CHECK(view.choose(longPrompt())->isFetching()); // 0.8 of four times its computation
@@ -178,7 +178,7 @@
 
 TEST_CASE("engines: a choice that is not sent leaves nothing behind [stores]")
 {
-    View view;
+    NodeView view;
     const auto refused = view.choose(longPrompt());
     const auto next = view.choose(longPrompt());
     CHECK(next->saveTo == refused->saveTo);
@@ -188,7 +188,7 @@
 TEST_CASE("engines: a small part before a large one is saved as well, since an engine without it "
           "cannot use the large one [stores]")
 {
-    View view;
+    NodeView view;
     const Prompt prompt{"m", {{"preface", 300}, {"case", 9'000}, {"own", 2'900}}, 12'200, 30};
     const auto choice = view.send(prompt);
     CHECK(!choice->saveTo[0].empty());
@@ -200,14 +200,15 @@
 
 TEST_CASE("engines: what another node has sent is looked for where it sent it [routing][peers]")
 {
-    View one;
-    View other;
-    const std::string home = one.send(longPrompt())->instanceId;
-    other.m_loads.setPeer("one", {{home, {1, 17'000, 17'000}}});
-    CHECK(other.choose(longPrompt())->instanceId != home); // it computes, and would do it again
-    other.m_contexts.peerSent(one.m_contexts.recentSends());
+    NodeView one;
+    NodeView other;
+    const std::string preferred = one.send(longPrompt())->instanceId;
+    other.m_loads.setPeer("one", {{preferred, {1, 17'000, 17'000}}});
+    CHECK(other.choose(longPrompt())->instanceId
+          != preferred); // it computes, and would do it again
+    other.m_contexts.recordPeerSends(one.m_contexts.recentSends());
     const auto choice = other.choose(longPrompt());
-    CHECK(choice->instanceId == home);
+    CHECK(choice->instanceId == preferred);
     CHECK(choice->holdsContext);
     one.m_clock.advance(1s);
     CHECK(one.m_contexts.recentSends().empty());
@@ -216,40 +217,40 @@
 TEST_CASE("engines: memory that an engine lacks counts as wait, since runs must end first "
           "[routing][admission]")
 {
-    View view;
-    CHECK(view.choose(longPrompt())->waitTokens == 0.0);
+    NodeView view;
+    CHECK(view.choose(longPrompt())->queuedTokens == 0.0);
     for (const UpstreamRecord &it : view.m_records)
         view.m_loads.begin(it.instanceId, {0, 69'000});
-    CHECK(view.choose(longPrompt())->waitTokens == 0.0); // 17,030 fit into what is left
+    CHECK(view.choose(longPrompt())->queuedTokens == 0.0); // 17,030 fit into what is left
     for (const UpstreamRecord &it : view.m_records)
         view.m_loads.begin(it.instanceId, {0, 10'000});
-    CHECK(view.choose(longPrompt())->waitTokens > 30'000.0); // 9,030 tokens do not
+    CHECK(view.choose(longPrompt())->queuedTokens > 30'000.0); // 9,030 tokens do not
 }
 
 TEST_CASE("engines: nothing is fetched from a store that is silent or came back empty [stores]")
 {
-    View view;
+    NodeView view;
     const std::string salt = view.choose(longPrompt())->salt;
-    view.tellStore({{salt, "c1", true, 12'800}});
+    view.updateStore({{salt, "c1", true, 12'800}});
     REQUIRE(view.choose(longPrompt())->isFetching());
     view.m_clock.advance(2s); // it has not answered for longer than its word holds
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
-    view.tellStore({}); // it answers again, with what it held
+    view.updateStore({}); // it answers again, with what it held
     CHECK(view.choose(longPrompt())->isFetching());
-    view.tellStore({}, 2); // it has started anew
+    view.updateStore({}, 2); // it has started anew
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
 }
 
 TEST_CASE(
     "engines: no team finds the context of a walled team, no weights that of others [isolation]")
 {
-    View view;
+    NodeView view;
     const std::string shared = view.choose(longPrompt())->salt;
-    view.tellStore({{shared, "c1", true, 12'800}});
-    const auto walled = view.choose(longPrompt(), "team-a");
-    CHECK(walled->salt != shared);
-    CHECK(walled->salt != view.choose(longPrompt(), "team-b")->salt);
-    CHECK_FALSE(walled->isFetching());
+    view.updateStore({{shared, "c1", true, 12'800}});
+    const auto isolated = view.choose(longPrompt(), "team-a");
+    CHECK(isolated->salt != shared);
+    CHECK(isolated->salt != view.choose(longPrompt(), "team-b")->salt);
+    CHECK_FALSE(isolated->isFetching());
     for (UpstreamRecord &it : view.m_records)
         it.weightVersions["m"] = 2;
     const auto newer = view.choose(longPrompt());
@@ -260,7 +261,7 @@
 
 TEST_CASE("engines: no request begins on old weights once their time is over [weights]")
 {
-    View view;
+    NodeView view;
     view.m_records[3].weightVersions["m"] = 2;
     view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
     view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
@@ -277,47 +278,47 @@
 TEST_CASE("engines: one with replaced weights is left out where the wait would outlast their time "
           "[weights]")
 {
-    View view;
+    NodeView view;
     view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
     view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
-    const auto mayBegin = [&] { return view.choose(shortPrompt()).has_value(); };
-    const auto fillAll = [&](const RequestLoad &load) {
+    const auto canChoose = [&] { return view.choose(shortPrompt()).has_value(); };
+    const auto loadAll = [&](const RequestLoad &load) {
         for (const UpstreamRecord &it : view.m_records)
             view.m_loads.begin(it.instanceId, load);
     };
     view.m_clock.advance(8s);
-    fillAll({100'000, 0}); // 2 s of work
-    CHECK(mayBegin());
+    loadAll({100'000, 0}); // 2 s of work
+    CHECK(canChoose());
     view.m_clock.advance(1'500ms);
-    CHECK_FALSE(mayBegin());
+    CHECK_FALSE(canChoose());
     for (const UpstreamRecord &it : view.m_records)
         view.m_loads.end(it.instanceId, {100'000, 0}, false);
-    CHECK(mayBegin());
-    fillAll({0, 86'900}); // no memory until it ends
-    CHECK(mayBegin());
+    CHECK(canChoose());
+    loadAll({0, 86'900}); // no memory until it ends
+    CHECK(canChoose());
     view.m_clock.advance(800ms);
-    CHECK_FALSE(mayBegin());
+    CHECK_FALSE(canChoose());
     for (const UpstreamRecord &it : view.m_records)
         view.m_loads.end(it.instanceId, {0, 86'900}, true);
-    CHECK(mayBegin());
+    CHECK(canChoose());
 }
 
 TEST_CASE("engines: the wait for a store of context takes from the time of replaced weights "
           "[weights][stores]")
 {
-    View view;
+    NodeView view;
     const Prompt prompt = longPrompt();
     const std::string salt = contextSalt("m", 1, "");
-    view.tellStore({{salt, "c1", true, 12'800}});
+    view.updateStore({{salt, "c1", true, 12'800}});
     view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
     view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_clock.advance(9s);
-    view.tellStore({});
+    view.updateStore({});
     CHECK(view.choose(prompt)->isFetching());
     view.m_loads.begin("10.0.0.1:80", {200'000, 0}); // 0.8 s
     CHECK(view.choose(prompt)->isFetching());
     view.m_clock.advance(1s);
-    view.tellStore({});
+    view.updateStore({});
     CHECK_FALSE(view.choose(prompt));
     view.m_loads.begin("10.0.0.1:80", {100'000, 0}); // more than computing it instead
     CHECK_FALSE(view.choose(prompt)->isFetching());
@@ -325,14 +326,14 @@
 
 TEST_CASE("engines: those that failed the request, or pause, are left out [health]")
 {
-    View view;
-    const std::string home = view.choose(shortPrompt())->instanceId;
-    view.m_tried.insert(home);
+    NodeView view;
+    const std::string preferred = view.choose(shortPrompt())->instanceId;
+    view.m_tried.insert(preferred);
     const std::string next = view.choose(shortPrompt())->instanceId;
-    CHECK(next != home);
+    CHECK(next != preferred);
     view.m_health.failed(next);
     const std::string third = view.choose(shortPrompt())->instanceId;
-    CHECK(third != home);
+    CHECK(third != preferred);
     CHECK(third != next);
     for (const UpstreamRecord &it : view.m_records) {
         if (it.instanceId != next)
@@ -345,27 +346,27 @@
 
 TEST_CASE("engines: one that owes an answer and says nothing is avoided [health]")
 {
-    View view;
-    const std::string home = view.choose(shortPrompt())->instanceId;
+    NodeView view;
+    const std::string preferred = view.choose(shortPrompt())->instanceId;
     const auto isChosen = [&] {
         bool chosen = false;
         for (int n = 0; n < 50; ++n)
-            chosen = chosen || view.choose(shortPrompt(std::to_string(n)))->instanceId == home;
+            chosen = chosen || view.choose(shortPrompt(std::to_string(n)))->instanceId == preferred;
         return chosen;
     };
     CHECK(isChosen());
-    view.m_health.sent(home);
+    view.m_health.sent(preferred);
     view.m_clock.advance(600ms);
     CHECK_FALSE(isChosen());
-    view.m_health.heard(home);
+    view.m_health.dataReceived(preferred);
     view.m_clock.advance(100ms);
     CHECK(view.choose(shortPrompt("another whose engine it is"))->instanceId != "");
-    CHECK_FALSE(view.m_health.isSilent(home));
+    CHECK_FALSE(view.m_health.isSilent(preferred));
 }
 
 TEST_CASE("engines: short prompts keep to their group, long ones out of it [routing]")
 {
-    View view;
+    NodeView view;
     view.m_shortGroup = {"e1", "e2"};
     for (int n = 0; n < 30; ++n) {
         const std::string context = std::to_string(n);
@@ -402,11 +403,11 @@
     StoreKeeper keeper(clock);
     const std::string old = contextSalt("m", 1, "");
     const std::string current = contextSalt("m", 2, "");
-    StoreNews news;
-    news.store = "store";
-    news.epoch = 5;
-    news.changes = {{old, "a", true, 10}, {current, "a", true, 10}, {"foreign", "b", true, 10}};
-    keeper.storeAnswered(news);
+    StoreUpdate update;
+    update.store = "store";
+    update.epoch = 5;
+    update.changes = {{old, "a", true, 10}, {current, "a", true, 10}, {"foreign", "b", true, 10}};
+    keeper.storeAnswered(update);
     WeightHistory history;
     history.note(2, {EventTime::at(clock.now()), 1});
     keeper.setWeights("m", history);
@@ -431,46 +432,46 @@
 TEST_CASE("contexts: what is superseded is fetched for a while only, and not by a node that hears "
           "nobody [stores]")
 {
-    View view;
+    NodeView view;
     const std::string salt = view.choose(longPrompt())->salt;
-    view.tellStore({{salt, "c1", true, 12'800}});
-    view.m_contexts.setInformed(false);
+    view.updateStore({{salt, "c1", true, 12'800}});
+    view.m_contexts.setReceivesVersions(false);
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
-    view.m_contexts.setInformed(true);
+    view.m_contexts.setReceivesVersions(true);
     view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_contexts.setWeights("m", view.m_weights);
     CHECK(view.choose(longPrompt())->isFetching());
     view.m_clock.advance(OldContext::useOf("c1"));
-    view.tellStore({});
+    view.updateStore({});
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
 }
 
 TEST_CASE("contexts: what is superseded ends part by part, and is not saved any more before "
           "[stores]")
 {
-    View view;
+    NodeView view;
     constexpr std::size_t kParts = 100;
     std::vector<StorePartChange> changes;
     changes.reserve(kParts);
     const std::string salt = view.choose(longPrompt())->salt;
     for (std::size_t n = 0; n < kParts; ++n)
         changes.push_back({salt, "c" + std::to_string(n), true, 1'200});
-    view.tellStore(changes);
+    view.updateStore(changes);
     view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_contexts.setWeights("m", view.m_weights);
     const auto stillFetched = [&] {
         int sum = 0;
         for (std::size_t n = 0; n < kParts; ++n)
-            sum += view.m_contexts.storeWith(salt, "c" + std::to_string(n)).address.empty() ? 0 : 1;
+            sum += view.m_contexts.holderOf(salt, "c" + std::to_string(n)).address.empty() ? 0 : 1;
         return sum;
     };
     CHECK(stillFetched() == 100);
     view.m_clock.advance((OldContext::kShortestUse + OldContext::kLongestUse) / 2);
-    view.tellStore({});
+    view.updateStore({});
     CHECK(stillFetched() > 30);
     CHECK(stillFetched() < 70);
     view.m_clock.advance((OldContext::kLongestUse - OldContext::kShortestUse) / 2);
-    view.tellStore({});
+    view.updateStore({});
     CHECK(stillFetched() == 0);
     CHECK(view.m_contexts.storeForSave(salt, {"new", 5'000}, 5'000, "even").empty());
     CHECK_FALSE(view.m_contexts.storeForSave(contextSalt("m", 2, ""), {"new", 5'000}, 5'000, "even")
@@ -493,10 +494,10 @@
 
 // Many nodes choose at the same moment from one view of 160 engines, each for a context that no
 // engine has: how many requests the busiest engine gets.
-std::size_t mostAtOneEngine(std::size_t nodes, double consideredPart)
+std::size_t mostAtOneEngine(std::size_t nodes, double consideredShare)
 {
     constexpr std::size_t kManyEngines = 160;
-    View view;
+    NodeView view;
     const UpstreamRecord engine = view.m_records.front();
     view.m_records.clear();
     for (std::size_t n = 0; n < kManyEngines; ++n) {
@@ -515,7 +516,7 @@
         const Prompt prompt = longPrompt("cold-" + std::to_string(n));
         const auto choice = view.m_chooser.choose(
             {prompt, "", view.m_weights, view.m_traits, view.m_tried, view.m_shortGroup,
-             consideredPart, stableHash(std::to_string(n))},
+             consideredShare, stableHash(std::to_string(n))},
             engines, view.m_loads, view.m_health, view.m_contexts);
         most = std::max(most, ++chosen[choice->instanceId]);
     }
@@ -528,32 +529,33 @@
           "[routing][overload]")
 {
     CHECK(mostAtOneEngine(40, 1.0) >= 12); // what it prevents
-    CHECK(mostAtOneEngine(40, partToConsider(295)) <= 5);
+    CHECK(mostAtOneEngine(40, shareToConsider(295)) <= 5);
 }
 
 TEST_CASE("engines: a small fleet considers all of them [routing]")
 {
-    CHECK(partToConsider(0) == 1.0);
-    CHECK(partToConsider(12) == 1.0);
-    CHECK(partToConsider(48) == 0.25);
+    CHECK(shareToConsider(0) == 1.0);
+    CHECK(shareToConsider(12) == 1.0);
+    CHECK(shareToConsider(48) == 0.25);
 }
 
 TEST_CASE("engines: one that has the context is considered, whatever is drawn [routing]")
 {
-    View view;
+    NodeView view;
     const Prompt prompt = longPrompt();
     // Not the one that all prefer.
-    const std::string home = view.choose(prompt)->instanceId;
-    view.m_loads.begin(home, {50'000, 50'000});
+    const std::string preferred = view.choose(prompt)->instanceId;
+    view.m_loads.begin(preferred, {50'000, 50'000});
     const std::string holder = view.send(prompt)->instanceId;
-    REQUIRE(holder != home);
+    REQUIRE(holder != preferred);
     std::vector<const UpstreamRecord *> engines;
     for (const UpstreamRecord &it : view.m_records)
         engines.push_back(&it);
-    for (std::uint64_t draw = 0; draw < 50; ++draw) {
-        const auto choice = view.m_chooser.choose(
-            {prompt, "", view.m_weights, view.m_traits, view.m_tried, view.m_shortGroup, 0.0, draw},
-            engines, view.m_loads, view.m_health, view.m_contexts);
+    for (std::uint64_t sampleSeed = 0; sampleSeed < 50; ++sampleSeed) {
+        const auto choice
+            = view.m_chooser.choose({prompt, "", view.m_weights, view.m_traits, view.m_tried,
+                                     view.m_shortGroup, 0.0, sampleSeed},
+                                    engines, view.m_loads, view.m_health, view.m_contexts);
         CHECK(choice->instanceId == holder);
     }
 }
@@ -562,17 +564,17 @@
           "while the "
           "others are busy [routing][cold]")
 {
-    View view;
+    NodeView view;
     const Prompt prompt = longPrompt();
     std::vector<const UpstreamRecord *> engines;
     for (const UpstreamRecord &it : view.m_records)
         engines.push_back(&it);
     for (const UpstreamRecord &it : view.m_records)
         view.m_loads.begin(it.instanceId, {50'000, 50'000});
-    const auto choose = [&](const std::set<std::string> &coldToUse) {
+    const auto choose = [&](const std::set<std::string> &assignedColdEngines) {
         return view.m_chooser
             .choose({prompt, "", view.m_weights, view.m_traits, view.m_tried, view.m_shortGroup,
-                     0.0, 7, coldToUse},
+                     0.0, 7, assignedColdEngines},
                     engines, view.m_loads, view.m_health, view.m_contexts)
             ->instanceId;
     };
@@ -593,7 +595,7 @@
     constexpr std::size_t kContexts = 300;
     constexpr std::size_t kManyEngines = 160;
     const auto mostAtOne = [](bool setsApart) {
-        View view;
+        NodeView view;
         const UpstreamRecord engine = view.m_records.front();
         view.m_records.assign(kManyEngines, engine);
         std::vector<const UpstreamRecord *> engines;
--- a/tests/unit/engine_versions_test.cpp
+++ b/tests/unit/engine_versions_test.cpp
@@ -203,7 +203,7 @@
     clock.advance(100ms);
     upstreams.put(record); // loaded anew
     CHECK(believed() == 2);
-    CHECK_FALSE(upstreams.isAhead("e", "m", 2));
+    CHECK_FALSE(upstreams.isAheadOfRecord("e", "m", 2));
     CHECK_FALSE(upstreams.setWeightVersion("gone", "m", {3, clock.now()}));
     clock.advance(100ms);
     CHECK_FALSE(upstreams.setWeightVersion("e", "m", {0, clock.now()})); // there is no such version
@@ -224,10 +224,10 @@
     const TimePoint before = clock.now();
     clock.advance(100ms);
     const auto isKnown = [&] { return upstreams.find("e")->weightVersions.contains("m"); };
-    CHECK_FALSE(upstreams.doubtWeights("e", "m", {2, before})); // as old as the record
-    CHECK_FALSE(upstreams.doubtWeights("e", "m", {1, clock.now()})); // no more believed
+    CHECK_FALSE(upstreams.rejectWeights("e", "m", {2, before})); // as old as the record
+    CHECK_FALSE(upstreams.rejectWeights("e", "m", {1, clock.now()})); // no more believed
     REQUIRE(isKnown());
-    REQUIRE(upstreams.doubtWeights("e", "m", {2, clock.now()}));
+    REQUIRE(upstreams.rejectWeights("e", "m", {2, clock.now()}));
     CHECK_FALSE(isKnown());
     CHECK(upstreams.usable("models").size() == 1); // its other models are
     clock.advance(100ms);
--- a/tests/unit/health_patterns_test.cpp
+++ b/tests/unit/health_patterns_test.cpp
@@ -101,11 +101,11 @@
             m_loads.end(it.upstream, {}, true);
             m_health.ended(it.upstream);
             if (it.outcome == Outcome::Answered) {
-                m_health.heard(it.upstream);
+                m_health.dataReceived(it.upstream);
                 m_health.succeeded(it.upstream);
             } else if (it.outcome == Outcome::Failure) {
-                m_health.heard(it.upstream);
-                m_health.answeredFailure(it.upstream);
+                m_health.dataReceived(it.upstream);
+                m_health.answeredWithError(it.upstream);
             }
             return true;
         });
--- a/tests/unit/late_begin_test.cpp
+++ b/tests/unit/late_begin_test.cpp
@@ -22,12 +22,12 @@
 
 namespace {
 
-constexpr Duration kBound = 10s; // from the naming of newer weights
+constexpr Duration kMaxOldWeightsAge = 10s; // from the naming of newer weights
 constexpr Duration kStep = 5ms;
 constexpr int kEngines = 4;
 constexpr int kVariations = 20;
 constexpr std::size_t kHeavyTokens = 1'500; // of a prompt that nodes tell each other of at once
-constexpr Duration kWay = 20ms; // of such a word
+constexpr Duration kMessageDelay = 20ms; // of such a word
 constexpr const char *kModel = "m";
 
 double milliseconds(Duration time)
@@ -40,7 +40,7 @@
 {
     std::string name;
     std::size_t slots = 32;
-    std::size_t mostQueued = 192; // more are refused
+    std::size_t maxQueued = 192; // more are refused
     std::size_t memory = 400'000; // tokens
     double tokensPerMs = 55.0; // of prompts
     Duration token = 6ms; // between two of an answer
@@ -50,7 +50,7 @@
 };
 
 // What a run showed.
-struct Seen
+struct RunResult
 {
     int begun = 0; // in time
     int late = 0; // begun after the bound
@@ -78,8 +78,8 @@
     EngineChoice choice;
     TimePoint at{};
     TimePoint begun{};
-    double toCompute = 0.0;
-    Duration toAnswer{};
+    double tokensLeft = 0.0;
+    Duration answerTime{};
     bool hasBegun = false;
     bool hasEnded = false;
 };
@@ -90,7 +90,7 @@
 public:
     explicit Engine(const Pattern &pattern) : m_pattern(pattern) { }
 
-    bool isFull() const { return m_queue.size() >= m_pattern.mostQueued; }
+    bool isFull() const { return m_queue.size() >= m_pattern.maxQueued; }
 
     void take(std::shared_ptr<Sent> sent)
     {
@@ -108,14 +108,14 @@
         double left = m_pattern.tokensPerMs * milliseconds(kStep);
         for (const auto &it : m_running) {
             if (it->hasBegun) {
-                it->toAnswer -= kStep;
-                it->hasEnded = it->toAnswer <= 0ms;
+                it->answerTime -= kStep;
+                it->hasEnded = it->answerTime <= 0ms;
                 continue;
             }
-            const double part = std::min(left, it->toCompute);
-            it->toCompute -= part;
+            const double part = std::min(left, it->tokensLeft);
+            it->tokensLeft -= part;
             left -= part;
-            if (it->toCompute > 0.0)
+            if (it->tokensLeft > 0.0)
                 continue;
             it->hasBegun = true;
             begun(*it);
@@ -159,7 +159,7 @@
     {
         constexpr int kNodes = 3;
         EngineChooser::Limits limits;
-        limits.weightsWithin = kBound;
+        limits.weightsWithin = kMaxOldWeightsAge;
         for (int n = 0; n < kNodes; ++n)
             m_nodes.push_back(std::make_unique<Node>(m_clock, limits));
         for (int n = 0; n < kEngines; ++n) {
@@ -173,44 +173,47 @@
         m_traits.contextTokens = pattern.memory;
     }
 
-    Seen run()
+    RunResult run()
     {
         const TimePoint warm = m_clock.now() + 5s;
         while (m_clock.now() < warm)
             step();
-        m_named = m_clock.now();
-        m_weights.note(1, {EventTime::at(*m_named - 1h), 0});
-        m_weights.note(2, {EventTime::at(*m_named), 1});
-        while (m_clock.now() < *m_named + kBound + 10s)
+        m_publishedAt = m_clock.now();
+        m_weights.note(1, {EventTime::at(*m_publishedAt - 1h), 0});
+        m_weights.note(2, {EventTime::at(*m_publishedAt), 1});
+        while (m_clock.now() < *m_publishedAt + kMaxOldWeightsAge + 10s)
             step();
-        return m_seen;
+        return m_result;
     }
 
 private:
-    bool isBeforeBound() const { return !m_named || m_clock.now() < *m_named + kBound; }
+    bool isWithinBound() const
+    {
+        return !m_publishedAt || m_clock.now() < *m_publishedAt + kMaxOldWeightsAge;
+    }
 
     void step()
     {
         m_clock.advance(kStep);
         m_steps += 1;
-        constexpr std::uint64_t kStepsOfAWord = 40; // nodes tell each other their loads
-        if (m_steps % kStepsOfAWord == 0 || (m_wordDue && m_clock.now() >= *m_wordDue))
-            tellLoads();
-        const bool isTurnedAway = ask();
+        constexpr std::uint64_t kStepsPerExchange = 40; // nodes tell each other their loads
+        if (m_steps % kStepsPerExchange == 0 || (m_exchangeDue && m_clock.now() >= *m_exchangeDue))
+            exchangeLoads();
+        const bool isRejected = sendWaiting();
         for (Engine &it : m_engines) {
-            if (m_named && isTurnedAway && isBeforeBound() && it.isIdle())
-                m_seen.idle += kStep;
+            if (m_publishedAt && isRejected && isWithinBound() && it.isIdle())
+                m_result.idle += kStep;
             it.work([this](Sent &sent) { begun(sent); }, [this](Sent &sent) { ended(sent); });
         }
     }
 
     // True: a request finds no engine.
-    bool ask()
+    bool sendWaiting()
     {
-        constexpr std::size_t kMostWaiting = 20; // callers that do not go elsewhere meanwhile
-        m_due += m_pattern.perSecond * milliseconds(kStep) / 1'000.0;
-        for (; m_due >= 1.0; m_due -= 1.0)
-            m_waiting = std::min(m_waiting + 1, kMostWaiting);
+        constexpr std::size_t kMaxWaiting = 20; // callers that do not go elsewhere meanwhile
+        m_pendingRequests += m_pattern.perSecond * milliseconds(kStep) / 1'000.0;
+        for (; m_pendingRequests >= 1.0; m_pendingRequests -= 1.0)
+            m_waiting = std::min(m_waiting + 1, kMaxWaiting);
         while (m_waiting > 0 && send())
             m_waiting -= 1;
         return m_waiting > 0;
@@ -218,18 +221,18 @@
 
     bool send()
     {
-        Node &node = *m_nodes[m_asked++ % m_nodes.size()];
+        Node &node = *m_nodes[m_requests++ % m_nodes.size()];
         const Prompt prompt{kModel,
-                            {{"own" + std::to_string(m_asked), m_pattern.tokensIn}},
+                            {{"own" + std::to_string(m_requests), m_pattern.tokensIn}},
                             m_pattern.tokensIn,
                             m_pattern.tokensOut};
         std::vector<const UpstreamRecord *> records;
         for (const UpstreamRecord &it : m_records)
             records.push_back(&it);
-        const EngineChooser::Question question{prompt,       "",  m_weights, m_traits, {},
-                                               m_shortGroup, 1.0, 0,         {},       node.pace};
+        const EngineChooser::Query query{prompt,       "",  m_weights, m_traits, {},
+                                         m_shortGroup, 1.0, 0,         {},       node.pace};
         const auto choice
-            = node.chooser.choose(question, records, node.loads, node.health, node.contexts);
+            = node.chooser.choose(query, records, node.loads, node.health, node.contexts);
         if (!choice)
             return false;
         Engine &engine = m_engines[std::stoul(choice->instanceId.substr(1))];
@@ -239,11 +242,11 @@
         sent->node = &node;
         sent->choice = *choice;
         sent->at = m_clock.now();
-        sent->toCompute = static_cast<double>(prompt.tokensIn);
-        sent->toAnswer = m_pattern.token * prompt.mostTokensOut;
+        sent->tokensLeft = static_cast<double>(prompt.tokensIn);
+        sent->answerTime = m_pattern.token * prompt.maxTokensOut;
         node.loads.begin(choice->instanceId, choice->load);
-        if (prompt.tokensIn >= kHeavyTokens && !m_wordDue)
-            m_wordDue = m_clock.now() + kWay;
+        if (prompt.tokensIn >= kHeavyTokens && !m_exchangeDue)
+            m_exchangeDue = m_clock.now() + kMessageDelay;
         engine.take(std::move(sent));
         return true;
     }
@@ -253,15 +256,15 @@
         sent.begun = m_clock.now();
         const EngineChoice &choice = sent.choice;
         if (!choice.isShort)
-            sent.node->pace.observe(choice.found.tokensToCompute + choice.load.tokensToCompute,
+            sent.node->pace.observe(choice.loadBefore.tokensToCompute + choice.load.tokensToCompute,
                                     sent.begun - sent.at);
         sent.node->loads.computed(choice.instanceId, choice.load);
-        if (!m_named)
+        if (!m_publishedAt)
             return;
-        if (isBeforeBound())
-            m_seen.begun += 1;
+        if (isWithinBound())
+            m_result.begun += 1;
         else
-            m_seen.late += 1;
+            m_result.late += 1;
     }
 
     void ended(Sent &sent)
@@ -270,9 +273,9 @@
         sent.node->loads.end(sent.choice.instanceId, sent.choice.load, true);
     }
 
-    void tellLoads()
+    void exchangeLoads()
     {
-        m_wordDue.reset();
+        m_exchangeDue.reset();
         for (std::size_t n = 0; n < m_nodes.size(); ++n) {
             const UpstreamLoads own(m_nodes[n]->loads.own());
             for (std::size_t to = 0; to < m_nodes.size(); ++to) {
@@ -290,17 +293,17 @@
     EngineTraits m_traits;
     WeightHistory m_weights;
     std::set<std::string> m_shortGroup;
-    std::optional<TimePoint> m_named;
-    std::optional<TimePoint> m_wordDue;
+    std::optional<TimePoint> m_publishedAt;
+    std::optional<TimePoint> m_exchangeDue;
     std::uint64_t m_steps = 0;
-    double m_due = 0.0;
+    double m_pendingRequests = 0.0;
     std::size_t m_waiting = 0;
-    std::size_t m_asked = 0;
-    Seen m_seen;
+    std::size_t m_requests = 0;
+    RunResult m_result;
 };
 
 // Some 190 requests wait at each engine, each for a place.
-Pattern manyShort()
+Pattern manyShortPrompts()
 {
     Pattern pattern;
     pattern.name = "many short prompts";
@@ -314,7 +317,7 @@
     Pattern pattern;
     pattern.name = "long prompts";
     pattern.slots = 4;
-    pattern.mostQueued = 6;
+    pattern.maxQueued = 6;
     pattern.perSecond = 25.0;
     pattern.tokensIn = 17'000;
     pattern.tokensOut = 30;
@@ -326,7 +329,7 @@
 {
     Pattern pattern;
     pattern.name = "little memory";
-    pattern.mostQueued = 20;
+    pattern.maxQueued = 20;
     pattern.memory = 87'000;
     pattern.perSecond = 50.0;
     pattern.tokensIn = 4'000;
@@ -340,12 +343,12 @@
     Pattern pattern = longPrompts();
     pattern.name = "slow engines";
     pattern.tokensPerMs = 25.0;
-    pattern.mostQueued = 2;
+    pattern.maxQueued = 2;
     return pattern;
 }
 
 // Hardly any wait.
-Pattern quiet()
+Pattern lightLoad()
 {
     Pattern pattern;
     pattern.name = "quiet";
@@ -354,18 +357,18 @@
 }
 
 // Many runs of the pattern, with loads and engines that differ; their sums.
-Seen runVaried(const Pattern &pattern)
+RunResult runVariations(const Pattern &pattern)
 {
-    Seen sum;
+    RunResult sum;
     for (int n = 0; n < kVariations; ++n) {
         Pattern varied = pattern;
         varied.perSecond *= 0.7 + 0.03 * n;
         varied.token = varied.token * (80 + 7 * (n % 7)) / 100;
         varied.tokensPerMs *= 0.8 + 0.05 * (n % 9);
-        const Seen seen = Fleet(varied).run();
-        sum.begun += seen.begun;
-        sum.late += seen.late;
-        sum.idle += seen.idle;
+        const RunResult result = Fleet(varied).run();
+        sum.begun += result.begun;
+        sum.late += result.late;
+        sum.idle += result.idle;
     }
     return sum;
 }
@@ -375,11 +378,12 @@
 TEST_CASE("late begin: nothing begins on replaced weights after the bound, however long it waits "
           "[weights]")
 {
-    for (const Pattern &pattern : {manyShort(), longPrompts(), littleMemory(), slowEngines()}) {
-        const Seen seen = runVaried(pattern);
+    for (const Pattern &pattern :
+         {manyShortPrompts(), longPrompts(), littleMemory(), slowEngines()}) {
+        const RunResult result = runVariations(pattern);
         CAPTURE(pattern.name);
-        CAPTURE(seen.begun);
-        CHECK(seen.late == 0);
+        CAPTURE(result.begun);
+        CHECK(result.late == 0);
     }
 }
 
@@ -387,16 +391,16 @@
 TEST_CASE("late begin: engines have work until shortly before the bound where nothing waits "
           "[weights]")
 {
-    const Seen seen = runVaried(quiet());
-    CHECK(seen.late == 0);
-    CHECK(milliseconds(seen.idle) < 800.0 * kEngines * kVariations);
+    const RunResult result = runVariations(lightLoad());
+    CHECK(result.late == 0);
+    CHECK(milliseconds(result.idle) < 800.0 * kEngines * kVariations);
 }
 
 TEST_CASE(
     "late begin: engines whose queues are long have work until shortly before the bound [weights]")
 {
-    const Seen seen = runVaried(manyShort());
-    CHECK(milliseconds(seen.idle) < 500.0 * kEngines * kVariations);
+    const RunResult result = runVariations(manyShortPrompts());
+    CHECK(milliseconds(result.idle) < 500.0 * kEngines * kVariations);
 }
 
 TEST_CASE("late begin: a request that waits for others to end waits as long as they take [weights]")
@@ -404,10 +408,10 @@
     PrefillPace pace;
     for (int n = 0; n < 200; ++n)
         pace.observeAnswer(600ms);
-    CHECK(pace.timeForEnds(0, 32) == 0ms);
-    CHECK(pace.timeForEnds(1, 32) > 590ms);
-    CHECK(pace.timeForEnds(32, 32) < 700ms);
-    CHECK(pace.timeForEnds(160, 32) > 2'900ms);
+    CHECK(pace.timeUntilFinished(0, 32) == 0ms);
+    CHECK(pace.timeUntilFinished(1, 32) > 590ms);
+    CHECK(pace.timeUntilFinished(32, 32) < 700ms);
+    CHECK(pace.timeUntilFinished(160, 32) > 2'900ms);
 }
 
 TEST_CASE("late begin: slow engines are known after a few prompts [weights]")
--- a/tests/unit/prefill_line_test.cpp
+++ b/tests/unit/prefill_queue_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "fordwood/prefill_line.hpp"
+#include "fordwood/prefill_queue.hpp"
 
 #include <doctest/doctest.h>
 
@@ -12,11 +12,11 @@
 namespace {
 
 // Computes 1,000 tokens a second and keeps two contexts of 1,000.
-PrefillLine lineOf()
+PrefillQueue makeQueue()
 {
-    PrefillLine line;
-    line.setEngine(1000, 2000);
-    return line;
+    PrefillQueue queue;
+    queue.setEngine(1000, 2000);
+    return queue;
 }
 
 PromptSize promptOf(std::uint64_t prefix)
@@ -41,28 +41,28 @@
     "prefill line: prompts are computed one after the other, kept contexts not again [routing]")
 {
     ManualClock clock;
-    PrefillLine line = lineOf();
-    CHECK(line.timeFor(promptOf(1)) == 1100ms);
-    line.give(promptOf(1), clock.now());
-    CHECK(line.backlog(clock.now()) == 1100ms);
-    CHECK(line.timeFor(promptOf(1)) == 100ms);
-    line.give(promptOf(1), clock.now());
-    CHECK(line.backlog(clock.now()) == 1200ms);
+    PrefillQueue queue = makeQueue();
+    CHECK(queue.timeFor(promptOf(1)) == 1100ms);
+    queue.enqueue(promptOf(1), clock.now());
+    CHECK(queue.backlog(clock.now()) == 1100ms);
+    CHECK(queue.timeFor(promptOf(1)) == 100ms);
+    queue.enqueue(promptOf(1), clock.now());
+    CHECK(queue.backlog(clock.now()) == 1200ms);
     clock.advance(2s);
-    CHECK(line.backlog(clock.now()) == 0ms);
+    CHECK(queue.backlog(clock.now()) == 0ms);
 }
 
 TEST_CASE("prefill line: the least recently used context goes first [routing]")
 {
     ManualClock clock;
-    PrefillLine line = lineOf();
-    line.give(promptOf(1), clock.now());
-    line.give(promptOf(2), clock.now());
-    line.give(promptOf(1), clock.now());
-    line.give(promptOf(3), clock.now());
-    CHECK(line.isWarm(promptOf(1)));
-    CHECK_FALSE(line.isWarm(promptOf(2)));
-    CHECK(line.isWarm(promptOf(3)));
+    PrefillQueue queue = makeQueue();
+    queue.enqueue(promptOf(1), clock.now());
+    queue.enqueue(promptOf(2), clock.now());
+    queue.enqueue(promptOf(1), clock.now());
+    queue.enqueue(promptOf(3), clock.now());
+    CHECK(queue.isCached(promptOf(1)));
+    CHECK_FALSE(queue.isCached(promptOf(2)));
+    CHECK(queue.isCached(promptOf(3)));
 }
 
 TEST_CASE("permit book: an engine that runs nothing has nothing to compute [routing]")
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -76,9 +76,9 @@
     std::vector<bool> m_isAnswered;
 };
 
-StoreNews news(std::uint64_t next, std::vector<StorePartChange> changes)
+StoreUpdate news(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    StoreNews told;
+    StoreUpdate told;
     told.store = "s";
     told.epoch = 7;
     told.next = next;
@@ -163,7 +163,7 @@
 
     const auto lacking = log.since({position(12)});
     REQUIRE(lacking.size() == 1);
-    CHECK_FALSE(lacking[0].restated);
+    CHECK_FALSE(lacking[0].isSnapshot);
     REQUIRE(lacking[0].changes.size() == 1);
     CHECK(lacking[0].changes[0].partId == "a");
     CHECK_FALSE(lacking[0].changes[0].held);
@@ -173,15 +173,15 @@
     CHECK(log.since({position(13)})[0].changes.empty());
     for (const StorePosition &unknown : {position(9), position(13, 6)}) {
         const auto whole = log.since({unknown});
-        CHECK(whole[0].restated);
+        CHECK(whole[0].isSnapshot);
         REQUIRE(whole[0].changes.size() == 1);
         CHECK(whole[0].changes[0].partId == "b");
     }
-    CHECK(log.since({})[0].restated);
+    CHECK(log.since({})[0].isSnapshot);
 
     log.told(news(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
-    CHECK(log.since({position(10)})[0].restated); // the oldest changes are no longer known
-    CHECK_FALSE(log.since({position(13)})[0].restated);
+    CHECK(log.since({position(10)})[0].isSnapshot); // the oldest changes are no longer known
+    CHECK_FALSE(log.since({position(13)})[0].isSnapshot);
 }
 
 TEST_CASE("relays: a reader that is ahead is not set back; a silent store is not told of "
@@ -207,12 +207,12 @@
     store.name = "s";
     store.address = "10.0.0.1:80";
     contexts.setStores({store});
-    StoreNews told = news(1, {{"salt", "a", true, 100}});
+    StoreUpdate told = news(1, {{"salt", "a", true, 100}});
     told.age = 1'400ms;
     contexts.storeAnswered(told);
-    CHECK(contexts.hasWord());
+    CHECK(contexts.hasCurrentStore());
     clock.advance(200ms);
-    CHECK_FALSE(contexts.hasWord());
+    CHECK_FALSE(contexts.hasCurrentStore());
 }
 
 namespace {
--- a/tests/unit/serving_parts_test.cpp
+++ b/tests/unit/serving_parts_test.cpp
@@ -140,7 +140,7 @@
     const ManualClock clock;
     UpstreamHealth health(clock);
     for (int n = 0; n < 30; ++n)
-        health.answeredFailure("a");
+        health.answeredWithError("a");
     CHECK(health.failureRate("a") > 0.9);
     CHECK_FALSE(health.isPaused("a"));
     for (int n = 0; n < 30; ++n)
@@ -162,7 +162,7 @@
     CHECK(chooseUpstream(all, {"far"}, "home", 1, loads, health) == &near);
     CHECK(chooseUpstream(all, {"far", "near"}, "home", 1, loads, health) == nullptr);
     for (int n = 0; n < 10; ++n)
-        health.answeredFailure("far");
+        health.answeredWithError("far");
     CHECK(chooseUpstream(all, {}, "home", 1, loads, health) == &near);
 }
 
@@ -170,20 +170,20 @@
 {
     EventSplitter events;
     CHECK(events.add("id: 1\ndata: a").empty());
-    CHECK(events.hasPartOfEvent());
+    CHECK(events.hasPartialEvent());
     CHECK_FALSE(events.lastId());
     CHECK(events.add("\n\nid: 2\ndata: b\n\nid: 3\n") == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     CHECK(events.lastId() == 2);
-    events.dropPartOfEvent(); // the stream broke in the middle of an event
+    events.dropPartialEvent(); // the stream broke in the middle of an event
     CHECK(events.add("id: 3\r\ndata: c\r\n\r\n") == "id: 3\r\ndata: c\r\n\r\n");
     CHECK(events.lastId() == 3);
-    CHECK_FALSE(events.hasPartOfEvent());
+    CHECK_FALSE(events.hasPartialEvent());
 }
 
 TEST_CASE("events: an event without end is told [streams]")
 {
     EventSplitter events;
-    const std::string bytes(EventSplitter::kMostEventBytes + 1, 'x');
+    const std::string bytes(EventSplitter::kMaxEventBytes + 1, 'x');
     CHECK(events.add(bytes).empty());
     CHECK(events.isTooLong());
 }
