--- a/include/fordwood/call.hpp
+++ b/include/fordwood/call.hpp
@@ -18,10 +18,10 @@
 
 using CallId = std::uint64_t;
 
-// What is asked for: a completion by a model, or a plain service.
+// Kind of request: a completion by a model, or a plain service.
 enum class CallKind : std::uint8_t { Completion, Service };
 
-// What the dispatcher has to know about a caller's request.
+// The properties of a caller's request that the dispatcher uses.
 struct CallRequest
 {
     CallId id = 0;
@@ -29,14 +29,14 @@
     int priority = 0;
     CallKind kind = CallKind::Completion;
     std::string target; // model or service
-    std::string weightVersion; // of a completion
+    std::string weightVersion; // of completions only
     std::uint64_t prefixHash = 0; // requests with the same hash share context
-    std::size_t contextTokens = 0; // of the prompt, shared by requests with the same prefix hash
-    std::size_t questionTokens = 0; // of the prompt, its own
+    std::size_t contextTokens = 0; // prompt tokens shared by requests with the same prefix hash
+    std::size_t questionTokens = 0; // prompt tokens of this request only
     double cost = 1.0; // expected tokens
     bool repeatable = true;
     std::optional<IdempotencyKey> key; // such a request is never repeatable
-    // The same for the same request, whenever it comes; without one it is never held.
+    // Identical for identical requests. A request without a fingerprint is never quarantined.
     std::optional<RequestFingerprint> fingerprint;
     TimePoint deadline{};
 };
@@ -56,7 +56,7 @@
     PromptSize prompt;
 };
 
-// Takes an ask back.
+// Withdraws a permit request.
 struct WithdrawAsk
 {
     std::uint64_t askId;
@@ -64,17 +64,17 @@
     std::string upstream;
 };
 
-// Gives a permit back to the owner that granted it.
+// Returns a permit to the owner that granted it.
 struct ReleasePermit
 {
     std::string owner;
     std::uint64_t permitId;
     std::string upstream;
     double cost;
-    bool pushedBack; // the upstream was full all the same
+    bool pushedBack; // the upstream was full despite the permit
 };
 
-// Tells an owner of a request that runs already, admitted by an earlier owner or process.
+// Informs an owner of a running request that an earlier owner or process admitted.
 struct HoldPermit
 {
     std::string owner;
@@ -92,15 +92,15 @@
     std::string upstream;
     std::string address;
     int priority;
-    TimePoint sendBy; // not to be sent after this
+    TimePoint sendBy; // latest time to send the request
     TimePoint deadline;
     bool repeatable;
-    bool keepAnswer; // for callers who send the same key again
-    std::string weightVersion; // that must answer; empty: any
-    std::optional<std::uint64_t> resumeFrom; // events of the stream that the caller has already
+    bool keepAnswer; // store it for repeats with the same key
+    std::string weightVersion; // required version; empty: any
+    std::optional<std::uint64_t> resumeFrom; // number of stream events that the caller already has
 };
 
-// Breaks off an attempt.
+// Cancels an attempt.
 struct CancelAttempt
 {
     CallId call;
@@ -114,7 +114,7 @@
     Verdict verdict;
 };
 
-// The call is sent again, for the reason given: for counters only.
+// Counts a retry of the call by its reason. Used for metrics only.
 struct CountRetry
 {
     Reason reason;
@@ -129,7 +129,7 @@
     IdempotencyKey key;
 };
 
-// Asks the owner of a team for a part of its ceiling.
+// Asks the owner of a team for a share of its ceiling.
 struct AskAllowance
 {
     std::string owner;
@@ -137,7 +137,7 @@
     AllowanceAsk ask;
 };
 
-// Tells the holder of a key how the call ended.
+// Reports to the holder of a key how the call ended.
 struct FinishClaim
 {
     std::string holder;
@@ -146,7 +146,7 @@
     KeptAnswer answer;
 };
 
-// Ends the call with an answer that was kept.
+// Ends the call with a stored answer.
 struct AnswerKept
 {
     CallId call;
--- a/include/fordwood/call_candidates.hpp
+++ b/include/fordwood/call_candidates.hpp
@@ -12,43 +12,43 @@
 
 namespace fordwood {
 
-// The upstreams that one call may be sent to, best first, and what it met at them. It goes through
-// them once looking for a free place; after that it queues where the first token would come
-// soonest.
+// The upstreams that one call may be sent to, best first, and the outcome of its attempts there.
+// The call first tries each of them for a free slot, then queues at the one that expects to deliver
+// the first token soonest.
 class CallCandidates
 {
 public:
-    // Chooses anew, at most `most` upstreams: those that broke are left out, those that were full
-    // come last. `resuming`: only upstreams that can go on with a stream.
+    // Selects at most `maxCount` upstreams: leaves out those that broke off, and puts those that
+    // were full last. `resuming`: only upstreams that can resume a stream.
     void choose(std::shared_ptr<const FleetView> view, const CallRequest &call, bool resuming,
                 std::size_t maxCount);
 
-    // The view that was chosen from.
+    // The view that the candidates were selected from.
     const FleetView &view() const { return *m_view; }
 
-    // The upstream whose turn it is; null when there is none. Valid until choose().
+    // The current candidate; null if there is none. Valid until choose().
     const UpstreamConfig *current() const;
     bool isOnlyOne() const { return m_upstreams.size() == 1; }
     bool isEmpty() const { return m_upstreams.empty(); }
 
-    // Goes on to the next upstream; false when all had their turn.
+    // Moves to the next candidate; false if none is left.
     bool advance();
 
-    // The current upstream has no place, and could give the first token after `in`.
+    // The current candidate is full and expects to deliver the first token after `delay`.
     void recordFirstTokenDelay(Duration delay);
 
-    // Whether the call waits for its turn where it asks, instead of going on to the next upstream.
+    // Whether the call queues at the current candidate instead of trying the next one.
     bool isQueueing() const { return m_queueing; }
     void setQueueing(bool queueing) { m_queueing = queueing; }
     void queueAtSoonest();
 
-    // What an attempt at the current upstream met.
+    // Record the outcome of an attempt at the current candidate.
     void markFull() { m_full.push_back(current()->name); }
     void markBroken() { m_broken.push_back(current()->name); }
     void markWeightMismatch() { m_mismatched.push_back(current()->name); }
 
     std::size_t weightMismatches() const { return m_mismatched.size(); }
-    // Whether the upstream turned the call away earlier.
+    // Whether the upstream has refused the call before.
     bool wasRefusedBy(const UpstreamConfig &upstream) const;
 
 private:
@@ -57,11 +57,11 @@
 
     std::shared_ptr<const FleetView> m_view; // keeps the upstreams alive
     std::vector<const UpstreamConfig *> m_upstreams;
-    std::vector<std::string> m_full; // refused the call for want of a place
+    std::vector<std::string> m_full; // refused the call because they were full
     std::vector<std::string> m_broken; // an attempt failed there
     std::vector<std::string> m_mismatched; // served another weight version
     std::size_t m_current = 0;
-    std::size_t m_soonest = 0; // of those that had no place
+    std::size_t m_soonest = 0; // index of the full candidate with the earliest first token
     Duration m_soonestDelay = Duration::max();
     bool m_queueing = false;
 };
--- a/include/fordwood/call_plan.hpp
+++ b/include/fordwood/call_plan.hpp
@@ -11,23 +11,23 @@
 
 namespace fordwood {
 
-// What a request allows, taken from its route and its caller.
+// Constraints on the attempts of a request, from its route and its caller.
 struct CallPolicy
 {
     bool mayRunAgain = false; // also after an attempt that may have run
-    bool resumable = false; // a stream may go on at another upstream after its answer has begun
+    bool resumable = false; // a stream that has begun may continue at another upstream
     std::size_t maxAttempts = 1;
     TimePoint answerBy{}; // the caller's deadline or the route's, whichever comes first
 };
 
-// What follows when an attempt has failed.
+// What to do after a failed attempt.
 enum class AfterFailure {
     SendAgain, // to another upstream
-    EndWithVerdict, // no part of an answer has gone to the caller
-    CutAnswer, // a part has: the connection must end so that the answer is seen to be incomplete
+    EndWithVerdict, // the caller has received no part of an answer
+    CutAnswer, // the caller has a part: close the connection so that it is seen to be incomplete
 };
 
-// How one request ended or an attempt at it failed.
+// How an attempt failed.
 struct FailedAttempt
 {
     RunState state = RunState::MayHaveRun;
@@ -35,37 +35,41 @@
     bool answerBegun = false;
 };
 
-// The rules for one request over all its attempts: to how many upstreams it may be sent, whether it
-// may be sent once more after a failure, and what the caller may be told at the end.
+// Applies the retry rules to one request over all its attempts: how many upstreams it may be sent
+// to, whether it may be retried after a failure, and which verdict its caller gets.
 class CallPlan
 {
 public:
     explicit CallPlan(const CallPolicy &terms) : m_terms(terms) { }
 
-    // The request is about to be handed to an upstream.
+    // The request is about to be sent to an upstream.
     void sending(const std::string &instanceId);
 
-    // Nothing of the request was sent after all: no connection came up. The attempt still counts
-    // against endless search, but not against the upstreams that the request may be sent to.
+    // The connection could not be established, so that nothing was sent. The attempt counts toward
+    // the limit of failed connections, but not toward the number of upstreams that the request may
+    // be sent to.
     void notSent();
 
-    // The upstream takes no more requests for now, as this node knows by itself. Nothing came up
-    // and nothing failed, so that it counts against nothing, and the upstream may be chosen again.
+    // This node found by itself that the upstream accepts no requests at the moment. Nothing was
+    // sent and nothing failed, so the attempt does not count at all and the upstream may be chosen
+    // again.
     void rejectedLocally(const std::string &instanceId);
 
-    // Another upstream has the address of the one that was meant, which has ended, and turned the
-    // request away. The one that has ended does not count among those that the request may be sent
-    // to, but what arrived at its address counts as a send of the fleet's.
+    // The intended upstream has ended, and another one at its address rejected the request. The
+    // attempt does not count toward the number of upstreams that the request may be sent to, but
+    // toward the limit of failed connections, and as a send in the fleet's retry budget.
     void reachedOtherInstance();
 
-    // What follows. `takeRepeat` asks the fleet's budget of repeated sends, only when it is needed.
+    // Decides what to do after a failure. `takeRepeat` takes a retry from the fleet's budget and is
+    // called only if needed.
     AfterFailure afterFailure(const FailedAttempt &failure, TimePoint now,
                               const std::function<bool()> &takeRepeat);
 
-    // The verdict for the caller once no attempt is left. True to what may have run.
+    // The verdict for the caller once no attempt is left. It reports that the request may have run
+    // if any attempt may have.
     Verdict verdict(std::chrono::milliseconds retryAfter) const;
 
-    // No upstream could be chosen, or the time is up: the reason that the verdict then gives.
+    // Sets the reason of the verdict: no upstream could be chosen, or the deadline has passed.
     void setReason(Reason reason) { m_reason = reason; }
 
     bool mayHaveRun() const { return m_mayHaveRun; }
@@ -75,8 +79,8 @@
 
 private:
     CallPolicy m_terms;
-    std::size_t m_sends = 0; // that count against the upstreams that may be tried
-    std::size_t m_deliveries = 0; // anywhere
+    std::size_t m_sends = 0; // sends that count toward maxAttempts
+    std::size_t m_deliveries = 0; // sends that reached any upstream
     std::size_t m_connectFailures = 0;
     std::set<std::string> m_tried; // instances
     bool m_mayHaveRun = false;
--- a/include/fordwood/dispatcher.hpp
+++ b/include/fordwood/dispatcher.hpp
@@ -27,11 +27,11 @@
 
 namespace fordwood {
 
-// What an upstream's answer says of the upstream itself.
+// Information about an upstream's own state, taken from one of its answers.
 struct UpstreamNotice
 {
-    bool isDraining = false; // it takes no new work
-    std::optional<Duration> backoff; // it wants nothing from this daemon for so long
+    bool isDraining = false; // it accepts no new requests
+    std::optional<Duration> backoff; // how long this daemon must send it nothing
 };
 
 // Settings of the dispatcher.
@@ -40,9 +40,10 @@
     std::size_t maxCalls = 2048;
     Duration ownerTimeout = std::chrono::milliseconds(500);
     bool direct = true; // send without permits while there is no contention
-    std::size_t maxDirectTokens = 1000; // longer prompts always ask: they wait for one another
+    std::size_t maxDirectTokens
+        = 1000; // longer prompts always need a permit: engines compute them one at a time
     std::size_t candidates = 3; // upstreams tried without queueing before the call queues
-    std::string node = {}; // this one's name
+    std::string node = {}; // name of this node
 };
 
 // How an attempt at an upstream failed.
@@ -51,72 +52,77 @@
     RunState state = RunState::MayHaveRun;
     Reason reason = Reason::UpstreamBroke;
     std::string detail;
-    bool answerBegun = false; // a part of the answer has gone to the caller
-    std::optional<std::uint64_t> passedEvents = std::nullopt; // whole events of a stream that did
+    bool answerBegun = false; // the caller has received a part of the answer
+    std::optional<std::uint64_t> passedEvents
+        = std::nullopt; // complete stream events passed to the caller
 };
 
-// An owner's answer to an ask.
+// An owner's reply to a permit request.
 struct PermitReply
 {
     std::uint64_t askId = 0;
     bool granted = false;
     std::uint64_t permitId = 0;
-    Duration waited{0}; // at the owner
+    Duration waited{0}; // time that the request spent queued at the owner
     Duration sendWithin{0}; // counted from the grant
     Reason reason = Reason::Internal;
     std::chrono::milliseconds retryAfter{0};
-    Duration firstTokenIn{0}; // with a denial
+    Duration firstTokenIn{0}; // set on a denial: expected time to the first token
 };
 
-// The life of every call on one entry node, from its arrival to its end: which upstream, permit,
-// send, and after a failure whether it may be sent again. Events in, actions out; no I/O and no
-// threads. Every call that began ends exactly once: by finished(), or by one EndCall action.
+// Manages every call on one entry node from its arrival to its end: chooses the upstream, obtains a
+// permit, sends, and decides after a failure whether to retry. Takes events and produces actions;
+// does no I/O and has no threads. Every call ends exactly once: by attemptFinished(), or by one
+// EndCall or AnswerKept action.
 class Dispatcher : private TeamAdmission::Listener
 {
 public:
     Dispatcher(const Clock &clock, const DispatcherLimits &limits);
-    // Its parts add to the actions of this one object.
+    // Not copyable: its parts hold references to m_actions.
     Dispatcher(const Dispatcher &) = delete;
     Dispatcher &operator=(const Dispatcher &) = delete;
 
-    // Replaces the view of the fleet. Calls under way go on; owners that are new hear of them.
+    // Replaces the fleet view. Calls in progress continue; new owners are informed of the permits
+    // in use.
     void setView(std::shared_ptr<const FleetView> view);
 
     // A caller's request has arrived.
     void begin(const CallRequest &request);
 
-    // An owner has answered an ask.
+    // An owner has replied to a permit request.
     void permitAnswered(const std::string &owner, const PermitReply &reply);
 
     // The holder of a key has answered a claim.
     void claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer);
 
-    // The owner of a team has answered an ask for a part of its ceiling.
+    // The owner of a team has replied to a request for a share of the team's ceiling.
     void allowanceAnswered(const std::string &team, std::uint64_t askId,
                            const Allowance &allowance);
 
-    // The connection to an owner is gone, and with it its open asks and its permits.
+    // The connection to an owner was lost, and with it the open permit requests and granted
+    // permits.
     void ownerLost(const std::string &owner);
 
     // An attempt has failed.
     void attemptFailed(CallId call, unsigned attempt, const AttemptFailure &failure);
 
-    // An attempt has brought the whole answer. `cost` is what it used, or zero if unknown.
+    // An attempt has delivered the complete answer. `cost` is what the request used, or zero if
+    // unknown.
     void attemptFinished(CallId call, unsigned attempt, double cost, KeptAnswer answer = {});
 
-    // What an answer said of its upstream's limit has been taken in.
+    // The effect of a rate limit that an answer reported.
     struct LimitUpdate
     {
         std::string upstream; // empty: the attempt is over
         std::optional<LimitChange> change;
-        std::optional<double> ownPart; // requests a second that this node may send there
+        std::optional<double> ownPart; // requests per second that this node may send there
     };
 
-    // The head of an answer says this of the upstream's limit.
+    // The head of an answer has reported the upstream's rate limit.
     LimitUpdate limitRead(CallId call, unsigned attempt, const LimitReading &limit);
 
-    // The head of an answer says this of its upstream. Gives the upstream's name and how long it
-    // gets no requests; nothing: it changes nothing.
+    // The head of an answer has reported the upstream's state. Returns the upstream's name and how
+    // long it gets no requests, or nothing if the report changes nothing.
     struct Backoff
     {
         std::string upstream;
@@ -124,13 +130,14 @@
     };
     std::optional<Backoff> noticeRead(CallId call, unsigned attempt, const UpstreamNotice &notice);
 
-    // Upstreams that name a limit now, for the metrics.
+    // Number of upstreams with a known rate limit, for the metrics.
     std::size_t limitedUpstreams() const { return m_gate.beliefs().limited(); }
 
-    // The caller is gone. A keyed request that was sent goes on: its answer is kept.
+    // The caller has disconnected. A request with an idempotency key that was already sent
+    // continues, and its answer is stored.
     void callerLeft(CallId call);
 
-    // Handles everything whose time has come.
+    // Handles all deadlines and timeouts that have expired.
     void tick();
 
     // Refuses new calls from now on.
@@ -150,15 +157,15 @@
         Stage stage = Stage::Asking;
         unsigned attempt = 0;
         CallCandidates candidates;
-        std::uint64_t askId = 0; // while an ask is open
+        std::uint64_t askId = 0; // of the open permit request; zero: none
         std::string askedOwner;
         TimePoint asked{};
         TimePoint askedUntil{};
         TimePoint sentAt{};
         bool entered = false; // counts against the ceiling of its team
-        Verdict last; // why the call has not been answered yet
+        Verdict last; // latest reason why the call has no answer yet
         bool mayHaveRun = false; // by any attempt so far
-        std::optional<std::uint64_t> resumeFrom; // events that the caller has already
+        std::optional<std::uint64_t> resumeFrom; // number of events that the caller already has
     };
 
     // TeamAdmission::Listener
@@ -205,7 +212,8 @@
     UpstreamEnds m_ends;
     LimitGate m_gate;
     UpstreamBackoffs m_backoffs;
-    std::map<std::string, RetrySchedule> m_retrySchedules; // by upstream that takes only so many
+    std::map<std::string, RetrySchedule>
+        m_retrySchedules; // by upstream that is rate-limited or backing off
     bool m_stopping = false;
 };
 
--- a/include/fordwood/engine_chooser.hpp
+++ b/include/fordwood/engine_chooser.hpp
@@ -22,28 +22,29 @@
 
 namespace fordwood {
 
-// The engine for a request, and what is to be said to it.
+// The engine chosen for a request, and the parameters to send with the request.
 struct EngineChoice
 {
     std::string instanceId;
     std::uint64_t weightVersion = 0;
     std::string salt;
-    std::vector<std::string> fetchFrom; // an address for each part; empty: none
-    std::map<std::string, std::size_t> fetchTokens; // by that address
-    std::vector<std::string> saveTo; // likewise
+    std::vector<std::string> fetchFrom; // store address for each part; empty: none
+    std::map<std::string, std::size_t> fetchTokens; // by store address
+    std::vector<std::string> saveTo; // store address for each part; empty: none
     RequestLoad load;
-    // What decided, for the log:
-    std::uint64_t newestWeights = 0; // named for the model, as far as known
-    std::optional<Duration> replacedFor; // since newer weights than the engine's were named
-    std::uint64_t context = 0; // names the shared parts
-    std::size_t sharedTokens = 0; // of them
-    bool isShort = false; // the prompt, for its engine
-    bool isPreferred = false; // the engine that all nodes prefer for the context
-    bool holdsContext = false; // as believed
+    // Reasons for the choice, for the log:
+    std::uint64_t newestWeights = 0; // newest known version of the model
+    std::optional<Duration>
+        replacedFor; // time since newer weights than the engine's were published
+    std::uint64_t context = 0; // hash of the shared parts
+    std::size_t sharedTokens = 0; // in the shared parts
+    bool isShort = false; // see isShortPrompt()
+    bool isPreferred = false; // all nodes rank this engine first for the context
+    bool holdsContext = false; // according to recent sends
     bool isStored = false; // a store holds the context
-    UpstreamLoad loadBefore; // what lay at the engine before
-    double queuedTokens = 0.0; // the wait before its prompt is computed, in tokens to compute
-    Duration firstTokenDelay{}; // its send: until its first token, as far as can be told
+    UpstreamLoad loadBefore; // load of the engine before this request
+    double queuedTokens = 0.0; // work to be computed before this prompt, in tokens
+    Duration firstTokenDelay{}; // estimated time from the send to the first token
 
     bool isFetching() const
     {
@@ -52,23 +53,25 @@
     }
 };
 
-// The part of the engines that a node should consider for one request, where so many nodes choose
-// from loads that are some tenths of a second old. All of a large fleet would else send to the few
-// engines that seemed idle, many times what these compute between two messages. A random part
-// leaves each engine to as many nodes as there are in a small fleet.
+// Returns the share of the engines that a node should consider for one request. Nodes choose by
+// load reports that are some tenths of a second old. In a large fleet, all nodes would send to the
+// few engines that seemed idle, many times what these can compute between two reports. With a
+// random share, each engine is considered by as many nodes as in a small fleet.
 double shareToConsider(std::size_t liveNodes);
 
 // Chooses the engine for a prompt. All nodes prefer the same engine for the same context, so that
-// it is computed once; an engine is passed over when the work that lies there costs more than
-// moving the context, or computing it again, elsewhere.
+// it is computed only once. Another engine is chosen when the work queued at the preferred one
+// costs more than moving the context elsewhere or recomputing it there.
 class EngineChooser
 {
 public:
     struct Limits
     {
-        // Answers that begin on older weights lose value from here on (rules of the platform).
+        // Answers that begin on replaced weights lose value after this time (a rule of the
+        // platform).
         Duration oldWeightsGrace = std::chrono::milliseconds(1'500);
-        // After this no request may begin on older weights (the bound of the platform's settings).
+        // After this time no request may begin on replaced weights (the bound of the platform's
+        // settings).
         Duration weightsWithin = std::chrono::seconds(12);
         Mechanisms mechanisms;
     };
@@ -79,63 +82,64 @@
     {
         const Prompt &prompt;
         std::string isolatedTeam; // empty: the team shares context
-        const WeightHistory &weights; // those named for the model
+        const WeightHistory &weights; // published versions of the model
         const EngineTraits &traits;
         const std::set<std::string> &tried; // instances that failed this request
-        // The engines that are set apart for short prompts; see engine_groups.hpp.
+        // The engines that short prompts prefer; see engine_groups.hpp.
         const std::set<std::string> &shortGroup;
-        // The part of the engines that is considered beside those that have the context or are
-        // preferred for it; see shareToConsider(). `draw` says which: another number, other ones.
+        // Share of the engines to consider besides those that have the context or are preferred for
+        // it; see shareToConsider(). `sampleSeed` selects the random sample.
         double consideredShare = 1.0;
         std::uint64_t sampleSeed = 0;
-        // Cold engines to which only few nodes may send, this one among them: always considered,
-        // as nobody else puts them to use.
+        // Cold engines that only a few nodes, including this one, may send to. They are always
+        // considered, as no other node uses them.
         std::set<std::string> assignedColdEngines = {};
-        // Of the engines of the service.
+        // Pace of the service's engines.
         PrefillPace pace = {};
     };
 
-    // Nothing: no engine may take the request now.
+    // Returns nothing if no engine may take the request at the moment.
     std::optional<EngineChoice> choose(const Query &query,
                                        const std::vector<const UpstreamRecord *> &engines,
                                        const LoadBook &loads, const UpstreamHealth &health,
                                        ContextDirectory &contexts) const;
 
-    // Whether a request that is sent now and begins after such a wait may begin on the weights.
+    // Whether a request that is sent now, and gets its first token after the delay, may run on this
+    // weight version.
     bool beginsInTime(std::uint64_t version, Duration firstTokenDelay,
                       const WeightHistory &weights) const;
 
-    // The request is sent as it was chosen: what follows for where its context lies.
+    // Records in `contexts` that the request was sent as chosen.
     static void recordSent(const EngineChoice &choice, const Prompt &prompt,
                            ContextDirectory &contexts);
 
 private:
-    // What does not differ between engines that serve the same weights.
+    // Values shared by all engines that serve the same weights.
     struct VersionInfo
     {
         std::uint64_t version = 0;
         std::string salt;
-        ContextDirectory::Holder holder; // the store with the context; without address: none
-        double storeTokens = 0.0; // that others fetch there
-        double cost = 0.0; // of answers on them
+        ContextDirectory::Holder holder; // store with the context; empty address: none
+        double storeTokens = 0.0; // queued there for other requests
+        double cost = 0.0; // of answering with this version
         bool isReplaced = false;
-        bool isAtEngine = false; // some engine has the context, as believed
+        bool isAtEngine = false; // an engine has the context, according to recent sends
     };
     struct Candidate
     {
         const UpstreamRecord *engine = nullptr;
         VersionInfo *weights = nullptr;
-        bool isInMatchingGroup = false; // of engines for prompts of this size
+        bool isInMatchingGroup = false; // the group for prompts of this size
         std::uint64_t hash = 0; // of its instance id
-        std::uint64_t weight = 0; // by which all nodes rank it for the context
-        std::size_t rank = 0; // zero: the engine that all nodes prefer
+        std::uint64_t weight = 0; // rendezvous weight of the engine for the context
+        std::size_t rank = 0; // zero: preferred by all nodes
         bool holdsContext = false;
-        bool fetches = true; // the context, where a store has it
+        bool fetches = true; // the context, if a store has it
         UpstreamLoad load;
         double cost = 0.0;
     };
 
-    // What does not differ between engines at all.
+    // Values of the prompt, the same for all engines.
     struct PromptInfo
     {
         bool isShort = false;
--- a/src/core/call_candidates.cpp
+++ b/src/core/call_candidates.cpp
@@ -42,8 +42,8 @@
     auto upstreams = m_view->engines(call.target, call.prefixHash, count);
     if (resuming)
         std::erase_if(upstreams, [](const UpstreamConfig *it) { return !it->resumes; });
-    // Weights that are not those of this node's configuration: if the domain is cut off, its own
-    // engines are the ones that still have them.
+    // An upstream served other weights than this node's configuration requires. If this failure
+    // domain is cut off, its own engines are those that still have the required weights.
     if (!m_mismatched.empty())
         std::stable_partition(upstreams.begin(), upstreams.end(), [&](const auto *it) {
             return it->failureDomain == m_view->ownFailureDomain();
--- a/src/core/call_plan.cpp
+++ b/src/core/call_plan.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-// Upstreams that one request tries to reach in vain before it is refused: two dead ones are likely
-// in a bad hour, more mean that this node is cut off.
+// Failed connections after which a request is refused. Two dead upstreams are likely during an
+// outage; more of them suggest that this node is cut off.
 constexpr std::size_t kMaxConnectFailures = 4;
 
 } // namespace
@@ -52,7 +52,7 @@
     if (now >= m_terms.answerBy || m_sends >= m_terms.maxAttempts
         || m_connectFailures >= kMaxConnectFailures)
         return end;
-    // A first send that never reached an upstream is no repetition.
+    // Sending again is not a repetition if no upstream has been reached yet.
     if (m_deliveries > 0 && !takeRepeat()) {
         if (!m_mayHaveRun)
             m_reason = Reason::RetryBudgetUsed;
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::chrono::milliseconds kRetrySoon{500};
 
-// Here an upstream goes on under its name when it starts again, so that an answer by which it is
-// draining counts for a while only.
+// A restarted upstream keeps its name here, so that a reported draining state expires after this
+// time.
 constexpr Duration kDrainingPause = std::chrono::seconds(10);
 constexpr std::size_t kMaxMismatches = 20;
 constexpr Duration kLocalSendWithin = std::chrono::seconds(2);
@@ -96,7 +96,7 @@
 {
     const auto known = m_asks.find(reply.askId);
     if (known == m_asks.end()) {
-        // The call has gone on without this permit.
+        // The call no longer needs this permit.
         if (reply.granted)
             m_actions.emplace_back(ReleasePermit{owner, reply.permitId, {}, 0.0, false});
         return;
@@ -105,7 +105,8 @@
     m_asks.erase(known);
     call.askId = 0;
     if (reply.granted) {
-        // Counted from the ask, not from the reply: it may have lain unread while we were paused.
+        // Counted from the permit request, not from the reply: the reply may have waited unread
+        // while this process was paused.
         const TimePoint sendBy = call.asked + reply.waited + reply.sendWithin;
         m_permits.takeGranted(call.request, owner, reply.permitId, call.candidates.current()->name);
         return send(call, sendBy);
@@ -118,8 +119,8 @@
     tryNext(call, why);
 }
 
-// Whoever was asked owns the upstream no more, or not yet: the views of two nodes differ for a
-// moment.
+// The member that was asked no longer owns the upstream, or not yet: the views of two nodes can
+// differ briefly.
 void Dispatcher::retryAfterNotOwner(Call &call, const std::string &asked, const Verdict &why)
 {
     const bool queueing = call.candidates.isQueueing();
@@ -177,7 +178,7 @@
     else if (busy)
         call->candidates.markFull();
     Verdict verdict{failure.state, failure.reason, std::chrono::milliseconds(0), failure.detail};
-    // A stream of whole events is not begun again but continued.
+    // A stream of complete events is resumed, not restarted.
     const bool cutForGood = failure.answerBegun && !failure.passedEvents;
     if (!maySendAgain(failure.state, call->request.repeatable, cutForGood))
         return end(id, verdict);
@@ -187,8 +188,8 @@
     if (free)
         m_actions.emplace_back(CountRetry{failure.reason});
     if (!free && !takeRetry(*call, failure.reason)) {
-        // The failure itself stays the verdict: an exhausted budget must not hide that it may have
-        // run.
+        // Keep the failure as the verdict: an exhausted budget must not hide that the request may
+        // have run.
         verdict.detail += (verdict.detail.empty() ? "" : "; ") + std::string("no retry left");
         return end(id, verdict);
     }
@@ -205,8 +206,9 @@
     ask(*call);
 }
 
-// Whether sending again costs nothing of the team's budget, since it adds no load: a direct send
-// that met a full upstream now waits its turn at the owner, and so does one that met other weights.
+// Whether a retry is free of charge for the team's retry budget because it adds no load: a direct
+// send that a full upstream refused now waits for a permit at the owner, and so does one that met
+// other weights.
 bool Dispatcher::needsNoRetry(const Call &call, const AttemptFailure &failure, bool sentDirectly)
 {
     if (failure.reason == Reason::VersionMismatch)
@@ -257,7 +259,7 @@
     return Backoff{upstream, length};
 }
 
-// The gate counts whoever asks it as having a request: it is not asked during a backoff.
+// LimitGate::maySend() counts this node as having a request, so it is not called during a backoff.
 bool Dispatcher::maySend(const std::string &upstream)
 {
     return !m_backoffs.isBackingOff(upstream) && m_gate.maySend(upstream);
@@ -270,7 +272,7 @@
         return;
     Call &call = it->second;
     if (m_claims.isGranted(id) && call.stage == Stage::Sent)
-        return; // its answer is kept for the caller's next send with the same key
+        return; // its answer is stored for a repeat with the same key
     withdraw(call);
     if (call.stage == Stage::Sent)
         m_actions.emplace_back(CancelAttempt{id, call.attempt});
@@ -306,11 +308,11 @@
     }
     m_admission.tick();
     m_quarantine.tick();
-    // This daemon counts for itself: there is nobody to tell.
+    // This daemon keeps its own counts and shares them with nobody.
     std::ignore = m_quarantine.takeNews();
 }
 
-// Ends a call whose time is up.
+// Ends a call whose deadline has passed.
 void Dispatcher::endExpired(Call &call)
 {
     const CallId id = call.request.id;
@@ -327,7 +329,7 @@
     return std::exchange(m_actions, {});
 }
 
-// Lets the call begin if its team may run one more request.
+// Starts the call once its team may run one more request.
 void Dispatcher::admit(Call &call)
 {
     call.stage = Stage::Admitting;
@@ -361,7 +363,7 @@
     m_calls.erase(it);
 }
 
-// Asks a member whether the call's key may run.
+// Asks a member whether the request with the call's key may run.
 void Dispatcher::claim(Call &call, const Member *holder)
 {
     if (holder == nullptr)
@@ -390,7 +392,8 @@
     if (owner == nullptr)
         return sendWithoutOwner(call);
     m_permits.aboutToAsk(*owner);
-    // A lone candidate is queued for at once; else the first round only looks for a free place.
+    // A single candidate is queued for at once; otherwise the first pass only looks for a free
+    // slot.
     const bool queueing = call.candidates.isQueueing() || call.candidates.isOnlyOne();
     call.candidates.setQueueing(queueing);
     const TimePoint now = m_clock.now();
@@ -422,13 +425,13 @@
     if (call.candidates.advance())
         return ask(call);
     m_contention.countRefused(call.request.target);
-    // No place is free anywhere near.
+    // No candidate has a free slot.
     call.candidates.queueAtSoonest();
     ask(call);
 }
 
-// The upstream takes no more requests for now. Others come first; where there is none, the call is
-// refused at once.
+// Skips an upstream that accepts no requests at the moment. If no other candidate is left, the call
+// is refused at once.
 void Dispatcher::skipUpstream(Call &call)
 {
     if (call.candidates.isQueueing())
@@ -436,9 +439,9 @@
     tryNext(call, Verdict::of(Reason::UpstreamLimited, {}, kRetrySoon));
 }
 
-// Only where a full upstream says that it did not run the request. A call that found every
-// candidate full waits its turn at an owner instead, and tells the others of its model that places
-// are short.
+// Direct sends go only to upstreams that refuse requests when full, without running them. A call
+// that all candidates refused waits for a permit at an owner instead, and counts as a sign of
+// contention for the other calls of its model.
 bool Dispatcher::maySendDirectly(const UpstreamConfig &upstream, const Call &call)
 {
     const std::size_t tokens = call.request.contextTokens + call.request.questionTokens;
@@ -461,7 +464,7 @@
     send(call, m_clock.now() + kLocalSendWithin);
 }
 
-// Sends the call under the permit that it has just taken.
+// Sends the call with the permit just obtained.
 void Dispatcher::send(Call &call, TimePoint sendBy)
 {
     const UpstreamConfig *upstream = call.candidates.current();
@@ -469,14 +472,14 @@
         m_permits.release(call.request.id, 0.0);
         return tryNext(call, Verdict::of(Reason::UpstreamLeaving, {}, kRetrySoon));
     }
-    // Its upstreams may have ended under other copies of it while it waited.
+    // Other copies of the request may have made upstreams break off while this one waited.
     if (isHeld(call.request)) {
         m_permits.release(call.request.id, 0.0);
         return end(call.request.id, quarantineVerdict(call.request));
     }
-    // Another call may have used this daemon's part of the limit, or the limit been named, while
-    // this one waited for its permit. An engine that named two requests a second got ten from one
-    // daemon.
+    // While this call waited for its permit, another call may have used up this daemon's share of
+    // the limit, or the limit may have been announced. Without this check, an engine with a limit
+    // of two requests per second got ten from one daemon.
     if (!maySend(upstream->name)) {
         m_permits.release(call.request.id, 0.0);
         return skipUpstream(call);
@@ -492,8 +495,8 @@
                  call.request.key.has_value(), call.request.weightVersion, call.resumeFrom});
 }
 
-// A request that nobody has begun to answer runs on the weight version that is in force now; a
-// stream goes on with the one that it began with.
+// A request without any part of an answer runs on the current weight version; a resumed stream
+// continues on the version that it began with.
 void Dispatcher::renewVersion(Call &call) const
 {
     if (call.request.kind != CallKind::Completion || call.resumeFrom)
@@ -520,8 +523,8 @@
     EndCall action{id, verdict};
     if (it != m_calls.end()) {
         const Call &call = it->second;
-        // "Not run" is only true if it is true of every attempt, and of a key only if the key was
-        // ours.
+        // Report "not run" only if it holds for every attempt and, with a key, only if this call
+        // was granted the key.
         const bool unsure = call.mayHaveRun || (call.request.key && !m_claims.isGranted(id));
         if (unsure && verdict.state == RunState::NotRun)
             action.verdict.state = RunState::MayHaveRun;
@@ -542,8 +545,8 @@
     return true;
 }
 
-// An upstream has broken off under the call. Without counting that, a request that its caller sends
-// again and again ends an upstream each time.
+// Records that an upstream broke off while it ran the call. Without this count, a request that its
+// caller keeps repeating would bring down one upstream after the other.
 void Dispatcher::recordBreakOff(const Call &call)
 {
     if (call.request.fingerprint)
--- a/src/core/engine_chooser.cpp
+++ b/src/core/engine_chooser.cpp
@@ -10,47 +10,47 @@
 
 namespace {
 
-// Costs are in prompt tokens that an engine would have to compute; see docs/design/10-platform.md.
+// Costs are measured in prompt tokens to compute; see docs/design/10-platform.md.
 
-// Computing context again that the stores hold would also cost the fleet, not only this request;
-// but then it is fetched. What no store holds is probably read for the first time.
+// Recomputing context that a store holds would cost the whole fleet and not only this request, but
+// such context is fetched. Context that no store holds is probably new.
 constexpr double kComputeWeight = 1.0;
-// The engine that all nodes prefer for a context may have it from a request of another node.
+// The preferred engine may already have the context from a request of another node.
 constexpr double kPreferredComputeWeight = 0.9;
-// Reading a context again that another engine has costs the fleet more than the request's wait.
+// Recomputing a context that another engine has costs the fleet more than this request's wait.
 constexpr double kRecomputeWeight = 4.0;
-// For short prompts, which come from all nodes, most to few contexts.
+// For short prompts. They come from all nodes, and most of them share a few contexts.
 constexpr double kShortPreferredWeight = 0.2;
 constexpr double kShortSecondWeight = 2.0;
 constexpr double kShortOtherWeight = 4.0;
-// Moving a token of context takes a part of the time of computing it, with the wait for the links.
+// Cost of fetching a token of context relative to computing it, including the wait for the links.
 constexpr double kFetchWeight = 0.2;
 // Links between failure domains are half as fast.
 constexpr double kCrossDomainFactor = 2.0;
-// How long an engine keeps a context after its last use, about: long prompts fill its memory within
-// seconds, short ones do so only after minutes.
+// Approximate time that an engine keeps a context after its last use: long prompts fill its memory
+// within seconds, short ones only after minutes.
 constexpr Duration kLongContextKept = std::chrono::seconds(3);
 constexpr Duration kShortContextKept = std::chrono::seconds(20);
-// Each running request slows every token of the others a little.
+// Each running request slightly slows down all the others.
 constexpr double kRunningRequestCost = 60.0;
-// The part of the waiting work of an engine that a short prompt waits for.
+// Share of an engine's queued work that a short prompt waits for.
 constexpr double kShortQueueShare = 0.3;
-// A request beyond the slots waits for a whole other request to end.
+// A request beyond the slots waits until another request has finished.
 constexpr double kMissingSlotCost = 12'000.0;
-// Memory beyond the engine's preempts others, which then compute their prompts again.
+// A request beyond the engine's memory preempts others, whose prompts are then recomputed.
 constexpr double kMissingMemoryWeight = 4.0;
-// A short prompt among long ones waits for their computation, and loses its context to them.
+// A short prompt among long ones waits for their computation, and they evict its context.
 constexpr double kShortOutsideGroupCost = 6'000.0;
-// A long prompt among short ones does so to some hundred of them.
+// A long prompt among short ones does this to about a hundred of them.
 constexpr double kLongInShortGroupCost = 25'000.0;
-// An answer on older weights loses a fifth of its value.
+// An answer on replaced weights loses a fifth of its value.
 constexpr double kOldWeightsCost = 6'000.0;
-// An engine all of whose requests fail is used only when there is no other.
+// An engine whose requests all fail is used only if there is no other.
 constexpr double kFailureCost = 60'000.0;
-// Of so many places at an engine one may be taken by a request that a peer has not told of yet.
+// One in this many slots may be taken by a request that a peer has not reported yet.
 constexpr std::size_t kSlotsPerUnreportedRequest = 8;
-// For what a wait takes beyond what is expected: an engine may be slower than the others, and peers
-// may have sent it prompts that they have not told of yet.
+// Margin for waits that take longer than estimated: an engine may be slower than the others, and
+// peers may have sent it prompts that they have not reported yet.
 constexpr Duration kFirstTokenMargin = std::chrono::seconds(1);
 
 } // namespace
@@ -61,7 +61,7 @@
     if (query.tried.contains(engine.instanceId) || health.isPaused(engine.instanceId))
         return false;
     const auto version = engine.weightVersions.find(query.prompt.model);
-    // Versions begin at 1: 0 tells none, and the request could be held to nothing.
+    // Versions begin at 1. With 0 (unknown), the request could not require a version.
     return version != engine.weightVersions.end() && version->second != 0;
 }
 
@@ -71,18 +71,18 @@
     const auto replaced = weights.superseded(version);
     if (!replaced)
         return true;
-    // Weights that were replaced at a time that nobody knows may have been so for long: only nodes
-    // that know how long may use them.
+    // If it is unknown when the weights were replaced, that may have been long ago: only nodes that
+    // know the time may use them.
     if (!replaced->earliest)
         return false;
-    // A fixed time for the wait is too short where requests queue, and leaves engines without work
-    // that could still begin it at once.
+    // A fixed estimate of the wait would be too short where requests queue, and would leave engines
+    // idle that could still start the request at once.
     const Duration begins = m_clock.now() - *replaced->earliest + firstTokenDelay;
     return begins + kFirstTokenMargin < m_limits.weightsWithin;
 }
 
-// How long a request waits at an engine for its first token. All that lies there counts, also what
-// a short prompt may overtake: an engine that is left out for its queue has work meanwhile.
+// Estimates how long a request waits at an engine for its first token. All work there counts, even
+// what a short prompt may overtake: an engine excluded because of its queue is not idle meanwhile.
 Duration EngineChooser::timeToFirstToken(const UpstreamLoad &load, const Query &query,
                                          const VersionInfo &weights) const
 {
@@ -91,7 +91,8 @@
     const std::size_t requests = load.running + 1;
     const std::size_t held = load.tokensHeld + prompt.tokensIn + prompt.maxTokensOut;
     std::size_t concurrent = traits.slots;
-    // Where the memory holds fewer requests than there are slots, it decides how many run at once.
+    // If the memory holds fewer requests than there are slots, the memory limits how many run at
+    // once.
     if (held > 0 && traits.contextTokens > 0)
         concurrent = std::min(concurrent, requests * traits.contextTokens / held);
     const std::size_t places = concurrent - concurrent / kSlotsPerUnreportedRequest;
@@ -101,8 +102,8 @@
     return query.pace.timeFor(tokens) + query.pace.timeUntilFinished(mustEnd, concurrent);
 }
 
-// What the store of a context sends before it, in tokens to compute; nothing where the context is
-// computed instead.
+// Work that the store sends before this context, in tokens to compute; zero if the context is
+// recomputed instead.
 double EngineChooser::storeWait(const VersionInfo &weights, double sharedTokens) const
 {
     const double waitingTokens = kFetchWeight * weights.storeTokens;
@@ -111,8 +112,8 @@
     return isFetched || !m_limits.mechanisms.computingInstead ? waitingTokens : 0.0;
 }
 
-// What is to be computed before a prompt: a short one goes before long ones that wait, but not
-// before those that are being computed.
+// Work to be computed before a prompt. A short prompt overtakes long ones that wait, but not those
+// that are being computed.
 double EngineChooser::queueCost(const UpstreamLoad &load, const PromptInfo &promptInfo) const
 {
     return static_cast<double>(load.tokensToCompute)
@@ -130,14 +131,15 @@
     return cost;
 }
 
-// Tokens for which the engine would have no memory beside the requests that run there.
+// Tokens that would exceed the engine's memory if it ran this request as well.
 std::size_t EngineChooser::missingMemory(const UpstreamLoad &load, const Query &query)
 {
     const std::size_t memory = load.tokensHeld + query.prompt.tokensIn + query.prompt.maxTokensOut;
     return memory - std::min(memory, query.traits.contextTokens);
 }
 
-// Orders the engines as all nodes prefer them for the context: first those of its group.
+// Ranks the engines for the context in the same order on all nodes, those of the matching group
+// first.
 void EngineChooser::rank(std::vector<Candidate> &candidates, const PromptInfo &promptInfo,
                          const std::set<std::string> &shortGroup)
 {
@@ -154,9 +156,10 @@
         candidates[n].rank = n;
 }
 
-// What it costs to compute the shared context at the engine, in its own tokens. All nodes send the
-// short prompts of a context to the same engine, and the others to the same next one, so that it is
-// probably there; the more of them have it, the less room there is for other contexts.
+// Cost of computing the shared context at the engine, per token of the context. All nodes send the
+// short prompts of a context to the same engine and the overflow to the same second one, so that
+// these engines probably have it. The more engines keep a context, the less memory is left for
+// other contexts.
 double EngineChooser::recomputeWeight(const Candidate &candidate,
                                       const PromptInfo &promptInfo) const
 {
@@ -202,9 +205,9 @@
     return weights;
 }
 
-// What it costs to have the shared context at the engine. Where the store's link has more to send
-// than computing the context again costs the fleet, it is computed: so a link that turns slow makes
-// few answers late.
+// Cost of providing the shared context at the engine. If the store's link has more queued than
+// recomputing the context costs the fleet, the context is recomputed, so that a slow link delays
+// few answers.
 double EngineChooser::contextCost(Candidate &candidate, const PromptInfo &promptInfo) const
 {
     if (candidate.holdsContext)
@@ -213,7 +216,7 @@
     if (holder.address.empty())
         return promptInfo.sharedTokens * recomputeWeight(candidate, promptInfo);
     const bool isNear = holder.failureDomain == candidate.engine->failureDomain;
-    // Moves over the store's link run one after the other.
+    // Transfers over the store's link run one after the other.
     const double waitingTokens = kFetchWeight * candidate.weights->storeTokens;
     const double fetching
         = waitingTokens
@@ -223,10 +226,11 @@
     return candidate.fetches ? fetching : computing;
 }
 
-// Those that have the context or are preferred for it, and a random part of the others.
+// Whether the engine has the context, is preferred for it, is an assigned cold engine or belongs to
+// the random sample.
 bool EngineChooser::isConsidered(const Candidate &candidate, const Query &query)
 {
-    constexpr std::size_t kPreferred = 2; // of the order that all nodes share
+    constexpr std::size_t kPreferred = 2; // engines at the top of the shared ranking
     return candidate.holdsContext || candidate.rank < kPreferred
            || query.assignedColdEngines.contains(candidate.engine->instanceId)
            || hashFraction(rendezvousWeight(query.sampleSeed, candidate.hash))
@@ -250,7 +254,8 @@
 
 double shareToConsider(std::size_t liveNodes)
 {
-    // Nodes that choose at the same time and do not yet see each other's choices do little harm.
+    // This many nodes do little harm if they choose at the same time without seeing each other's
+    // choices.
     constexpr double kMaxNodesPerEngine = 12.0;
     return std::min(1.0,
                     kMaxNodesPerEngine / static_cast<double>(std::max<std::size_t>(liveNodes, 1)));
@@ -304,7 +309,7 @@
     return complete(*best, promptInfo, query, contexts);
 }
 
-// The size that decides whether a part is worth a save.
+// Size that decides whether a part is worth saving.
 std::size_t EngineChooser::contextToSave(const Prompt &prompt, const PromptPart &part) const
 {
     return m_limits.mechanisms.smallFirstParts ? prompt.sharedTokens() : part.tokens;
