--- a/include/fordwood/allowed_regions.hpp
+++ b/include/fordwood/allowed_regions.hpp
@@ -13,15 +13,16 @@
 // The region of each failure domain, as far as known.
 using DomainRegions = std::map<std::string, std::string>;
 
-// The regions that a request may go to, with its prompt and its context: where the route and the
-// team both name regions, both bind. A failure domain whose region is not known is in none of them.
+// The regions that a request may be sent to, with its prompt and context. If both the route and the
+// team list regions, a region must be in both lists. A failure domain of unknown region is allowed
+// only if neither lists any.
 class AllowedRegions
 {
 public:
-    // `team`: null for a request without one.
+    // `team` is null for a request without a team.
     AllowedRegions(const ServiceRoute &route, const ServingTeam *team);
 
-    // Whether any region will do.
+    // Whether all regions are allowed.
     bool isUnrestricted() const { return m_routeRegions.empty() && m_teamRegions.empty(); }
 
     bool allows(const std::string &failureDomain, const DomainRegions &regions) const;
--- a/include/fordwood/contention.hpp
+++ b/include/fordwood/contention.hpp
@@ -10,26 +10,28 @@
 
 namespace fordwood {
 
-// Tells whether upstreams of a kind are short of places, from what happened to recent sends. While
-// they are not, requests are sent without asking an owner first; an upstream that is full says so,
-// unrun. One value for all upstreams of a model: a pair of entry node and upstream sees far too few
-// requests to judge by itself in a large fleet. Not thread-safe.
+// Detects from the results of recent sends whether the upstreams of a kind lack free slots. While
+// they do not, requests are sent without asking an owner for a permit first; a full upstream
+// refuses such a request without running it. All upstreams of a model share one value: in a large
+// fleet, one entry node sends far too few requests to one upstream to judge it alone. Not
+// thread-safe.
 class Contention
 {
 public:
     struct Limits
     {
         Duration window = std::chrono::seconds(2);
-        double share = 0.05; // of sends that were refused
-        Duration quietTime = std::chrono::seconds(5); // without a refusal until contention ends
+        double share = 0.05; // share of refused sends that means contention
+        Duration quietTime
+            = std::chrono::seconds(5); // time without a refusal after which contention ends
     };
 
     Contention(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    // A send to an upstream of the kind went through.
+    // An upstream of the kind accepted a send.
     void countAccepted(const std::string &kind) { count(kind, false); }
 
-    // An upstream of the kind, or its owner, had no place.
+    // An upstream of the kind, or its owner, had no free slot.
     void countRefused(const std::string &kind) { count(kind, true); }
 
     bool isContended(const std::string &kind)
--- a/include/fordwood/context_directory.hpp
+++ b/include/fordwood/context_directory.hpp
@@ -16,7 +16,7 @@
 
 namespace fordwood {
 
-// A part that a store holds whole, or has dropped.
+// A prompt part that a store now holds completely, or has dropped.
 struct StorePartChange
 {
     std::string salt;
@@ -25,21 +25,23 @@
     std::size_t tokens = 0;
 };
 
-// What one store of kept context has told.
+// Changes that one context store has reported.
 struct StoreUpdate
 {
     std::string store; // its name
     std::uint64_t epoch = 0; // changes when the store has lost everything
-    bool isSnapshot = false; // `changes` is all that it holds
-    std::uint64_t next = 0; // the number of the store's first event that is not in here
-    std::chrono::milliseconds clock{0}; // of the engines and stores, when it answered
-    std::chrono::milliseconds age{0}; // how long ago it answered, to the relay that heard it
+    bool isSnapshot = false; // `changes` lists everything that it holds
+    std::uint64_t next = 0; // number of the store's first event not included
+    std::chrono::milliseconds clock{
+        0}; // clock shared by engines and stores, when the store answered
+    std::chrono::milliseconds age{0}; // time since it answered the relay
     std::vector<StorePartChange> changes;
 };
 
-// Where kept context lies, as far as this node knows: at the engines by what it sent there, in the
-// stores by what they tell. A store's word holds only while it answers: one that has been away may
-// have come back empty, and a part of that name may then be half written.
+// Tracks where context is kept, as far as this node knows: at the engines according to what was
+// sent there, and in the stores according to their reports. A store's report is valid only while
+// the store answers: after an outage it may be empty, and a part of the same name may be only half
+// written.
 class ContextDirectory
 {
 public:
@@ -47,61 +49,65 @@
     {
         Duration sendMemory = std::chrono::seconds(20); // how long sends are remembered
         Duration storeAnswerLife
-            = std::chrono::milliseconds(1'500); // how long a store's answer holds
+            = std::chrono::milliseconds(1'500); // how long a store's answer is valid
         Duration saveTimeout
-            = std::chrono::seconds(4); // a save that was not confirmed by then is lost
+            = std::chrono::seconds(4); // a save not confirmed by then is considered lost
         std::size_t maxSends = 4'096; // sends remembered
-        // Context that will not be fetched for so long any more is not worth a save.
+        // Context that can be fetched for less than this time is not worth saving.
         Duration minUseTime = std::chrono::seconds(2);
-        // Sends are told to peers for so long: some messages may be lost.
+        // Sends are announced to peers for this long, as some messages may be lost.
         Duration announceTime = std::chrono::milliseconds(600);
-        std::size_t minAnnouncedTokens = 1'000; // of context: smaller ones are read again quickly
+        std::size_t minAnnouncedTokens = 1'000; // smaller contexts are quickly recomputed
         std::size_t maxAnnouncedSends = 64; // in one message
     };
 
     explicit ContextDirectory(const Clock &clock) : ContextDirectory(clock, Limits{}) { }
     ContextDirectory(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    // The stores of the configuration in force.
+    // Sets the stores of the current configuration.
     void setStores(const std::vector<ContextStore> &stores);
 
-    // A request with this context, of so many tokens, was sent to an engine.
+    // A request with this context of `tokens` tokens was sent to an engine.
     void recordSend(const std::string &instanceId, const std::string &salt,
                     std::uint64_t contextHash, std::size_t tokens);
 
-    // Sends of long contexts of late, in a form for peers; and what a peer has told so.
+    // Recent sends of long contexts as hashes to announce to peers, and those that a peer
+    // announced.
     std::vector<std::uint64_t> recentSends();
     void recordPeerSends(const std::vector<std::uint64_t> &sends);
 
-    // Whether a request with the context was sent to the engine within `keptFor`.
+    // Whether a request with the context was sent to the engine within the last `keptFor`.
     bool isContextAtEngine(const std::string &instanceId, const std::string &salt,
                            std::uint64_t contextHash, Duration keptFor) const;
 
-    // `waited`: since this node heard the news.
+    // `waited`: time since this node received the update.
     void storeAnswered(const StoreUpdate &update, Duration waited = Duration::zero());
     void storeFailed(const std::string &store);
 
-    // Whether any store's word holds now; true as well when there is no store.
+    // Whether the last answer of any store is still valid; also true if there are no stores.
     bool hasCurrentStore() const;
 
-    // A store that holds a part; without an address when there is none.
+    // A store that holds a part; the address is empty if there is none.
     struct Holder
     {
         std::string address;
         std::string failureDomain;
     };
 
-    // The versions that were named for the model.
+    // Sets the versions published for the model.
     void setWeights(const std::string &model, const WeightHistory &history);
 
-    // Whether this node hears of newly named weights: it reaches the platform's store or a peer.
+    // Sets whether this node learns of newly published weights: it reaches the platform's store or
+    // a peer.
     void setReceivesVersions(bool informed) { m_receivesVersions = informed; }
 
-    // A store that holds the part whole, and surely will while a fetch that begins now may run.
+    // A store that holds the complete part, and will certainly hold it while a fetch that starts
+    // now may run.
     Holder holderOf(const std::string &salt, const std::string &partId) const;
 
-    // Address of the store that shall keep the part of a context of so many tokens, one in the
-    // engine's failure domain if it has room; empty when none has, or a save is under way.
+    // Address of the store to save a part of a context of `contextTokens` tokens to: one in the
+    // engine's failure domain if it has room. Empty if none has room, a save is in progress, or
+    // saving is not worthwhile.
     std::string storeForSave(const std::string &salt, const PromptPart &part,
                              std::size_t contextTokens, const std::string &failureDomain);
 
@@ -122,7 +128,7 @@
         TimePoint answered = TimePoint::min();
         std::unordered_map<std::string, std::size_t> parts; // tokens by salt and part
         std::size_t tokens = 0; // of all parts
-        std::map<std::string, Save> saves; // under way, by salt and part
+        std::map<std::string, Save> saves; // in progress, by salt and part
         std::size_t tokensOfSaves = 0;
     };
 
--- a/include/fordwood/engine_groups.hpp
+++ b/include/fordwood/engine_groups.hpp
@@ -16,11 +16,12 @@
 
 namespace fordwood {
 
-// Whether a prompt is short for its engine: many of its kind fit into the engine's memory.
+// Whether a prompt is short for an engine: many prompts of its size fit into the engine's memory.
 bool isShortPrompt(const Prompt &prompt, const EngineTraits &traits);
 
-// How much context short prompts share, in tokens: what engines need to keep so that none of it is
-// computed again. Each node counts the contexts of its own requests and adds what its peers tell.
+// Estimates how much shared context short prompts use, in tokens: what engines must keep so that
+// none of it is recomputed. Each node counts the contexts of its own requests and adds the totals
+// that its peers report.
 class ShortPromptDemand
 {
 public:
@@ -30,12 +31,12 @@
 
     void count(const Prompt &prompt);
 
-    // Tokens of this node's contexts of late.
+    // Tokens of the contexts that this node's requests used recently.
     std::size_t ownTokens();
 
     void setPeer(const std::string &peer, std::size_t tokens);
 
-    // Tokens of all nodes.
+    // Tokens of this node and its peers.
     std::size_t total();
 
 private:
@@ -56,10 +57,10 @@
     std::map<std::string, PeerDemand> m_peers;
 };
 
-// The engines that short prompts prefer and long ones avoid. Without it, each long prompt drives
-// the contexts of some hundred short ones out of an engine's memory, and makes those that run there
-// wait for its own computation. The set is the same on all nodes that see the same engines, and one
-// more engine in it moves few contexts.
+// Selects the engines that short prompts prefer and long ones avoid. Without this group, each long
+// prompt evicts the contexts of some hundred short ones from an engine's memory and delays the
+// requests that run there. All nodes that see the same engines select the same group, and adding
+// one engine to it moves few contexts.
 std::set<std::string> enginesForShortPrompts(const std::vector<const UpstreamRecord *> &engines,
                                              const EngineTraits &traits, std::size_t demandTokens);
 
--- a/include/fordwood/event_splitter.hpp
+++ b/include/fordwood/event_splitter.hpp
@@ -9,25 +9,25 @@
 
 namespace fordwood {
 
-// Cuts the bytes of a `text/event-stream` into whole events, so that only whole ones are passed on
-// and a stream that breaks can go on after the last of them.
+// Splits the bytes of a `text/event-stream` into complete events, so that only complete ones are
+// passed on and a broken stream can be resumed after the last of them.
 class EventSplitter
 {
 public:
-    // The most bytes that one event may have before its stream is taken as broken.
+    // Maximum size of an event; a stream with a larger one is considered broken.
     static constexpr std::size_t kMaxEventBytes = 1 << 20;
 
-    // Takes in bytes. Returns the whole events that are now complete, unaltered, as one text; it
-    // stays valid until the next call.
+    // Adds bytes. Returns the events that are now complete, unchanged, as one text that stays valid
+    // until the next call.
     std::string_view add(std::string_view bytes);
 
-    // The id of the last whole event; nothing while there was none with an id.
+    // The id of the last complete event that has one; nothing before that.
     const std::optional<std::uint64_t> &lastId() const { return m_lastId; }
 
-    // Bytes of an event that is not whole yet.
+    // Whether there are bytes of an incomplete event.
     bool hasPartialEvent() const { return m_bytes.size() > m_completeBytes; }
 
-    // The stream goes on at another upstream: what is not whole is dropped.
+    // Drops an incomplete event, as the stream continues at another upstream.
     void dropPartialEvent();
 
     bool isTooLong() const { return m_bytes.size() - m_completeBytes > kMaxEventBytes; }
@@ -36,7 +36,7 @@
     void updateLastId(std::string_view events);
 
     std::string m_bytes;
-    std::size_t m_completeBytes = 0; // of m_bytes, given out by the last add()
+    std::size_t m_completeBytes = 0; // bytes of m_bytes returned by the last add()
     std::optional<std::uint64_t> m_lastId;
 };
 
--- a/include/fordwood/observed_weights.hpp
+++ b/include/fordwood/observed_weights.hpp
@@ -8,11 +8,11 @@
 
 namespace fordwood {
 
-// The weight version that an engine was seen to run, by an answer of its own.
+// The weight version that an engine runs, as shown by its own answer.
 struct ObservedWeights
 {
     std::uint64_t version = 0;
-    TimePoint seen{}; // not later than the engine ran it
+    TimePoint seen{}; // no later than the time when the engine ran it
 };
 
 } // namespace fordwood
--- a/include/fordwood/prefill_pace.hpp
+++ b/include/fordwood/prefill_pace.hpp
@@ -9,16 +9,16 @@
 
 namespace fordwood {
 
-// How fast the engines of one service compute prompts, as their first tokens show, and how long
-// answers keep their places there. Nobody states it, and engines differ.
+// Estimates how fast the engines of one service compute prompts, from the times of their first
+// tokens, and how long answers occupy their slots. Engines differ, and none publishes these values.
 class PrefillPace
 {
 public:
-    // A first token has come `took` after its prompt was sent; `tokens` had to be computed by then,
-    // with those that lay at the engine before it.
+    // A first token arrived `took` after its prompt was sent. `tokens` had to be computed by then,
+    // including the work that was at the engine before.
     void observe(std::size_t tokens, Duration took)
     {
-        // Shorter ones tell of the fixed part of the time.
+        // The times of shorter prompts mostly show a fixed overhead.
         constexpr std::size_t kMinTokens = 4'000;
         if (tokens < kMinTokens || took <= Duration(0))
             return;
@@ -32,15 +32,15 @@
             m_answerMs.add(milliseconds(took));
     }
 
-    // How long so many tokens take, about.
+    // Approximate time to compute this many tokens.
     Duration timeFor(double tokens) const
     {
         const std::chrono::duration<double, std::milli> ms(tokens / m_tokensPerMs.value);
         return std::chrono::duration_cast<Duration>(ms);
     }
 
-    // How long it takes at most, about, until `n` of the requests have ended, of which so many run
-    // at once: those that began together end together.
+    // Approximate upper bound of the time until `n` requests have finished, of which `atOnce` run
+    // at once: requests that started together finish together.
     Duration timeUntilFinished(std::size_t n, std::size_t atOnce) const
     {
         const std::size_t places = std::max<std::size_t>(atOnce, 1);
@@ -51,7 +51,7 @@
     }
 
 private:
-    // Of the last samples; the value before the first one counts as a sample.
+    // Mean of the latest samples. The initial value counts as a sample.
     struct Mean
     {
         void add(double sample)
@@ -71,7 +71,7 @@
         return std::chrono::duration<double, std::milli>(time).count();
     }
 
-    Mean m_tokensPerMs{50.0}; // until observed: a slow engine of today
+    Mean m_tokensPerMs{50.0}; // initially that of a slow current engine
     Mean m_answerMs{1'000.0};
 };
 
--- a/include/fordwood/prefill_queue.hpp
+++ b/include/fordwood/prefill_queue.hpp
@@ -12,7 +12,7 @@
 
 namespace fordwood {
 
-// A prompt as routing sees it.
+// The size of a prompt, and a hash that identifies its shared context.
 struct PromptSize
 {
     std::uint64_t prefixHash = 0; // prompts with the same hash begin with the same context
@@ -20,14 +20,14 @@
     std::size_t questionTokens = 0;
 };
 
-// What is believed of one engine's computation of prompts: which contexts it keeps, and when it
-// will have computed all that it was given. Engines compute prompts one after the other at a
-// roughly fixed rate, so this, and not the number of running requests, tells how long a new one
-// waits. A wrong belief makes a request slower and never an answer wrong. Not thread-safe.
+// Estimates how one engine computes prompts: which contexts it caches, and when it will have
+// computed all prompts that it was sent. Engines compute prompts one after the other at a roughly
+// fixed rate, so that this, and not the number of running requests, determines how long a new
+// prompt waits. A wrong estimate makes a request slower but never an answer wrong. Not thread-safe.
 class PrefillQueue
 {
 public:
-    // Tokens a second, and the tokens of context that the engine keeps.
+    // Sets the engine's tokens per second and the number of context tokens that it caches.
     void setEngine(double tokensPerSecond, std::size_t cacheTokens)
     {
         m_rate = tokensPerSecond;
@@ -39,30 +39,30 @@
         return m_cacheIndex.count(prompt.prefixHash) != 0;
     }
 
-    // Time to compute what the engine does not keep of the prompt.
+    // Time to compute the part of the prompt that is not cached.
     Duration timeFor(const PromptSize &prompt) const
     {
         const std::size_t context = isCached(prompt) ? 0 : prompt.contextTokens;
         return computeTime(context + prompt.questionTokens);
     }
 
-    // Time to compute the prompt where nothing of it is kept.
+    // Time to compute the prompt if none of it is cached.
     Duration uncachedTimeFor(const PromptSize &prompt) const
     {
         return computeTime(prompt.contextTokens + prompt.questionTokens);
     }
 
-    // Time until all prompts given so far are computed.
+    // Time until all prompts enqueued so far are computed.
     Duration backlog(TimePoint now) const { return std::max(Duration::zero(), m_idleAt - now); }
 
-    // The engine was given a prompt.
+    // A prompt was sent to the engine.
     void enqueue(const PromptSize &prompt, TimePoint now)
     {
         m_idleAt = std::max(m_idleAt, now) + timeFor(prompt);
         touch(prompt);
     }
 
-    // Nothing runs on the engine any more: whatever was believed, it waits for work.
+    // Nothing runs on the engine any more, so that its backlog is empty, whatever was estimated.
     void setIdle(TimePoint now) { m_idleAt = std::min(m_idleAt, now); }
 
 private:
@@ -94,7 +94,7 @@
     double m_rate = 10'000;
     std::size_t m_maxCachedTokens = 100'000;
     std::size_t m_tokens = 0;
-    std::list<PromptSize> m_cached; // the least recently used last
+    std::list<PromptSize> m_cached; // most recently used first
     std::unordered_map<std::uint64_t, std::list<PromptSize>::iterator> m_cacheIndex;
     TimePoint m_idleAt{};
 };
--- a/include/fordwood/prompt.hpp
+++ b/include/fordwood/prompt.hpp
@@ -9,14 +9,14 @@
 
 namespace fordwood {
 
-// A part of a prompt. Prompts that name the same part share its text.
+// A part of a prompt. Parts with the same id have the same text.
 struct PromptPart
 {
     std::string id;
     std::size_t tokens = 0;
 };
 
-// What a request asks of a model, as its caller describes it.
+// The prompt of a request, as its caller describes it.
 struct Prompt
 {
     std::string model;
@@ -27,27 +27,28 @@
     // Tokens of all parts but the last.
     std::size_t sharedTokens() const;
 
-    // A hash of all parts but the last: requests with the same one share that much context.
+    // A hash of all parts but the last. Requests with the same hash share these parts.
     std::uint64_t contextHash() const;
 };
 
-// The name under which an engine or a store keeps context: no request finds what other weights or a
-// walled team have made. `isolatedTeam` is empty for teams that share.
+// The namespace under which engines and stores keep context, so that no request finds context that
+// other weights or an isolated team have produced. `isolatedTeam` is empty for teams that share
+// context.
 std::string contextSalt(const std::string &model, std::uint64_t weightVersion,
                         const std::string &isolatedTeam);
 
-// What a salt of contextSalt() says.
+// The fields of a salt made by contextSalt().
 struct SaltParts
 {
     std::uint64_t weightVersion = 0;
     std::uint64_t modelHash = 0;
-    std::uint64_t teamHash = 0; // zero: teams that share
+    std::uint64_t teamHash = 0; // zero: teams that share context
 };
 
-// Nothing when the text is no salt of ours.
+// Returns nothing if the text is not a salt made by contextSalt().
 std::optional<SaltParts> parseSalt(const std::string &salt);
 
-// The hash by which a salt names a model.
+// The hash that stands for a model in a salt.
 std::uint64_t modelHashOfSalt(const std::string &model);
 
 } // namespace fordwood
--- a/include/fordwood/reason.hpp
+++ b/include/fordwood/reason.hpp
@@ -8,7 +8,7 @@
 
 namespace fordwood {
 
-// Whether the work of a request may have been done by an upstream.
+// Whether an upstream may have executed a request.
 enum class RunState : std::uint8_t { NotRun, MayHaveRun, Ran };
 
 // Why a request was refused, retried or ended early. Every reason has its own counter and a row in
@@ -19,12 +19,12 @@
 #undef FORDWOOD_REASON
 };
 
-// The fixed facts about one reason.
+// The fixed properties of one reason.
 struct ReasonInfo
 {
     Reason reason;
     std::string_view name; // as in counters and the Fordwood-Reason header
-    RunState state; // what the reason says about the request when it stands alone
+    RunState state; // state of a request with no other attempts
     int httpStatus;
     std::string_view text; // one sentence for the caller
 };
@@ -37,7 +37,7 @@
 #undef FORDWOOD_REASON
 };
 
-// The facts about a reason; an unknown number gives those of Reason::Internal.
+// The properties of a reason; those of Reason::Internal for an unknown number.
 constexpr const ReasonInfo &info(Reason reason)
 {
     for (const ReasonInfo &it : kReasons) {
--- a/include/fordwood/recent_answers.hpp
+++ b/include/fordwood/recent_answers.hpp
@@ -9,9 +9,8 @@
 
 namespace fordwood {
 
-// Which requests upstreams have answered of late, as far as they fit into a table of fixed size: a
-// newer answer takes the place of an older one. Requests that many callers ask for are in it again
-// and again.
+// The requests that upstreams answered recently, in a table of fixed size where a newer answer may
+// overwrite an older one. Requests that many callers send are entered again and again.
 class RecentAnswers
 {
 public:
@@ -19,8 +18,8 @@
 
     void note(const RequestFingerprint &request);
 
-    // Whether an upstream has answered the request within the last minute. Longer ago does not
-    // count: other weights may be in force, or another version of a service.
+    // Whether an upstream has answered the request within the last minute. Older answers do not
+    // count: other weights or another version of a service may be in use by now.
     bool contains(const RequestFingerprint &request) const;
 
 private:
--- a/include/fordwood/rendezvous.hpp
+++ b/include/fordwood/rendezvous.hpp
@@ -19,15 +19,15 @@
 // Nodes are given by the stable hashes of their names.
 int rendezvousWinner(std::uint64_t keyHash, const std::vector<std::uint64_t> &nodeHashes);
 
-// How many of the other nodes rank before a node for the key, by name: zero for the first.
+// The rank of a node for the key among the other nodes, by name; zero is the first.
 std::size_t rendezvousRank(std::uint64_t keyHash, const std::string &node,
                            const std::vector<std::string> &others);
 
-// The same where the hashes of the names are known.
+// The same, for known hashes of the names.
 std::size_t rendezvousRank(std::uint64_t keyHash, std::uint64_t nodeHash,
                            const std::vector<std::uint64_t> &otherHashes);
 
-// A hash as a fraction of its range, from 0 to below 1: for choices by weight.
+// Maps a hash to a fraction from 0 to below 1, for weighted choices.
 double hashFraction(std::uint64_t hash);
 
 // Indices of the first `count` nodes in rendezvous order for the key.
--- a/include/fordwood/restore_policy.hpp
+++ b/include/fordwood/restore_policy.hpp
@@ -6,15 +6,15 @@
 
 struct StoredItem;
 
-// What the keys of the platform's store mean when it was restored from a snapshot: only their
-// content tells then which of two states of a key is the older one.
+// Compares states of a key after the platform's store was restored from a snapshot. After that only
+// the content of the items shows which of two states is older.
 class RestorePolicy
 {
 public:
     virtual ~RestorePolicy() = default;
 
-    // Whether `read`, which the restored store shows, is an older state of the key than `held`,
-    // which was known before. Either may be gone.
+    // Whether `read`, the state in the restored store, is older than `held`, the state known
+    // before. Either may be deleted.
     virtual bool isOlder(const StoredItem &held, const StoredItem &read) const = 0;
 };
 
--- a/include/fordwood/retry_budget.hpp
+++ b/include/fordwood/retry_budget.hpp
@@ -6,13 +6,13 @@
 
 namespace fordwood {
 
-// Limits retries to a part of the first sends, so that retries cannot multiply an overload.
-// Each first send earns a part of a retry; each retry costs one. Not thread-safe.
+// Limits retries to a fraction of the first sends, so that retries cannot multiply an overload.
+// Each first send earns a fraction of a retry; each retry costs one. Not thread-safe.
 class RetryBudget
 {
 public:
-    // `ratio`: retries earned by one first send. `reserve`: the most that can be saved up, which is
-    // also what a new budget starts with.
+    // `ratio`: retries earned per first send. `reserve`: the maximum balance, which is also the
+    // initial one.
     explicit RetryBudget(double ratio = 0.1, double reserve = 10.0)
         : m_ratio(ratio), m_reserve(reserve), m_balance(reserve)
     { }
--- a/include/fordwood/retry_schedule.hpp
+++ b/include/fordwood/retry_schedule.hpp
@@ -8,23 +8,23 @@
 
 namespace fordwood {
 
-// When callers may come again who were refused because only so many requests a second are taken.
+// Assigns the times at which callers that a rate limit refused may retry.
 //
-// The load pattern that it answers: callers who are all told the same time come back together, and
-// all but a few are refused once more. So they return one after the other, in the order in which
-// they were refused, as often as requests are taken.
+// If all of them got the same time, they would return together, and all but a few would be refused
+// again. Instead they return one after the other, in the order of their refusals, at the rate at
+// which requests are accepted.
 class RetrySchedule
 {
 public:
     explicit RetrySchedule(const Clock &clock) : m_clock(clock) { }
 
-    // From now until the next caller may come again, where so many requests are taken a second, and
-    // none within `closedFor`. Bounded: later, other upstreams may serve it.
+    // Time until the next caller may retry, at `perSecond` accepted requests per second and none
+    // within `closedFor`. Bounded, as other upstreams may serve the caller later.
     std::chrono::milliseconds next(double perSecond, Duration closedFor = Duration::zero());
 
 private:
     const Clock &m_clock;
-    TimePoint m_last{}; // that was given
+    TimePoint m_last{}; // latest time assigned
 };
 
 } // namespace fordwood
--- a/include/fordwood/route_table.hpp
+++ b/include/fordwood/route_table.hpp
@@ -10,27 +10,27 @@
 
 namespace fordwood {
 
-// Answers the questions that each request asks of a configuration. Immutable; requests keep the
-// table under which they arrived.
+// Looks up the routes, teams, services and stores of a configuration. Immutable; each request keeps
+// the table that was current when it arrived.
 class RouteTable
 {
 public:
     explicit RouteTable(ServingConfig config);
 
-    // The route of the host whose prefix begins the path and is longest; null when there is none.
-    // `host` may carry a port, `path` a query.
+    // Finds the host's route with the longest prefix of the path; null if none matches. `host` may
+    // include a port and `path` a query.
     const ServiceRoute *findRoute(std::string_view host, std::string_view path) const;
 
-    // The team that holds the key; null when nobody does.
+    // Finds the team with this API key; null if there is none.
     const ServingTeam *findTeam(std::string_view key) const;
 
     const ServicePool *findService(std::string_view name) const;
 
-    // The store of kept context at the address; null when there is none.
+    // Finds the context store at the address; null if there is none.
     const ContextStore *findStore(std::string_view address) const;
 
-    // The service that takes a request, by the weights of the route. The same request id gives the
-    // same service on every node.
+    // Selects the service for a request by the traffic split of the route. All nodes select the
+    // same service for the same request id.
     static const std::string &targetOf(const ServiceRoute &route, std::string_view requestId);
 
     const ServingConfig &config() const { return m_config; }
--- a/include/fordwood/service_chooser.hpp
+++ b/include/fordwood/service_chooser.hpp
@@ -12,9 +12,9 @@
 
 namespace fordwood {
 
-// The upstream of a plain service that would answer soonest: the one with the fewest requests for
-// its slots, less those that failed of late; among equals one in this node's failure domain, else
-// one that `salt` picks. Null when none may be used.
+// Chooses the upstream of a plain service with the fewest running requests per slot, with a penalty
+// for recent failures. Among equals it prefers one in this node's failure domain, then one selected
+// by `salt`. Returns null if none may be used.
 const UpstreamRecord *chooseUpstream(const std::vector<const UpstreamRecord *> &upstreams,
                                      const std::set<std::string> &tried,
                                      const std::string &ownFailureDomain, std::uint64_t salt,
--- a/include/fordwood/upstream_directory.hpp
+++ b/include/fordwood/upstream_directory.hpp
@@ -15,18 +15,19 @@
 
 namespace fordwood {
 
-// Which upstreams may be sent to. Knows that records expire while the platform's store is away
-// although their upstreams live: such a record stays in use for a while after the store's return.
+// Tracks which upstreams may be sent requests. While the platform's store is unreachable, records
+// may expire although their upstreams live; such a record stays in use for a while after the store
+// is back.
 class UpstreamDirectory
 {
 public:
     struct Limits
     {
-        // How long after the store's return upstreams need to write themselves again.
-        // Two seconds by the platform's pages, and what a change needs to be seen.
+        // Time that upstreams need to publish their records again once the store is back: two
+        // seconds according to the platform's documentation, plus the time until a change is seen.
         Duration republishWithin = std::chrono::milliseconds(2'300);
-        // An engine writes its record anew within this after its weights have changed, or is gone:
-        // three of its heartbeats, and what a change needs to be seen.
+        // An engine whose weights have changed updates its record within this time, or is gone:
+        // three of its heartbeats, plus the time until a change is seen.
         Duration recordUpdateWithin = std::chrono::seconds(5);
     };
 
@@ -34,90 +35,93 @@
         : m_clock(clock), m_limits(limits), m_reachableSince(clock.now())
     { }
 
-    // An upstream has written its record.
+    // An upstream has published its record.
     void put(UpstreamRecord record);
 
-    // The record is gone. `mayBeExpiry`: whoever saw it could not tell an upstream that has left
-    // from a lease that ran out while the store was away.
+    // The record was removed. `mayBeExpiry`: it is unknown whether the upstream has left or its
+    // lease expired while the store was unreachable.
     void remove(const std::string &instanceId, bool mayBeExpiry);
 
-    // The upstream says in an answer that it is draining. That holds for the rest of its life,
-    // whatever its record says: nothing is written while the platform's store is away. False: it
-    // is known, or the upstream is not.
+    // An answer has reported that the upstream is draining. That holds for the rest of the
+    // instance's life, whatever its record says, as records cannot be written while the platform's
+    // store is unreachable. Returns false if this was known already or the upstream is unknown.
     bool reportDraining(const std::string &instanceId);
 
-    // The upstreams that are draining by their answers.
+    // The upstreams that their answers reported as draining.
     std::vector<std::string> reportedDraining() const;
 
     // Whether the service has upstreams that are draining.
     bool hasDraining(const std::string &service) const;
 
-    // Operators want nothing new sent to the upstreams of the failure domain, or have taken that
-    // back. What runs there ends by itself.
+    // Starts or ends the evacuation of a failure domain, as operators request it. Its upstreams get
+    // no new requests; running ones finish.
     void setEvacuated(const std::string &failureDomain, bool isEvacuated);
     std::size_t evacuatedDomains() const { return m_evacuated.size(); }
 
-    // Whether the service has upstreams that would be usable but for an evacuation.
+    // Whether the service has upstreams that are unusable only because of an evacuation.
     bool hasEvacuated(const std::string &service) const;
 
-    // Whether the store answers any node. While it does not, nothing is taken as gone.
+    // Sets whether any node reaches the store. While none does, no upstream is considered gone.
     void setStoreReachable(bool reachable);
 
-    // The store was restored from a snapshot: the time that upstreams have to write themselves
-    // again begins anew.
+    // The store was restored from a snapshot: restarts the time that upstreams have to publish
+    // their records again.
     void storeRestored() { m_reachableSince = m_clock.now(); }
 
-    // Takes as gone what has not come back in time. Returns the ids.
+    // Removes the upstreams that did not publish their expired records again in time. Returns their
+    // ids.
     std::vector<std::string> tick();
 
-    // Whether the upstream is known and may be sent new work.
+    // Whether the upstream is known and accepts new requests.
     bool takesNewWork(const std::string &instanceId) const;
 
-    // The upstreams of a service that take new work, by instance id.
+    // The upstreams of a service that accept new requests, in the order of their instance ids.
     std::vector<const UpstreamRecord *> usable(const std::string &service) const;
 
-    // All engines that are not leaving, evacuated ones too.
+    // All engines that are not draining, including evacuated ones.
     std::vector<const UpstreamRecord *> stayingEngines() const;
 
-    // Null when the instance is gone.
+    // Null if the instance is unknown.
     const UpstreamRecord *find(const std::string &instanceId) const;
 
-    // The engine was seen to run these weights, which its record may not say yet. Holds until the
-    // record says so, or would have said so if it were still true. False when it tells nothing new:
-    // something later is known.
+    // An answer has shown that the engine runs these weights, which its record may not list yet.
+    // The version is used until the record lists it, or should list it by now. Returns false if
+    // nothing changes, for example because newer information is known.
     bool setWeightVersion(const std::string &instanceId, const std::string &model,
                           const ObservedWeights &weights);
 
-    // The engine was seen not to run these weights, and did not say which. Until something later is
-    // known, or its record would say so, none are believed. False as above.
+    // An answer has shown that the engine does not run these weights, but not which ones it runs.
+    // No version is assumed until newer information arrives, or its record should have been
+    // updated. Returns false as above.
     bool rejectWeights(const std::string &instanceId, const std::string &model,
                        const ObservedWeights &rejected);
 
-    // Whether the version is believed although the engine's record does not say so yet.
+    // Whether the version is assumed although the engine's record does not list it yet.
     bool isAheadOfRecord(const std::string &instanceId, const std::string &model,
                          std::uint64_t version) const;
 
-    // Whether weights have changed without a record since the last call.
+    // Whether the known weights have changed other than by a record since the last call.
     bool takeWeightsChanged() { return std::exchange(m_weightsChanged, false); }
 
     std::size_t size() const { return m_entries.size(); }
 
 private:
-    // What is known of an engine's weights of one model.
+    // What is known about an engine's weights of one model.
     struct Weights
     {
-        std::optional<std::uint64_t> recorded; // by the record; nothing: it does not name the model
-        TimePoint recordedAt{}; // when the record was
-        std::optional<ObservedWeights> observed; // otherwise than told
-        std::optional<TimePoint> rejectedAt; // since when neither is believed
-        TimePoint lastObserved{}; // by an answer; what was seen before counts no more
+        std::optional<std::uint64_t>
+            recorded; // version in the record; nothing: the model is not listed
+        TimePoint recordedAt{}; // when the record was read
+        std::optional<ObservedWeights> observed; // by an answer, if it differs from the record
+        std::optional<TimePoint> rejectedAt; // when an answer ruled out the assumed version
+        TimePoint lastObserved{}; // time of the newest answer used; older ones are ignored
     };
     struct Entry
     {
-        UpstreamRecord record; // with the weights that are believed
+        UpstreamRecord record; // with the weight versions that are assumed
         std::map<std::string, Weights> weights; // by model
-        bool reportedDraining = false; // by an answer
-        bool expired = false; // its record is gone, but perhaps only for the store's absence
+        bool reportedDraining = false; // an answer reported it
+        bool expired = false; // its record is gone, perhaps only because the store was unreachable
     };
 
     bool isUsable(const UpstreamRecord &record) const;
@@ -132,7 +136,7 @@
     std::map<std::string, Entry> m_entries;
     std::set<std::string> m_evacuated; // failure domains
     bool m_storeReachable = true;
-    TimePoint m_reachableSince; // since the store answers, as far as known; from its start at most
+    TimePoint m_reachableSince; // when the store became reachable; initially the start of this node
     bool m_weightsChanged = false;
 };
 
--- a/include/fordwood/upstream_health.hpp
+++ b/include/fordwood/upstream_health.hpp
@@ -10,9 +10,9 @@
 
 namespace fordwood {
 
-// Judges upstreams by what this node's own requests showed. An upstream that failed is passed over
-// for a span that doubles with each failure in a row, so that one that is down costs a request now
-// and then, and one that is well again is found soon.
+// Tracks the health of upstreams by the results of this node's own requests. An upstream that
+// failed is skipped for a pause that doubles with each consecutive failure, so that a dead one
+// costs a request only now and then, and a recovered one is found soon.
 class UpstreamHealth
 {
 public:
@@ -20,47 +20,48 @@
     {
         Duration initialPause = std::chrono::milliseconds(500);
         Duration maxPause = std::chrono::seconds(4);
-        double failureWeight = 0.2; // of the newest outcome in the failure rate
-        // Half of the failure rate is forgotten in this time, longer than a pause, so that one that
-        // goes on failing costs few requests; but not before the upstream has missed so many of
-        // its turns, since in a large fleet each node has a request for it only now and then.
+        double failureWeight = 0.2; // weight of the newest result in the failure rate
+        // The failure rate halves in this time, which is longer than a pause so that an upstream
+        // that keeps failing costs few requests. The decay also takes at least `turnsPerHalfLife`
+        // missed turns, as each node of a large fleet has a request for a given upstream only now
+        // and then.
         Duration halfLife = std::chrono::seconds(4);
         double turnsPerHalfLife = 12.0;
-        // Less than this is none: where the others are idle, the least rate would keep every
-        // request away from an upstream.
+        // A lower rate counts as zero: if other upstreams are idle, even the smallest rate would
+        // keep every request away from an upstream.
         double minFailureRate = 0.05;
-        // An upstream that owes an answer for so long and has said nothing since may be gone.
+        // An upstream with a pending answer that has sent nothing for this long may be gone.
         Duration silenceLimit = std::chrono::milliseconds(500);
     };
 
     explicit UpstreamHealth(const Clock &clock) : UpstreamHealth(clock, Limits{}) { }
     UpstreamHealth(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    // A request has gone to it, and has ended in whatever way.
+    // A request was sent to the upstream, or has ended in any way.
     void sent(const std::string &instanceId);
     void ended(const std::string &instanceId);
 
-    // It has sent something.
+    // The upstream has sent data.
     void dataReceived(const std::string &instanceId);
 
-    // Whether it has owed an answer for long and said nothing.
+    // Whether the upstream has a pending answer and has sent nothing for `silenceLimit`.
     bool isSilent(const std::string &instanceId) const;
 
     void succeeded(const std::string &instanceId);
 
-    // It could not be reached, broke off, or fell silent.
+    // The upstream could not be reached, broke off, or stopped sending.
     void failed(const std::string &instanceId);
 
-    // It answered, but with a failure of its own.
+    // The upstream answered with an error of its own.
     void answeredWithError(const std::string &instanceId);
 
-    // It refused for want of room: it is passed over for `pause`.
+    // The upstream refused a request because it was full; it is skipped for `pause`.
     void refused(const std::string &instanceId, Duration pause);
 
-    // Whether it is passed over now.
+    // Whether the upstream is skipped at the moment.
     bool isPaused(const std::string &instanceId) const;
 
-    // The recent part of requests that failed, 0 to 1.
+    // Recent share of requests that failed, from 0 to 1.
     double failureRate(const std::string &instanceId) const;
 
     void forget(const std::string &instanceId) { m_entries.erase(instanceId); }
@@ -70,11 +71,11 @@
     {
         unsigned consecutiveFailures = 0;
         TimePoint pausedUntil{};
-        double failureRate = 0.0; // when it was weighed
+        double failureRate = 0.0; // as of updatedAt
         TimePoint updatedAt{};
-        std::uint64_t sendsAtUpdate = 0; // of this node to all upstreams
-        std::size_t open = 0; // requests that it owes an answer to
-        TimePoint silentSince{}; // or heard last
+        std::uint64_t sendsAtUpdate = 0; // value of m_sends at updatedAt
+        std::size_t open = 0; // requests that wait for an answer
+        TimePoint silentSince{}; // start of the open requests, or the last data received
     };
 
     void updateFailureRate(Entry &entry, bool failure) const;
--- a/include/fordwood/upstream_load.hpp
+++ b/include/fordwood/upstream_load.hpp
@@ -6,11 +6,11 @@
 
 namespace fordwood {
 
-// Work that lies at one upstream.
+// Outstanding work at one upstream.
 struct UpstreamLoad
 {
     std::size_t running = 0; // requests sent and not ended
-    std::size_t tokensToCompute = 0; // prompt tokens of those that have not answered yet
+    std::size_t tokensToCompute = 0; // prompt tokens of requests not answered yet
     std::size_t tokensHeld = 0; // memory that the requests need, in tokens
 
     UpstreamLoad &operator+=(const UpstreamLoad &other);
--- a/include/fordwood/upstream_loads.hpp
+++ b/include/fordwood/upstream_loads.hpp
@@ -14,10 +14,10 @@
 
 namespace fordwood {
 
-// The loads of upstreams as nodes tell them to each other: by the hash of the instance id, in the
-// order of the hashes. Two ids with one hash would count as one upstream, which costs a detour now
-// and then. A table of 163 upstreams is read and added up in a few microseconds; by strings in a
-// tree it took a weak VM a fifth of its control time.
+// The loads of upstreams as nodes report them to each other, sorted by the hash of the instance id.
+// Two ids with the same hash would count as one upstream, which now and then leads to a worse
+// choice. A table of 163 upstreams is read and added up in a few microseconds; a tree keyed by
+// strings took a fifth of the control time on a weak VM.
 class UpstreamLoads
 {
 public:
@@ -36,7 +36,7 @@
 
     static std::uint64_t keyOf(std::string_view instanceId);
 
-    // Zero for an upstream that the table does not hold.
+    // Zero for an upstream that is not in the table.
     UpstreamLoad at(std::string_view instanceId) const { return at(keyOf(instanceId)); }
     UpstreamLoad at(std::uint64_t upstream) const;
 
--- a/include/fordwood/upstream_record.hpp
+++ b/include/fordwood/upstream_record.hpp
@@ -12,19 +12,20 @@
 
 namespace fordwood {
 
-// What an upstream tells of itself through the platform. Every start of an upstream is a new
-// instance with an id of its own, also where it goes on under the id by which it knows itself.
+// The record that an upstream publishes through the platform. Every start of an upstream is a new
+// instance with its own id, even if the upstream announces itself under the same id as before.
 struct UpstreamRecord
 {
-    std::string instanceId; // of this life
-    std::string announcedId; // by which it knows itself
-    std::optional<WallTime> born; // when this life began; nothing: it does not say
+    std::string instanceId; // of this start
+    std::string announcedId; // id under which the upstream announces itself
+    std::optional<WallTime> born; // start of this instance; nothing: not published
     std::string service;
-    std::string address; // IP:port; may be given to another upstream later
+    std::string address; // IP:port; another upstream may get it later
     std::string failureDomain;
     std::size_t slots = 1;
-    bool draining = false; // gets no new work
-    std::chrono::milliseconds coldFor{0}; // from when the record was written; bears less until then
+    bool draining = false; // accepts no new requests
+    std::chrono::milliseconds coldFor{
+        0}; // cold for this long after the record was written: takes less load
     std::map<std::string, std::uint64_t> weightVersions; // by model; empty for plain services
 };
 
--- a/include/fordwood/verdict.hpp
+++ b/include/fordwood/verdict.hpp
@@ -9,15 +9,15 @@
 
 namespace fordwood {
 
-// How a request ended, or why it was not begun: the state says whether it may have run.
+// How a request ended, or why it was not started. The state shows whether it may have run.
 struct Verdict
 {
     RunState state = RunState::MayHaveRun;
     Reason reason = Reason::Internal;
     std::chrono::milliseconds retryAfter{0}; // zero: no advice
-    std::string detail; // for people; may be empty
+    std::string detail; // for human readers; may be empty
 
-    // A verdict with the state that the reason itself carries.
+    // A verdict with the default state of the reason.
     static Verdict of(Reason reason, std::string detail = {},
                       std::chrono::milliseconds retryAfter = std::chrono::milliseconds(0))
     {
@@ -25,8 +25,9 @@
     }
 };
 
-// The one rule about sending again: what surely did not run may be sent again; what may have run
-// only where the request is repeatable and no byte of an answer was passed on.
+// The rule for sending a request again: one that certainly did not run may be sent again; one that
+// may have run only if it is repeatable. Nothing is sent again after a part of an answer was passed
+// on.
 constexpr bool maySendAgain(RunState state, bool repeatable, bool answerBegun)
 {
     if (answerBegun)
--- a/include/fordwood/window_budget.hpp
+++ b/include/fordwood/window_budget.hpp
@@ -8,9 +8,9 @@
 
 namespace fordwood {
 
-// One node's part of a budget of repeated sends that is stated for the whole fleet: in each window
-// of time a ratio of the requests, and a slack that all nodes share. Each node spends the ratio of
-// its own requests and an equal part of the slack, so the sum holds without messages.
+// One node's share of a retry budget for the whole fleet: in each time window, a ratio of the
+// requests plus a slack that all nodes share. Each node spends the ratio of its own requests and an
+// equal share of the slack, so that the sum is kept without messages.
 class WindowBudget
 {
 public:
@@ -19,8 +19,8 @@
         Duration window = std::chrono::seconds(10);
         double ratio = 0.2;
         double slack = 0.0; // of the whole fleet
-        // The part of it that is spent: nodes may see different windows, and a node that starts
-        // again has forgotten what it spent.
+        // Share of the budget that is spent: the windows of the nodes may differ, and a restarted
+        // node has forgotten what it spent.
         double usableShare = 0.7;
     };
 
@@ -28,7 +28,7 @@
 
     void countRequest();
 
-    // Takes one repeated send; false when none is left. `nodes`: those that share the slack.
+    // Takes one retry; false if none is left. `nodes`: number of nodes that share the slack.
     bool takeRepeat(std::size_t nodes);
 
 private:
--- a/src/core/context_directory.cpp
+++ b/src/core/context_directory.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// A context below this size is computed again sooner than a store can be asked for it. What counts
-// is the whole context: an engine uses a part only if it has all parts before it, so that without
-// a small first part the large one is fetched in vain. Saving such first parts too takes the shared
-// tokens that are computed again from 24 to 11 in 100 of all computed ones (mean of nine played
-// days of a deployment whose contexts begin with a part of 340 or 510 tokens).
+// A smaller context is recomputed faster than it is fetched from a store. The size of the whole
+// context counts: an engine uses a part only if it has all parts before it, so that without a small
+// first part the large one is fetched in vain. Saving such first parts as well reduced the shared
+// tokens that are recomputed from 24 to 11 in 100 of all computed tokens (mean of nine test days of
+// a deployment whose contexts begin with a part of 340 or 510 tokens).
 constexpr std::size_t kMinContextToSave = 1'000;
 
-// The part of a store that is filled: what other nodes save at the same moment is not known yet.
+// Share of a store's capacity to fill: what other nodes save at the same moment is not known yet.
 constexpr double kMaxFillShare = 0.95;
 
 std::string partName(const std::string &salt, const std::string &partId)
@@ -26,7 +26,7 @@
     return salt + "/" + partId;
 }
 
-// Names a send to an engine; two with the same hash would cost a cold read at most.
+// Identifies a send to an engine. Two sends with the same hash cost at most one recomputed context.
 std::uint64_t sendHash(const std::string &instanceId, const std::string &salt,
                        std::uint64_t contextHash)
 {
@@ -160,7 +160,8 @@
     m_weights[modelHashOfSalt(model)] = history;
 }
 
-// Whether a part under the salt is surely not freed while a fetch that begins `ahead` of now runs.
+// Whether a part with the salt will certainly be kept while a fetch that starts `ahead` from now
+// runs.
 bool ContextDirectory::willBeKept(const std::string &salt, const std::string &partId,
                                   Duration ahead) const
 {
--- a/src/core/engine_groups.cpp
+++ b/src/core/engine_groups.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-// A prompt is short when this many fit into an engine's memory beside each other.
+// A prompt is short if this many of its size fit into an engine's memory.
 constexpr std::size_t kShortPromptsPerEngine = 32;
 
-// Room for requests that run, beside the contexts that are kept.
+// Extra memory for running requests besides the kept contexts.
 constexpr double kRunningRequestsFactor = 1.3;
 
-// The most engines that are set apart: long prompts need the others.
+// Largest share of the engines in the group; long prompts need the others.
 constexpr double kMaxShare = 0.4;
 
 } // namespace
--- a/src/core/event_splitter.cpp
+++ b/src/core/event_splitter.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Position behind the last blank line of the text, or zero.
+// Position after the last blank line of the text, or zero.
 std::size_t endOfLastEvent(std::string_view text)
 {
     std::size_t end = 0;
--- a/src/core/prompt.cpp
+++ b/src/core/prompt.cpp
@@ -27,7 +27,7 @@
 std::string contextSalt(const std::string &model, std::uint64_t weightVersion,
                         const std::string &isolatedTeam)
 {
-    // Hashes of fixed width, so that no two lists of names give the same text.
+    // Hashes of fixed width, so that different names cannot result in the same text.
     constexpr std::uint64_t kTeamSeed = 1;
     const std::uint64_t team = isolatedTeam.empty() ? 0 : stableHash(isolatedTeam, kTeamSeed);
     std::array<char, 64> text{};
--- a/src/core/recent_answers.cpp
+++ b/src/core/recent_answers.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-// A node answers some tens of requests a second; 48 KB.
+// 48 KB; a node answers some tens of requests per second.
 constexpr std::size_t kSlots = 2'048;
 
 constexpr Duration kMaxAge = std::chrono::minutes(1);
--- a/src/core/rendezvous.cpp
+++ b/src/core/rendezvous.cpp
@@ -59,7 +59,7 @@
 
 double hashFraction(std::uint64_t hash)
 {
-    // The upper 53 bits are what a double holds exactly, so that the result stays below 1.
+    // A double holds 53 bits exactly, so that the result stays below 1.
     constexpr unsigned kDroppedBits = 11;
     constexpr double kRange = 9007199254740992.0; // 2^53
     return static_cast<double>(hash >> kDroppedBits) / kRange;
--- a/src/core/retry_schedule.cpp
+++ b/src/core/retry_schedule.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Limits come and go within some tens of seconds, and upstreams with them.
+// Limits and upstreams come and go within some tens of seconds.
 constexpr Duration kMaxDelay = std::chrono::seconds(30);
 
-// Below it the pause would be longer than the latest time anyway.
+// At a lower rate the pause would exceed the maximum delay anyway.
 constexpr double kMinRate = 0.01;
 
 } // namespace
--- a/src/core/route_table.cpp
+++ b/src/core/route_table.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A host header in the form that routes are stored under: lower case, no port.
+// Normalizes a Host header to the keys of m_routes: lower case, no port.
 std::string hostName(std::string_view host)
 {
     std::string name(host.substr(0, host.rfind(':')));
--- a/src/core/service_chooser.cpp
+++ b/src/core/service_chooser.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// In requests for each slot. An upstream that fails all of its requests counts as this full.
+// Costs are measured in requests per slot. An upstream whose requests all fail counts as this full.
 constexpr double kFailureCost = 4.0;
-// A path to another failure domain costs bytes and a millisecond: as much as a small load.
+// Crossing failure domains costs bandwidth and a millisecond: as much as a small load.
 constexpr double kOtherDomainCost = 0.08;
-// Only to spread equals.
+// Only spreads requests over equal upstreams.
 constexpr double kSpread = 0.01;
 
 } // namespace
--- a/src/core/upstream_directory.cpp
+++ b/src/core/upstream_directory.cpp
@@ -20,9 +20,10 @@
     entry.expired = false;
 }
 
-// An answer may have shown newer weights before the record does, but only for so long. A record
-// that goes on naming older ones is right: an engine goes back when it carries out a late order
-// after a restart. Else it would be taken for loaded for good, and turn all its requests away.
+// An answer may show newer weights before the record lists them, but only for a limited time. A
+// record that keeps listing older weights is right: an engine goes back to them if it executes a
+// late order after a restart. Otherwise the engine would be considered up to date for good, and
+// would reject all its requests.
 UpstreamDirectory::Weights UpstreamDirectory::mergeObserved(const Entry &entry,
                                                             const std::string &model,
                                                             std::uint64_t recorded) const
@@ -42,7 +43,8 @@
     return weights;
 }
 
-// Whether the record would say by now what was shown. While the store is away nothing is written.
+// Whether the record should list the observed weights by now. Nothing is written while the store is
+// unreachable.
 bool UpstreamDirectory::isRecordDue(const ObservedWeights &observed) const
 {
     return m_storeReachable
@@ -54,7 +56,8 @@
 {
     for (auto &[model, weights] : entry.weights) {
         const bool isUnconfirmed = weights.observed && isRecordDue(*weights.observed);
-        // Also while the store is away: the engine is tried again with what it told last.
+        // Also while the store is unreachable: the engine is tried again with the version that it
+        // recorded last.
         const bool isRejectionOver
             = weights.rejectedAt
               && m_clock.now() - *weights.rejectedAt >= m_limits.recordUpdateWithin;
@@ -215,12 +218,12 @@
     return isChange;
 }
 
-// Whether nothing later is known than what was seen.
+// Whether the observation is newer than what is known.
 bool UpstreamDirectory::isNewer(const Weights &weights, const ObservedWeights &seen)
 {
     if (seen.seen <= weights.lastObserved)
         return false;
-    // Older weights that were seen before the record was read have been replaced since.
+    // Older weights that were observed before the record was read have been replaced since.
     return !weights.recorded || seen.version >= *weights.recorded || seen.seen > weights.recordedAt;
 }
 
--- a/src/core/upstream_health.cpp
+++ b/src/core/upstream_health.cpp
@@ -14,8 +14,8 @@
     entry.sendsAtUpdate = m_sends;
 }
 
-// What is known of an upstream that gets no requests grows old. Without that one that had failed
-// and was well again got none of 1,200 requests in 30 s, where the other three had room.
+// The failure rate of an upstream decays while it gets no requests. Without this decay, a recovered
+// upstream got none of 1,200 requests in 30 s while the other three had free slots.
 double UpstreamHealth::failureRate(const Entry &entry) const
 {
     const std::chrono::duration<double> age = m_clock.now() - entry.updatedAt;
@@ -69,7 +69,7 @@
 
 void UpstreamHealth::failed(const std::string &instanceId)
 {
-    constexpr unsigned kMaxDoublings = 10; // beyond it the pause is at its longest anyway
+    constexpr unsigned kMaxDoublings = 10; // the pause has reached its maximum before that
     Entry &entry = m_entries[instanceId];
     const unsigned doublings = std::min(entry.consecutiveFailures, kMaxDoublings);
     const Duration pause = std::min(m_limits.initialPause * (1U << doublings), m_limits.maxPause);
