--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -164,7 +164,7 @@
         request.deadline = clock.now() + 30s;
         dispatcher.begin(request);
         for (const Action &action : dispatcher.takeActions()) {
-            const auto *ask = std::get_if<AskPermit>(&action);
+            const auto *ask = std::get_if<RequestPermit>(&action);
             if (ask == nullptr)
                 continue;
             PermitReply reply;
--- a/include/fordwood/call.hpp
+++ b/include/fordwood/call.hpp
@@ -42,7 +42,7 @@
 };
 
 // Asks the owner of an upstream for a permit.
-struct AskPermit
+struct RequestPermit
 {
     CallId call;
     std::uint64_t askId;
@@ -57,7 +57,7 @@
 };
 
 // Withdraws a permit request.
-struct WithdrawAsk
+struct WithdrawPermitRequest
 {
     std::uint64_t askId;
     std::string owner;
@@ -75,7 +75,7 @@
 };
 
 // Informs an owner of a running request that an earlier owner or process admitted.
-struct HoldPermit
+struct AdoptPermit
 {
     std::string owner;
     std::string ownerAddress;
@@ -130,7 +130,7 @@
 };
 
 // Asks the owner of a team for a share of its ceiling.
-struct AskAllowance
+struct RequestAllowance
 {
     std::string owner;
     std::string ownerAddress;
@@ -147,15 +147,15 @@
 };
 
 // Ends the call with a stored answer.
-struct AnswerKept
+struct EndWithStoredAnswer
 {
     CallId call;
     KeptAnswer answer;
 };
 
-using Action
-    = std::variant<AskAllowance, ClaimKey, FinishClaim, AnswerKept, AskPermit, WithdrawAsk,
-                   ReleasePermit, HoldPermit, SendCall, CancelAttempt, EndCall, CountRetry>;
+using Action = std::variant<RequestAllowance, ClaimKey, FinishClaim, EndWithStoredAnswer,
+                            RequestPermit, WithdrawPermitRequest, ReleasePermit, AdoptPermit,
+                            SendCall, CancelAttempt, EndCall, CountRetry>;
 
 } // namespace fordwood
 
--- a/include/fordwood/dispatcher.hpp
+++ b/include/fordwood/dispatcher.hpp
@@ -73,7 +73,7 @@
 // Manages every call on one entry node from its arrival to its end: chooses the upstream, obtains a
 // permit, sends, and decides after a failure whether to retry. Takes events and produces actions;
 // does no I/O and has no threads. Every call ends exactly once: by attemptFinished(), or by one
-// EndCall or AnswerKept action.
+// EndCall or EndWithStoredAnswer action.
 class Dispatcher : private TeamAdmission::Listener
 {
 public:
@@ -111,15 +111,15 @@
     void attemptFinished(CallId call, unsigned attempt, double cost, KeptAnswer answer = {});
 
     // The effect of a rate limit that an answer reported.
-    struct LimitUpdate
+    struct LimitOutcome
     {
         std::string upstream; // empty: the attempt is over
         std::optional<LimitChange> change;
-        std::optional<double> ownPart; // requests per second that this node may send there
+        std::optional<double> ownRate; // requests per second that this node may send there
     };
 
     // The head of an answer has reported the upstream's rate limit.
-    LimitUpdate limitRead(CallId call, unsigned attempt, const LimitReading &limit);
+    LimitOutcome limitRead(CallId call, unsigned attempt, const LimitReading &limit);
 
     // The head of an answer has reported the upstream's state. Returns the upstream's name and how
     // long it gets no requests, or nothing if the report changes nothing.
@@ -149,18 +149,18 @@
     std::size_t calls() const { return m_calls.size(); }
 
 private:
-    enum class Stage : std::uint8_t { Claiming, Admitting, Asking, Sent };
+    enum class Stage : std::uint8_t { Claiming, Admitting, RequestingPermit, Sent };
 
     struct Call
     {
         CallRequest request;
-        Stage stage = Stage::Asking;
+        Stage stage = Stage::RequestingPermit;
         unsigned attempt = 0;
         CallCandidates candidates;
         std::uint64_t askId = 0; // of the open permit request; zero: none
-        std::string askedOwner;
-        TimePoint asked{};
-        TimePoint askedUntil{};
+        std::string requestedOwner;
+        TimePoint requestedAt{};
+        TimePoint replyDue{};
         TimePoint sentAt{};
         bool entered = false; // counts against the ceiling of its team
         Verdict last; // latest reason why the call has no answer yet
@@ -176,10 +176,10 @@
     void forget(CallId id);
     void claim(Call &call, const Member *holder);
     void choose(Call &call);
-    void ask(Call &call);
+    void requestPermit(Call &call);
     void tryNext(Call &call, const Verdict &why);
     void skipUpstream(Call &call);
-    void retryAfterNotOwner(Call &call, const std::string &asked, const Verdict &why);
+    void retryAfterNotOwner(Call &call, const std::string &previousOwner, const Verdict &why);
     void sendWithoutOwner(Call &call);
     bool maySendDirectly(const UpstreamConfig &upstream, const Call &call);
     void send(Call &call, TimePoint sendBy);
@@ -201,8 +201,8 @@
     std::shared_ptr<const FleetView> m_view;
     std::vector<Action> m_actions;
     std::unordered_map<CallId, Call> m_calls;
-    std::unordered_map<std::uint64_t, CallId> m_asks;
-    std::uint64_t m_nextAsk = 1;
+    std::unordered_map<std::uint64_t, CallId> m_permitRequests;
+    std::uint64_t m_nextRequestId = 1;
     std::map<std::string, RetryBudget> m_budgets; // by team
     Contention m_contention; // by model or service
     KeyClaims m_claims;
--- a/src/adapters/grpc/permit_client.cpp
+++ b/src/adapters/grpc/permit_client.cpp
@@ -161,7 +161,7 @@
     close();
 }
 
-void PermitClient::ask(const AskPermit &ask)
+void PermitClient::ask(const RequestPermit &ask)
 {
     wire::PermitCommands commands;
     wire::Ask *message = commands.add_asks();
@@ -178,7 +178,7 @@
     open(ask.owner, ask.ownerAddress)->send(commands);
 }
 
-void PermitClient::withdraw(const WithdrawAsk &withdrawal)
+void PermitClient::withdraw(const WithdrawPermitRequest &withdrawal)
 {
     wire::PermitCommands commands;
     wire::Withdraw *message = commands.add_withdrawals();
@@ -198,7 +198,7 @@
     send(release.owner, commands);
 }
 
-void PermitClient::hold(const HoldPermit &hold)
+void PermitClient::hold(const AdoptPermit &hold)
 {
     wire::PermitCommands commands;
     wire::Held *message = commands.add_held();
@@ -231,7 +231,7 @@
     send(finish.holder, commands);
 }
 
-void PermitClient::askAllowance(const AskAllowance &ask)
+void PermitClient::askAllowance(const RequestAllowance &ask)
 {
     wire::PermitCommands commands;
     wire::AllowanceAsk *message = commands.add_allowance_asks();
--- a/src/adapters/grpc/permit_client.hpp
+++ b/src/adapters/grpc/permit_client.hpp
@@ -41,13 +41,13 @@
     PermitClient(std::string node, PermitClientListener &listener);
     ~PermitClient();
 
-    void ask(const AskPermit &ask);
-    void withdraw(const WithdrawAsk &withdrawal);
+    void ask(const RequestPermit &ask);
+    void withdraw(const WithdrawPermitRequest &withdrawal);
     void release(const ReleasePermit &release);
-    void hold(const HoldPermit &hold);
+    void hold(const AdoptPermit &hold);
     void claim(const ClaimKey &claim);
     void finishClaim(const FinishClaim &finish);
-    void askAllowance(const AskAllowance &ask);
+    void askAllowance(const RequestAllowance &ask);
 
     // Forgets a stream that was reported lost. True when it was the owner's present stream.
     bool forget(const std::string &owner, std::uint64_t stream);
--- a/src/apps/entryd/entry_node.cpp
+++ b/src/apps/entryd/entry_node.cpp
@@ -325,7 +325,7 @@
     if (event.limit.isUnreadable && !heard.upstream.empty())
         m_limitLog.unreadable(heard.upstream, std::to_string(event.call));
     if (heard.change)
-        m_limitLog.changed(*heard.change, std::to_string(event.call), heard.ownPart);
+        m_limitLog.changed(*heard.change, std::to_string(event.call), heard.ownRate);
     m_metrics.setGauge("fordwood_limited_upstreams",
                        static_cast<double>(m_dispatcher.limitedUpstreams()));
 }
@@ -359,26 +359,26 @@
 
 void EntryNode::carryOut(const Action &action)
 {
-    if (const auto *ask = std::get_if<AskPermit>(&action)) {
+    if (const auto *ask = std::get_if<RequestPermit>(&action)) {
         m_permits.ask(*ask);
-    } else if (const auto *withdrawal = std::get_if<WithdrawAsk>(&action)) {
+    } else if (const auto *withdrawal = std::get_if<WithdrawPermitRequest>(&action)) {
         m_permits.withdraw(*withdrawal);
     } else if (const auto *release = std::get_if<ReleasePermit>(&action)) {
         m_permits.release(*release);
-    } else if (const auto *hold = std::get_if<HoldPermit>(&action)) {
+    } else if (const auto *hold = std::get_if<AdoptPermit>(&action)) {
         m_permits.hold(*hold);
     } else if (const auto *cancel = std::get_if<CancelAttempt>(&action)) {
         m_upstreams.cancel(*cancel);
     } else if (const auto *retry = std::get_if<CountRetry>(&action)) {
         m_metrics.countRetry(retry->reason);
-    } else if (const auto *allowance = std::get_if<AskAllowance>(&action)) {
+    } else if (const auto *allowance = std::get_if<RequestAllowance>(&action)) {
         m_metrics.count("fordwood_allowance_asks_total");
         m_permits.askAllowance(*allowance);
     } else if (const auto *claim = std::get_if<ClaimKey>(&action)) {
         m_permits.claim(*claim);
     } else if (const auto *finish = std::get_if<FinishClaim>(&action)) {
         m_permits.finishClaim(*finish);
-    } else if (const auto *kept = std::get_if<AnswerKept>(&action)) {
+    } else if (const auto *kept = std::get_if<EndWithStoredAnswer>(&action)) {
         answerKept(*kept);
     } else if (const auto *end = std::get_if<EndCall>(&action)) {
         endExchange(end->call, end->verdict);
@@ -401,7 +401,7 @@
 }
 
 // The caller gets the answer that its first send got.
-void EntryNode::answerKept(const AnswerKept &action)
+void EntryNode::answerKept(const EndWithStoredAnswer &action)
 {
     const auto it = m_open.find(action.call);
     if (it == m_open.end())
--- a/src/apps/entryd/entry_node.hpp
+++ b/src/apps/entryd/entry_node.hpp
@@ -149,7 +149,7 @@
     void carryOut(const Action &action);
     void sendUpstream(const SendCall &send);
     void endExchange(CallId call, const Verdict &verdict);
-    void answerKept(const AnswerKept &action);
+    void answerKept(const EndWithStoredAnswer &action);
 
     const config::Settings m_settings;
     adapters::SystemClock m_clock;
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -81,7 +81,7 @@
         m_claims.grant(*id);
         return admit(call);
     case ClaimAnswer::Decision::Answer:
-        m_actions.emplace_back(AnswerKept{*id, answer.answer});
+        m_actions.emplace_back(EndWithStoredAnswer{*id, answer.answer});
         return forget(*id);
     case ClaimAnswer::Decision::Redirect:
         if (m_claims.mayRedirect(*id))
@@ -94,20 +94,20 @@
 
 void Dispatcher::permitAnswered(const std::string &owner, const PermitReply &reply)
 {
-    const auto known = m_asks.find(reply.askId);
-    if (known == m_asks.end()) {
+    const auto known = m_permitRequests.find(reply.askId);
+    if (known == m_permitRequests.end()) {
         // The call no longer needs this permit.
         if (reply.granted)
             m_actions.emplace_back(ReleasePermit{owner, reply.permitId, {}, 0.0, false});
         return;
     }
     Call &call = m_calls.at(known->second);
-    m_asks.erase(known);
+    m_permitRequests.erase(known);
     call.askId = 0;
     if (reply.granted) {
         // Counted from the permit request, not from the reply: the reply may have waited unread
         // while this process was paused.
-        const TimePoint sendBy = call.asked + reply.waited + reply.sendWithin;
+        const TimePoint sendBy = call.requestedAt + reply.waited + reply.sendWithin;
         m_permits.takeGranted(call.request, owner, reply.permitId, call.candidates.current()->name);
         return send(call, sendBy);
     }
@@ -121,7 +121,8 @@
 
 // The member that was asked no longer owns the upstream, or not yet: the views of two nodes can
 // differ briefly.
-void Dispatcher::retryAfterNotOwner(Call &call, const std::string &asked, const Verdict &why)
+void Dispatcher::retryAfterNotOwner(Call &call, const std::string &previousOwner,
+                                    const Verdict &why)
 {
     const bool queueing = call.candidates.isQueueing();
     choose(call);
@@ -131,8 +132,8 @@
         return end(call.request.id, why);
     call.last = why;
     const Member *owner = call.candidates.view().owner(*upstream);
-    if (owner != nullptr && owner->name != asked)
-        return ask(call);
+    if (owner != nullptr && owner->name != previousOwner)
+        return requestPermit(call);
     sendWithoutOwner(call);
 }
 
@@ -147,7 +148,7 @@
     m_permits.ownerLost(owner);
     std::vector<CallId> waiting;
     for (const auto &[id, call] : m_calls) {
-        if (call.askId != 0 && call.askedOwner == owner)
+        if (call.askId != 0 && call.requestedOwner == owner)
             waiting.push_back(id);
     }
     for (const CallId id : m_claims.openAt(owner))
@@ -156,7 +157,7 @@
     std::sort(waiting.begin(), waiting.end());
     for (const CallId id : waiting) {
         Call &call = m_calls.at(id);
-        m_asks.erase(call.askId);
+        m_permitRequests.erase(call.askId);
         call.askId = 0;
         sendWithoutOwner(call);
     }
@@ -193,7 +194,7 @@
         verdict.detail += (verdict.detail.empty() ? "" : "; ") + std::string("no retry left");
         return end(id, verdict);
     }
-    call->stage = Stage::Asking;
+    call->stage = Stage::RequestingPermit;
     if (failure.answerBegun)
         call->resumeFrom = failure.passedEvents;
     call->last = verdict;
@@ -203,7 +204,7 @@
     choose(*call);
     if (call->candidates.isEmpty())
         return end(id, verdict);
-    ask(*call);
+    requestPermit(*call);
 }
 
 // Whether a retry is free of charge for the team's retry budget because it adds no load: a direct
@@ -229,20 +230,20 @@
     forget(id);
 }
 
-Dispatcher::LimitUpdate Dispatcher::limitRead(CallId id, unsigned attempt,
-                                              const LimitReading &limit)
+Dispatcher::LimitOutcome Dispatcher::limitRead(CallId id, unsigned attempt,
+                                               const LimitReading &limit)
 {
     const Call *call = find(id, attempt);
     if (call == nullptr)
         return {};
-    LimitUpdate update;
-    update.upstream = call->candidates.current()->name;
+    LimitOutcome outcome;
+    outcome.upstream = call->candidates.current()->name;
     if (limit.perSecond)
-        m_gate.beliefs().know(update.upstream);
+        m_gate.beliefs().know(outcome.upstream);
     if (limit.perSecond || !limit.isUnreadable)
-        update.change = m_gate.beliefs().answered(update.upstream, limit.perSecond, call->sentAt);
-    update.ownPart = m_gate.ownPart(update.upstream);
-    return update;
+        outcome.change = m_gate.beliefs().answered(outcome.upstream, limit.perSecond, call->sentAt);
+    outcome.ownRate = m_gate.ownPart(outcome.upstream);
+    return outcome;
 }
 
 std::optional<Dispatcher::Backoff> Dispatcher::noticeRead(CallId id, unsigned attempt,
@@ -291,7 +292,7 @@
             late.push_back(id);
         else if (m_claims.isOverdue(id))
             unclaimed.push_back(id);
-        else if (call.askId != 0 && call.askedUntil <= now)
+        else if (call.askId != 0 && call.replyDue <= now)
             silent.push_back(id);
     }
     std::sort(silent.begin(), silent.end());
@@ -340,7 +341,7 @@
 {
     Call &call = m_calls.at(id);
     call.entered = true;
-    ask(call);
+    requestPermit(call);
 }
 
 void Dispatcher::refused(CallId id)
@@ -377,7 +378,7 @@
     call.candidates.choose(m_view, call.request, call.resumeFrom.has_value(), m_limits.candidates);
 }
 
-void Dispatcher::ask(Call &call)
+void Dispatcher::requestPermit(Call &call)
 {
     const UpstreamConfig *upstream = call.candidates.current();
     if (upstream == nullptr)
@@ -398,13 +399,13 @@
     call.candidates.setQueueing(queueing);
     const TimePoint now = m_clock.now();
     const Duration wait = queueing ? call.request.deadline - now : Duration::zero();
-    call.stage = Stage::Asking;
-    call.askId = m_nextAsk++;
-    call.askedOwner = owner->name;
-    call.asked = now;
-    call.askedUntil = now + m_limits.ownerTimeout + wait;
-    m_asks.emplace(call.askId, call.request.id);
-    m_actions.emplace_back(AskPermit{
+    call.stage = Stage::RequestingPermit;
+    call.askId = m_nextRequestId++;
+    call.requestedOwner = owner->name;
+    call.requestedAt = now;
+    call.replyDue = now + m_limits.ownerTimeout + wait;
+    m_permitRequests.emplace(call.askId, call.request.id);
+    m_actions.emplace_back(RequestPermit{
         call.request.id,
         call.askId,
         owner->name,
@@ -423,11 +424,11 @@
     if (call.candidates.isQueueing())
         return end(call.request.id, why);
     if (call.candidates.advance())
-        return ask(call);
+        return requestPermit(call);
     m_contention.countRefused(call.request.target);
     // No candidate has a free slot.
     call.candidates.queueAtSoonest();
-    ask(call);
+    requestPermit(call);
 }
 
 // Skips an upstream that accepts no requests at the moment. If no other candidate is left, the call
@@ -512,8 +513,8 @@
     if (call.askId == 0)
         return;
     m_actions.emplace_back(
-        WithdrawAsk{call.askId, call.askedOwner, call.candidates.current()->name});
-    m_asks.erase(call.askId);
+        WithdrawPermitRequest{call.askId, call.requestedOwner, call.candidates.current()->name});
+    m_permitRequests.erase(call.askId);
     call.askId = 0;
 }
 
--- a/src/core/permits_in_use.cpp
+++ b/src/core/permits_in_use.cpp
@@ -105,7 +105,7 @@
     held.owner = owner.name;
     held.permitId = kMovedPermit | call;
     m_actions.emplace_back(
-        HoldPermit{owner.name, owner.controlAddress, held.permitId, held.upstream, held.team});
+        AdoptPermit{owner.name, owner.controlAddress, held.permitId, held.upstream, held.team});
 }
 
 void PermitsInUse::freeLocal(const std::string &upstream)
--- a/src/core/team_admission.cpp
+++ b/src/core/team_admission.cpp
@@ -80,7 +80,7 @@
         return settle(team);
     }
     m_asks[team] = {owner->name, m_clock.now() + m_ownerTimeout};
-    m_actions.emplace_back(AskAllowance{owner->name, owner->controlAddress, ask});
+    m_actions.emplace_back(RequestAllowance{owner->name, owner->controlAddress, ask});
 }
 
 // Goes on without the answers to the open asks that match.
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -348,7 +348,7 @@
         ++m_permitMessages;
         post(target, std::move(handle));
     };
-    if (const auto *ask = std::get_if<AskPermit>(&action)) {
+    if (const auto *ask = std::get_if<RequestPermit>(&action)) {
         node.streams.insert(ask->owner);
         PermitAsk message;
         message.holder = holder;
@@ -359,8 +359,8 @@
         message.wait = ask->wait;
         message.prompt = ask->prompt;
         toOwner(ask->owner, [message](Node &it) { it.book->ask(message); });
-    } else if (const auto *withdrawal = std::get_if<WithdrawAsk>(&action)) {
-        const WithdrawAsk message = *withdrawal;
+    } else if (const auto *withdrawal = std::get_if<WithdrawPermitRequest>(&action)) {
+        const WithdrawPermitRequest message = *withdrawal;
         toOwner(message.owner, [holder, message](Node &it) {
             it.book->withdraw(holder, message.askId, message.upstream);
         });
@@ -372,13 +372,13 @@
             else
                 it.book->release(holder, message.permitId, message.upstream, message.cost);
         });
-    } else if (const auto *hold = std::get_if<HoldPermit>(&action)) {
+    } else if (const auto *hold = std::get_if<AdoptPermit>(&action)) {
         node.streams.insert(hold->owner);
-        const HoldPermit message = *hold;
+        const AdoptPermit message = *hold;
         toOwner(message.owner, [holder, message](Node &it) {
             it.book->hold(holder, message.permitId, message.upstream, message.team);
         });
-    } else if (const auto *allowance = std::get_if<AskAllowance>(&action)) {
+    } else if (const auto *allowance = std::get_if<RequestAllowance>(&action)) {
         node.streams.insert(allowance->owner);
         AllowanceAsk message = allowance->ask;
         message.holder = holder;
@@ -409,7 +409,7 @@
         toOwner(message.holder, [holder, message](Node &it) {
             it.keys->finish(holder, message.key, message.state, message.answer);
         });
-    } else if (const auto *kept = std::get_if<AnswerKept>(&action)) {
+    } else if (const auto *kept = std::get_if<EndWithStoredAnswer>(&action)) {
         m_results[node.calls.at(kept->call)].repeatedAnswer = true;
         finishRequest(index, kept->call, true, {});
     } else if (const auto *send = std::get_if<SendCall>(&action)) {
--- a/tests/unit/call_plan_test.cpp
+++ b/tests/unit/call_plan_test.cpp
@@ -10,13 +10,13 @@
 
 const TimePoint kNow{1h};
 
-CallPolicy termsOf(bool mayRunAgain, bool resumable = false, std::size_t maxAttempts = 2)
+CallPolicy policyOf(bool mayRunAgain, bool resumable = false, std::size_t maxAttempts = 2)
 {
     return {mayRunAgain, resumable, maxAttempts, kNow + 1s};
 }
 
-AfterFailure failureOf(CallPlan &plan, RunState state, Reason reason, bool answerBegun = false,
-                       bool budget = true)
+AfterFailure planAfterFailure(CallPlan &plan, RunState state, Reason reason,
+                              bool answerBegun = false, bool budget = true)
 {
     return plan.afterFailure({state, reason, answerBegun}, kNow, [budget] { return budget; });
 }
@@ -25,9 +25,9 @@
 
 TEST_CASE("call plan: what may have run and may not run again is never sent again [once]")
 {
-    CallPlan plan(termsOf(false));
+    CallPlan plan(policyOf(false));
     plan.sending("a");
-    CHECK(failureOf(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
+    CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
     CHECK(verdict.state == RunState::MayHaveRun);
@@ -37,11 +37,12 @@
 
 TEST_CASE("call plan: a later refusal does not make an earlier run unhappen [once]")
 {
-    CallPlan plan(termsOf(true));
+    CallPlan plan(policyOf(true));
     plan.sending("a");
-    CHECK(failureOf(plan, RunState::MayHaveRun, Reason::UpstreamBroke) == AfterFailure::SendAgain);
+    CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
+          == AfterFailure::SendAgain);
     plan.sending("b");
-    CHECK(failureOf(plan, RunState::NotRun, Reason::UpstreamPushback)
+    CHECK(planAfterFailure(plan, RunState::NotRun, Reason::UpstreamPushback)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
     CHECK(verdict.state == RunState::MayHaveRun);
@@ -51,9 +52,9 @@
 TEST_CASE(
     "call plan: what surely did not run is refused as such, with a time to come back [not-run]")
 {
-    CallPlan plan(termsOf(false, false, 1));
+    CallPlan plan(policyOf(false, false, 1));
     plan.sending("a");
-    CHECK(failureOf(plan, RunState::NotRun, Reason::UpstreamPushback)
+    CHECK(planAfterFailure(plan, RunState::NotRun, Reason::UpstreamPushback)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
     CHECK(verdict.state == RunState::NotRun);
@@ -62,11 +63,11 @@
 
 TEST_CASE("call plan: an upstream that could not be reached does not count as sent to [retry]")
 {
-    CallPlan plan(termsOf(false, false, 1));
+    CallPlan plan(policyOf(false, false, 1));
     plan.sending("a");
     plan.notSent();
     // No budget is asked: nothing has been sent yet.
-    CHECK(failureOf(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
+    CHECK(planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
           == AfterFailure::SendAgain);
     CHECK(plan.tried().contains("a"));
     CHECK(plan.sends() == 0);
@@ -76,7 +77,7 @@
     "call plan: an attempt that this node turned down itself costs no retry, and the upstream "
     "may be chosen again [retry][limit]")
 {
-    CallPlan plan(termsOf(false));
+    CallPlan plan(policyOf(false));
     for (int n = 0; n < 20; ++n) {
         plan.sending("a");
         plan.rejectedLocally("a");
@@ -86,19 +87,19 @@
     // Neither the budget of repeats nor the search for a reachable upstream has been touched.
     plan.sending("b");
     plan.notSent();
-    CHECK(failureOf(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
+    CHECK(planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
           == AfterFailure::SendAgain);
 }
 
 TEST_CASE("call plan: the search for a reachable upstream ends [retry]")
 {
-    CallPlan plan(termsOf(true, false, 10));
+    CallPlan plan(policyOf(true, false, 10));
     AfterFailure next = AfterFailure::SendAgain;
     int n = 0;
     while (next == AfterFailure::SendAgain && n < 100) {
         plan.sending(std::to_string(n++));
         plan.notSent();
-        next = failureOf(plan, RunState::NotRun, Reason::ConnectFailed);
+        next = planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed);
     }
     CHECK(n == 4);
 }
@@ -106,41 +107,42 @@
 TEST_CASE(
     "call plan: no more upstreams than the route allows, and no repeat beyond the budget [retry]")
 {
-    CallPlan plan(termsOf(true));
+    CallPlan plan(policyOf(true));
     plan.sending("a");
-    CHECK(failureOf(plan, RunState::MayHaveRun, Reason::UpstreamBroke) == AfterFailure::SendAgain);
+    CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
+          == AfterFailure::SendAgain);
     plan.sending("b");
-    CHECK(failureOf(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
+    CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
           == AfterFailure::EndWithVerdict);
 
-    CallPlan poor(termsOf(true));
-    poor.sending("a");
-    CHECK(failureOf(poor, RunState::NotRun, Reason::UpstreamPushback, false, false)
+    CallPlan withoutBudget(policyOf(true));
+    withoutBudget.sending("a");
+    CHECK(planAfterFailure(withoutBudget, RunState::NotRun, Reason::UpstreamPushback, false, false)
           == AfterFailure::EndWithVerdict);
-    CHECK(poor.verdict(250ms).reason == Reason::RetryBudgetUsed);
-    CHECK(poor.verdict(250ms).state == RunState::NotRun);
+    CHECK(withoutBudget.verdict(250ms).reason == Reason::RetryBudgetUsed);
+    CHECK(withoutBudget.verdict(250ms).state == RunState::NotRun);
 }
 
 TEST_CASE("call plan: a stream that has begun goes on elsewhere only where it may, else it is cut "
           "[streams]")
 {
-    CallPlan resumable(termsOf(true, true));
+    CallPlan resumable(policyOf(true, true));
     resumable.sending("a");
-    CHECK(failureOf(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
+    CHECK(planAfterFailure(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::SendAgain);
     resumable.sending("b");
-    CHECK(failureOf(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
+    CHECK(planAfterFailure(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::CutAnswer);
 
-    CallPlan other(termsOf(false));
+    CallPlan other(policyOf(false));
     other.sending("a");
-    CHECK(failureOf(other, RunState::MayHaveRun, Reason::UpstreamBroke, true)
+    CHECK(planAfterFailure(other, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::CutAnswer);
 }
 
 TEST_CASE("call plan: nothing is sent after the deadline [deadline]")
 {
-    CallPlan plan(termsOf(true));
+    CallPlan plan(policyOf(true));
     plan.sending("a");
     const auto next = plan.afterFailure({RunState::NotRun, Reason::UpstreamPushback, false},
                                         kNow + 1s, [] { return true; });
@@ -151,10 +153,10 @@
     "call plan: an upstream that has ended, with another at its address, is not among those that "
     "the request may be sent to [not-run][retry]")
 {
-    CallPolicy terms;
-    terms.maxAttempts = 1;
-    terms.answerBy = TimePoint(1h);
-    CallPlan plan(terms);
+    CallPolicy policy;
+    policy.maxAttempts = 1;
+    policy.answerBy = TimePoint(1h);
+    CallPlan plan(policy);
     int repeats = 0;
     const auto takeRepeat = [&repeats] {
         repeats += 1;
@@ -170,7 +172,7 @@
     CHECK(plan.afterFailure(full, TimePoint{}, takeRepeat) == AfterFailure::EndWithVerdict);
     SUBCASE("the search ends")
     {
-        CallPlan other(terms);
+        CallPlan other(policy);
         std::size_t sends = 0;
         do {
             other.sending("ended-" + std::to_string(sends++));
--- a/tests/unit/control_parts_test.cpp
+++ b/tests/unit/control_parts_test.cpp
@@ -227,7 +227,7 @@
     Allowance allowance;
     allowance.amount = 1;
     allowance.life = 3s;
-    const auto &ask = std::get<AskAllowance>(actions.front()).ask;
+    const auto &ask = std::get<RequestAllowance>(actions.front()).ask;
     admission.answered("t", ask.askId, allowance);
     CHECK(heard.in.back() == secondWaiting);
     CHECK(heard.out.size() + heard.in.size() == 19);
--- a/tests/unit/dispatcher_test.cpp
+++ b/tests/unit/dispatcher_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // One dispatcher before two engines in one failure domain, with one owner.
-struct Bench
+struct Fixture
 {
     ManualClock clock;
     Dispatcher dispatcher{clock, limits()};
@@ -24,7 +24,7 @@
         return limits;
     }
 
-    explicit Bench(int engines = 2) { setFleet(engines, {}); }
+    explicit Fixture(int engines = 2) { setFleet(engines, {}); }
 
     // `further`: members beside the one that owns the engines.
     void setFleet(int engines, const std::set<std::string> &leaving,
@@ -77,7 +77,7 @@
 
     void grantLast()
     {
-        const auto ask = last<AskPermit>();
+        const auto ask = last<RequestPermit>();
         REQUIRE(ask);
         PermitReply reply;
         reply.askId = ask->askId;
@@ -94,34 +94,34 @@
 
 TEST_CASE("dispatcher: a granted call is sent, and its permit is given back [permits]")
 {
-    Bench bench;
-    bench.begin(1);
-    bench.grantLast();
-    const auto send = bench.last<SendCall>();
+    Fixture fixture;
+    fixture.begin(1);
+    fixture.grantLast();
+    const auto send = fixture.last<SendCall>();
     REQUIRE(send);
-    CHECK(send->sendBy == bench.clock.now() + 2s);
-    bench.dispatcher.attemptFinished(1, send->attempt, 42.0);
-    const auto release = bench.last<ReleasePermit>();
+    CHECK(send->sendBy == fixture.clock.now() + 2s);
+    fixture.dispatcher.attemptFinished(1, send->attempt, 42.0);
+    const auto release = fixture.last<ReleasePermit>();
     REQUIRE(release);
     CHECK(release->permitId == 1);
     CHECK(release->cost == 42.0);
-    CHECK(bench.dispatcher.calls() == 0);
+    CHECK(fixture.dispatcher.calls() == 0);
 }
 
 TEST_CASE("dispatcher: what may have run is sent again only if it is repeatable [at-most-once]")
 {
     for (const bool repeatable : {false, true}) {
         CAPTURE(repeatable);
-        Bench bench;
-        bench.begin(1, repeatable);
-        bench.grantLast();
-        const auto send = bench.last<SendCall>();
-        bench.dispatcher.attemptFailed(1, send->attempt,
-                                       {RunState::MayHaveRun, Reason::UpstreamBroke, "", false});
+        Fixture fixture;
+        fixture.begin(1, repeatable);
+        fixture.grantLast();
+        const auto send = fixture.last<SendCall>();
+        fixture.dispatcher.attemptFailed(1, send->attempt,
+                                         {RunState::MayHaveRun, Reason::UpstreamBroke, "", false});
         if (repeatable) {
-            CHECK(bench.last<AskPermit>());
+            CHECK(fixture.last<RequestPermit>());
         } else {
-            const auto end = bench.last<EndCall>();
+            const auto end = fixture.last<EndCall>();
             REQUIRE(end);
             CHECK(end->verdict.state == RunState::MayHaveRun);
         }
@@ -130,47 +130,47 @@
 
 TEST_CASE("dispatcher: a node that owns the upstream no more does not end the call [permits]")
 {
-    Bench bench;
-    bench.begin(1);
-    const auto ask = bench.last<AskPermit>();
+    Fixture fixture;
+    fixture.begin(1);
+    const auto ask = fixture.last<RequestPermit>();
     REQUIRE(ask);
     PermitReply reply;
     reply.askId = ask->askId;
     reply.reason = Reason::NotOwner;
-    bench.dispatcher.permitAnswered("n1", reply);
+    fixture.dispatcher.permitAnswered("n1", reply);
     // This node's view still names the same owner: the small local allowance is left.
-    CHECK(bench.last<SendCall>());
+    CHECK(fixture.last<SendCall>());
 }
 
 TEST_CASE("dispatcher: what did not run goes to another upstream [retry]")
 {
-    Bench bench;
-    bench.begin(1, false);
-    bench.grantLast();
-    const auto first = bench.last<SendCall>();
-    bench.dispatcher.attemptFailed(1, first->attempt,
-                                   {RunState::NotRun, Reason::ConnectFailed, "", false});
-    bench.grantLast();
-    const auto second = bench.last<SendCall>();
+    Fixture fixture;
+    fixture.begin(1, false);
+    fixture.grantLast();
+    const auto first = fixture.last<SendCall>();
+    fixture.dispatcher.attemptFailed(1, first->attempt,
+                                     {RunState::NotRun, Reason::ConnectFailed, "", false});
+    fixture.grantLast();
+    const auto second = fixture.last<SendCall>();
     REQUIRE(second);
     CHECK(second->upstream != first->upstream);
 }
 
 TEST_CASE("dispatcher: after an attempt that may have run no refusal says not run [not-run]")
 {
-    Bench bench;
-    bench.begin(1, true);
-    bench.grantLast();
-    const auto send = bench.last<SendCall>();
-    bench.dispatcher.attemptFailed(1, send->attempt,
-                                   {RunState::MayHaveRun, Reason::UpstreamBroke, "", false});
-    const auto ask = bench.last<AskPermit>();
+    Fixture fixture;
+    fixture.begin(1, true);
+    fixture.grantLast();
+    const auto send = fixture.last<SendCall>();
+    fixture.dispatcher.attemptFailed(1, send->attempt,
+                                     {RunState::MayHaveRun, Reason::UpstreamBroke, "", false});
+    const auto ask = fixture.last<RequestPermit>();
     REQUIRE(ask);
     PermitReply denial;
     denial.askId = ask->askId;
     denial.reason = Reason::DeadlineTooNear;
-    bench.dispatcher.permitAnswered("n1", denial);
-    const auto end = bench.last<EndCall>();
+    fixture.dispatcher.permitAnswered("n1", denial);
+    const auto end = fixture.last<EndCall>();
     REQUIRE(end);
     CHECK(end->verdict.reason == Reason::DeadlineTooNear);
     CHECK(end->verdict.state == RunState::MayHaveRun);
@@ -178,13 +178,13 @@
 
 TEST_CASE("dispatcher: an answer that has begun is never begun again [whole-answers]")
 {
-    Bench bench;
-    bench.begin(1, true);
-    bench.grantLast();
-    const auto send = bench.last<SendCall>();
-    bench.dispatcher.attemptFailed(1, send->attempt,
-                                   {RunState::MayHaveRun, Reason::AnswerCut, "", true});
-    const auto end = bench.last<EndCall>();
+    Fixture fixture;
+    fixture.begin(1, true);
+    fixture.grantLast();
+    const auto send = fixture.last<SendCall>();
+    fixture.dispatcher.attemptFailed(1, send->attempt,
+                                     {RunState::MayHaveRun, Reason::AnswerCut, "", true});
+    const auto end = fixture.last<EndCall>();
     REQUIRE(end);
     CHECK(end->verdict.reason == Reason::AnswerCut);
 }
@@ -192,37 +192,37 @@
 TEST_CASE(
     "dispatcher: a permit that lay unread while the node was paused is not used late [leaving]")
 {
-    Bench bench;
-    bench.begin(1);
-    const auto ask = bench.last<AskPermit>();
-    bench.clock.advance(10s); // the grant came at once, but nobody read it
+    Fixture fixture;
+    fixture.begin(1);
+    const auto ask = fixture.last<RequestPermit>();
+    fixture.clock.advance(10s); // the grant came at once, but nobody read it
     PermitReply reply;
     reply.askId = ask->askId;
     reply.granted = true;
     reply.permitId = 1;
     reply.sendWithin = 2s;
-    bench.dispatcher.permitAnswered("n1", reply);
-    const auto send = bench.last<SendCall>();
+    fixture.dispatcher.permitAnswered("n1", reply);
+    const auto send = fixture.last<SendCall>();
     REQUIRE(send);
-    CHECK(send->sendBy < bench.clock.now());
+    CHECK(send->sendBy < fixture.clock.now());
 }
 
 TEST_CASE("dispatcher: a permit for an upstream that is leaving meanwhile is given back [leaving]")
 {
-    Bench bench(1);
-    bench.begin(1);
-    const auto ask = bench.last<AskPermit>();
-    bench.setFleet(1, {"e0"});
+    Fixture fixture(1);
+    fixture.begin(1);
+    const auto ask = fixture.last<RequestPermit>();
+    fixture.setFleet(1, {"e0"});
     PermitReply reply;
     reply.askId = ask->askId;
     reply.granted = true;
     reply.permitId = 9;
     reply.sendWithin = 2s;
-    bench.dispatcher.permitAnswered("n1", reply);
+    fixture.dispatcher.permitAnswered("n1", reply);
     bool sent = false;
     bool released = false;
     std::optional<Verdict> verdict;
-    for (const Action &it : bench.dispatcher.takeActions()) {
+    for (const Action &it : fixture.dispatcher.takeActions()) {
         sent = sent || std::holds_alternative<SendCall>(it);
         released = released || std::holds_alternative<ReleasePermit>(it);
         if (const auto *end = std::get_if<EndCall>(&it))
@@ -237,14 +237,14 @@
 
 TEST_CASE("dispatcher: a silent owner costs a local allowance, which is bounded [owner]")
 {
-    Bench bench(1);
-    bench.begin(1);
-    bench.begin(2);
-    bench.dispatcher.takeActions();
-    bench.dispatcher.ownerLost("n1");
+    Fixture fixture(1);
+    fixture.begin(1);
+    fixture.begin(2);
+    fixture.dispatcher.takeActions();
+    fixture.dispatcher.ownerLost("n1");
     int sent = 0;
     int refused = 0;
-    for (const Action &it : bench.dispatcher.takeActions()) {
+    for (const Action &it : fixture.dispatcher.takeActions()) {
         sent += std::holds_alternative<SendCall>(it) ? 1 : 0;
         refused += std::holds_alternative<EndCall>(it) ? 1 : 0;
     }
@@ -254,15 +254,15 @@
 
 TEST_CASE("dispatcher: the retry budget bounds how often a team's calls are sent again [retry]")
 {
-    Bench bench;
+    Fixture fixture;
     int retries = 0;
     for (CallId id = 1; id <= 200; ++id) {
-        bench.begin(id, true);
-        bench.grantLast();
-        const auto send = bench.last<SendCall>();
-        bench.dispatcher.attemptFailed(id, send->attempt,
-                                       {RunState::NotRun, Reason::UpstreamPushback, "", false});
-        if (bench.last<AskPermit>())
+        fixture.begin(id, true);
+        fixture.grantLast();
+        const auto send = fixture.last<SendCall>();
+        fixture.dispatcher.attemptFailed(id, send->attempt,
+                                         {RunState::NotRun, Reason::UpstreamPushback, "", false});
+        if (fixture.last<RequestPermit>())
             ++retries;
     }
     CHECK(retries >= 20);
@@ -271,57 +271,57 @@
 
 TEST_CASE("dispatcher: when the caller leaves, the attempt is cancelled and the permit given back")
 {
-    Bench bench;
-    bench.begin(1);
-    bench.grantLast();
-    bench.dispatcher.takeActions();
-    bench.dispatcher.callerLeft(1);
+    Fixture fixture;
+    fixture.begin(1);
+    fixture.grantLast();
+    fixture.dispatcher.takeActions();
+    fixture.dispatcher.callerLeft(1);
     bool cancelled = false;
     bool released = false;
-    for (const Action &it : bench.dispatcher.takeActions()) {
+    for (const Action &it : fixture.dispatcher.takeActions()) {
         cancelled = cancelled || std::holds_alternative<CancelAttempt>(it);
         released = released || std::holds_alternative<ReleasePermit>(it);
     }
     CHECK(cancelled);
     CHECK(released);
-    CHECK(bench.dispatcher.calls() == 0);
+    CHECK(fixture.dispatcher.calls() == 0);
 }
 
 TEST_CASE("dispatcher: a late grant for a call that is over is given back [permits]")
 {
-    Bench bench;
-    bench.begin(1);
-    const auto ask = bench.last<AskPermit>();
-    bench.dispatcher.callerLeft(1);
-    bench.dispatcher.takeActions();
+    Fixture fixture;
+    fixture.begin(1);
+    const auto ask = fixture.last<RequestPermit>();
+    fixture.dispatcher.callerLeft(1);
+    fixture.dispatcher.takeActions();
     PermitReply reply;
     reply.askId = ask->askId;
     reply.granted = true;
     reply.permitId = 5;
-    bench.dispatcher.permitAnswered("n1", reply);
-    const auto release = bench.last<ReleasePermit>();
+    fixture.dispatcher.permitAnswered("n1", reply);
+    const auto release = fixture.last<ReleasePermit>();
     REQUIRE(release);
     CHECK(release->permitId == 5);
 }
 
 TEST_CASE("dispatcher: an owner that was lost hears of the runs it had admitted [owner][recovery]")
 {
-    Bench bench;
-    bench.begin(1);
-    bench.grantLast();
-    bench.last<SendCall>();
-    bench.dispatcher.ownerLost("n1");
-    bench.begin(2); // asks the owner's next process
-    std::optional<HoldPermit> hold;
-    for (const Action &it : bench.dispatcher.takeActions()) {
-        if (const auto *action = std::get_if<HoldPermit>(&it))
+    Fixture fixture;
+    fixture.begin(1);
+    fixture.grantLast();
+    fixture.last<SendCall>();
+    fixture.dispatcher.ownerLost("n1");
+    fixture.begin(2); // asks the owner's next process
+    std::optional<AdoptPermit> hold;
+    for (const Action &it : fixture.dispatcher.takeActions()) {
+        if (const auto *action = std::get_if<AdoptPermit>(&it))
             hold = *action;
-        if (std::holds_alternative<AskPermit>(it))
+        if (std::holds_alternative<RequestPermit>(it))
             CHECK(hold); // in this order: the place is taken before the next one is asked for
     }
     REQUIRE(hold);
-    bench.dispatcher.attemptFinished(1, 1, 7.0);
-    const auto release = bench.last<ReleasePermit>();
+    fixture.dispatcher.attemptFinished(1, 1, 7.0);
+    const auto release = fixture.last<ReleasePermit>();
     REQUIRE(release);
     CHECK(release->owner == "n1");
     CHECK(release->permitId == hold->permitId);
@@ -331,17 +331,17 @@
 
 // Calls with the request that ends upstreams, one after the other, until three have ended under it.
 // An upstream is back under its name by the next call. Returns the id of a call to come.
-CallId endThreeUpstreams(Bench &bench, CallId id)
+CallId breakThreeUpstreams(Fixture &fixture, CallId id)
 {
     for (int n = 0; n < 3; ++n) {
-        bench.clock.advance(5s);
-        bench.begin(id, false);
-        bench.grantLast();
-        const auto send = bench.last<SendCall>();
+        fixture.clock.advance(5s);
+        fixture.begin(id, false);
+        fixture.grantLast();
+        const auto send = fixture.last<SendCall>();
         REQUIRE(send);
-        bench.dispatcher.attemptFailed(id, send->attempt,
-                                       {RunState::MayHaveRun, Reason::UpstreamBroke, "", false});
-        CHECK(bench.last<EndCall>()->verdict.state == RunState::MayHaveRun);
+        fixture.dispatcher.attemptFailed(id, send->attempt,
+                                         {RunState::MayHaveRun, Reason::UpstreamBroke, "", false});
+        CHECK(fixture.last<EndCall>()->verdict.state == RunState::MayHaveRun);
         ++id;
     }
     return id;
@@ -355,61 +355,61 @@
 TEST_CASE("dispatcher: a call under which three upstreams broke off before is sent to none, others "
           "are [quarantine]")
 {
-    Bench bench;
-    const CallId id = endThreeUpstreams(bench, 1);
-    bench.begin(id, false);
-    const auto end = bench.last<EndCall>();
+    Fixture fixture;
+    const CallId id = breakThreeUpstreams(fixture, 1);
+    fixture.begin(id, false);
+    const auto end = fixture.last<EndCall>();
     REQUIRE(end);
     CHECK(end->verdict.reason == Reason::RequestQuarantined);
     CHECK(end->verdict.state == RunState::NotRun);
     CHECK(end->verdict.retryAfter > 9min);
-    CHECK(bench.dispatcher.calls() == 0);
+    CHECK(fixture.dispatcher.calls() == 0);
 
     CallRequest other;
     other.id = id + 1;
     other.team = "t";
     other.target = "m";
-    other.deadline = bench.clock.now() + 30s;
+    other.deadline = fixture.clock.now() + 30s;
     other.fingerprint = {7, 7};
-    bench.dispatcher.begin(other);
-    CHECK(bench.last<AskPermit>());
+    fixture.dispatcher.begin(other);
+    CHECK(fixture.last<RequestPermit>());
 }
 
 TEST_CASE("dispatcher: copies of a call that break off with one upstream count as one end "
           "[quarantine]")
 {
-    Bench bench;
+    Fixture fixture;
     for (CallId id = 1; id <= 5; ++id) {
-        bench.begin(id, false);
-        bench.grantLast();
-        const auto send = bench.last<SendCall>();
+        fixture.begin(id, false);
+        fixture.grantLast();
+        const auto send = fixture.last<SendCall>();
         REQUIRE(send);
-        bench.dispatcher.attemptFailed(id, send->attempt,
-                                       {RunState::MayHaveRun, Reason::UpstreamBroke, "", false});
-        bench.last<EndCall>();
+        fixture.dispatcher.attemptFailed(id, send->attempt,
+                                         {RunState::MayHaveRun, Reason::UpstreamBroke, "", false});
+        fixture.last<EndCall>();
     }
-    bench.begin(6, false);
-    CHECK(bench.last<AskPermit>());
+    fixture.begin(6, false);
+    CHECK(fixture.last<RequestPermit>());
 }
 
 TEST_CASE("dispatcher: a call that waits for its permit when its request is held is not sent "
           "[quarantine]")
 {
-    Bench bench;
-    bench.begin(1, false);
-    const auto ask = bench.last<AskPermit>();
+    Fixture fixture;
+    fixture.begin(1, false);
+    const auto ask = fixture.last<RequestPermit>();
     REQUIRE(ask);
-    endThreeUpstreams(bench, 2);
+    breakThreeUpstreams(fixture, 2);
     PermitReply reply;
     reply.askId = ask->askId;
     reply.granted = true;
     reply.permitId = 99;
     reply.sendWithin = 1min;
-    bench.dispatcher.permitAnswered("n1", reply);
-    const auto end = bench.last<EndCall>();
+    fixture.dispatcher.permitAnswered("n1", reply);
+    const auto end = fixture.last<EndCall>();
     REQUIRE(end);
     CHECK(end->verdict.reason == Reason::RequestQuarantined);
-    CHECK(bench.dispatcher.calls() == 0);
+    CHECK(fixture.dispatcher.calls() == 0);
 }
 
 // The load pattern: an overloaded engine, and callers that come ten times a second to one of the
@@ -419,37 +419,37 @@
 {
     for (const int others : {0, 3}) {
         CAPTURE(others);
-        Bench bench(1);
+        Fixture fixture(1);
         std::vector<Member> further;
         further.reserve(static_cast<std::size_t>(others));
         for (int n = 0; n < others; ++n)
             further.push_back({"m" + std::to_string(n), "b", "r", "127.0.0.1:3", false});
-        bench.setFleet(1, {}, further);
+        fixture.setFleet(1, {}, further);
         constexpr double kLimit = 2.0;
         std::size_t sends = 0;
         std::optional<EndCall> refused;
         for (CallId id = 1; id <= 300; ++id) {
-            bench.clock.advance(100ms);
-            bench.begin(id);
-            const auto isOpen = [&] { return bench.dispatcher.calls() > 0; };
-            if (isOpen())
-                bench.grantLast();
-            const std::vector<Action> actions = bench.dispatcher.takeActions();
+            fixture.clock.advance(100ms);
+            fixture.begin(id);
+            const auto isInProgress = [&] { return fixture.dispatcher.calls() > 0; };
+            if (isInProgress())
+                fixture.grantLast();
+            const std::vector<Action> actions = fixture.dispatcher.takeActions();
             for (const Action &it : actions) {
                 if (const auto *send = std::get_if<SendCall>(&it)) {
                     sends += 1;
-                    bench.dispatcher.limitRead(id, send->attempt, {kLimit, false});
-                    bench.dispatcher.attemptFinished(id, send->attempt, 1.0);
+                    fixture.dispatcher.limitRead(id, send->attempt, {kLimit, false});
+                    fixture.dispatcher.attemptFinished(id, send->attempt, 1.0);
                 }
                 if (const auto *end = std::get_if<EndCall>(&it))
                     refused = *end;
             }
-            bench.last<EndCall>();
-            CHECK_FALSE(isOpen());
+            fixture.last<EndCall>();
+            CHECK_FALSE(isInProgress());
         }
-        const double part = kLimit * 30.0 / static_cast<double>(others + 1);
-        CHECK(static_cast<double>(sends) <= part + 3.0);
-        CHECK(static_cast<double>(sends) >= 0.7 * part);
+        const double share = kLimit * 30.0 / static_cast<double>(others + 1);
+        CHECK(static_cast<double>(sends) <= share + 3.0);
+        CHECK(static_cast<double>(sends) >= 0.7 * share);
         REQUIRE(refused);
         CHECK(refused->verdict.reason == Reason::UpstreamLimited);
         CHECK(refused->verdict.state == RunState::NotRun);
@@ -461,39 +461,39 @@
           "none until it is over [backoff][drain]")
 {
     for (const UpstreamNotice &notice : {UpstreamNotice{true, {}}, UpstreamNotice{false, 10s}}) {
-        Bench bench(1);
-        bench.begin(1);
-        bench.grantLast();
-        const auto send = bench.last<SendCall>();
+        Fixture fixture(1);
+        fixture.begin(1);
+        fixture.grantLast();
+        const auto send = fixture.last<SendCall>();
         REQUIRE(send);
-        REQUIRE(bench.dispatcher.noticeRead(1, send->attempt, notice));
-        bench.dispatcher.attemptFinished(1, send->attempt, 1.0);
+        REQUIRE(fixture.dispatcher.noticeRead(1, send->attempt, notice));
+        fixture.dispatcher.attemptFinished(1, send->attempt, 1.0);
         std::chrono::milliseconds last{0};
         for (CallId id = 2; id <= 4; ++id) {
-            bench.begin(id);
-            const auto refused = bench.last<EndCall>();
+            fixture.begin(id);
+            const auto refused = fixture.last<EndCall>();
             REQUIRE(refused);
             CHECK(refused->verdict.reason == Reason::UpstreamBackoff);
             CHECK(refused->verdict.state == RunState::NotRun);
             CHECK(refused->verdict.retryAfter > std::max<std::chrono::milliseconds>(10s, last));
             last = refused->verdict.retryAfter;
         }
-        bench.clock.advance(10s);
-        bench.begin(5);
-        bench.grantLast();
-        CHECK(bench.last<SendCall>());
+        fixture.clock.advance(10s);
+        fixture.begin(5);
+        fixture.grantLast();
+        CHECK(fixture.last<SendCall>());
     }
 }
 
 TEST_CASE("dispatcher: a call that waits for its permit is not sent into a backoff [backoff]")
 {
-    Bench bench(1);
-    bench.begin(1);
-    bench.grantLast();
-    const auto send = bench.last<SendCall>();
+    Fixture fixture(1);
+    fixture.begin(1);
+    fixture.grantLast();
+    const auto send = fixture.last<SendCall>();
     REQUIRE(send);
-    bench.begin(2);
-    bench.dispatcher.noticeRead(1, send->attempt, {false, 3s});
-    bench.grantLast();
-    CHECK_FALSE(bench.last<SendCall>());
+    fixture.begin(2);
+    fixture.dispatcher.noticeRead(1, send->attempt, {false, 3s});
+    fixture.grantLast();
+    CHECK_FALSE(fixture.last<SendCall>());
 }
--- a/tests/unit/engine_chooser_test.cpp
+++ b/tests/unit/engine_chooser_test.cpp
@@ -494,7 +494,7 @@
 
 // Many nodes choose at the same moment from one view of 160 engines, each for a context that no
 // engine has: how many requests the busiest engine gets.
-std::size_t mostAtOneEngine(std::size_t nodes, double consideredShare)
+std::size_t maxAtOneEngine(std::size_t nodes, double consideredShare)
 {
     constexpr std::size_t kManyEngines = 160;
     NodeView view;
@@ -528,8 +528,8 @@
 TEST_CASE("engines: many nodes that choose at once do not all take the few idle ones "
           "[routing][overload]")
 {
-    CHECK(mostAtOneEngine(40, 1.0) >= 12); // what it prevents
-    CHECK(mostAtOneEngine(40, shareToConsider(295)) <= 5);
+    CHECK(maxAtOneEngine(40, 1.0) >= 12); // what it prevents
+    CHECK(maxAtOneEngine(40, shareToConsider(295)) <= 5);
 }
 
 TEST_CASE("engines: a small fleet considers all of them [routing]")
@@ -578,14 +578,14 @@
                     engines, view.m_loads, view.m_health, view.m_contexts)
             ->instanceId;
     };
-    std::size_t passedOver = 0;
+    std::size_t skipped = 0;
     for (const UpstreamRecord &it : view.m_records) {
         view.m_loads.end(it.instanceId, {50'000, 50'000}, false); // this one is idle
         CHECK(choose({it.instanceId}) == it.instanceId);
-        passedOver += choose({}) != it.instanceId ? 1 : 0;
+        skipped += choose({}) != it.instanceId ? 1 : 0;
         view.m_loads.begin(it.instanceId, {50'000, 50'000});
     }
-    CHECK(passedOver == kEngines - 2); // all but those preferred for the context
+    CHECK(skipped == kEngines - 2); // all but those preferred for the context
 }
 
 TEST_CASE("engines: short prompts of a fleet that has just started use all engines "
@@ -594,7 +594,7 @@
     constexpr std::size_t kPrompts = 1'400; // of a second
     constexpr std::size_t kContexts = 300;
     constexpr std::size_t kManyEngines = 160;
-    const auto mostAtOne = [](bool setsApart) {
+    const auto maxAtOneEngine = [](bool usesShortGroup) {
         NodeView view;
         const UpstreamRecord engine = view.m_records.front();
         view.m_records.assign(kManyEngines, engine);
@@ -603,7 +603,7 @@
             view.m_records[n].instanceId = "many-" + std::to_string(n);
             engines.push_back(&view.m_records[n]);
         }
-        if (setsApart)
+        if (usesShortGroup)
             view.m_shortGroup = enginesForShortPrompts(engines, view.m_traits, kContexts * 300);
         std::size_t most = 0;
         for (std::size_t n = 0; n < kPrompts; ++n) {
@@ -616,6 +616,6 @@
         }
         return most;
     };
-    CHECK(mostAtOne(true) >= 16); // as many as an engine has slots, while others are idle
-    CHECK(mostAtOne(Mechanisms{}.shortEngines) <= 12);
+    CHECK(maxAtOneEngine(true) >= 16); // as many as an engine has slots, while others are idle
+    CHECK(maxAtOneEngine(Mechanisms{}.shortEngines) <= 12);
 }
--- a/tests/unit/engine_versions_test.cpp
+++ b/tests/unit/engine_versions_test.cpp
@@ -38,7 +38,7 @@
     }
 
     // The engine runs this version, and tells it when asked.
-    void setRuns(std::uint64_t version) { m_runs = version; }
+    void setRunningVersion(std::uint64_t version) { m_runningVersion = version; }
 
     // Loads what it is ordered, at once. Gives the orders.
     std::size_t run(Duration time)
@@ -49,25 +49,26 @@
             m_upstreams.tick();
             for (const RolloutAction &it : m_rollout.tick(m_holding, m_loads)) {
                 if (std::holds_alternative<AskReport>(it)) {
-                    m_rollout.reportRead("e", EngineReport{{{"m", m_runs}}, false, m_taken});
+                    m_rollout.reportRead(
+                        "e", EngineReport{{{"m", m_runningVersion}}, false, m_ordersTaken});
                     continue;
                 }
                 ++orders;
-                ++m_taken;
-                m_runs = std::get<OrderWeights>(it).version;
+                ++m_ordersTaken;
+                m_runningVersion = std::get<OrderWeights>(it).version;
                 m_rollout.orderAnswered("e", OrderResult::Accepted);
             }
-            takeShown();
+            applyObserved();
         }
         return orders;
     }
 
-    std::uint64_t believed() const { return m_upstreams.find("e")->weightVersions.at("m"); }
+    std::uint64_t assumedVersion() const { return m_upstreams.find("e")->weightVersions.at("m"); }
     bool isLoading() const { return !m_rollout.loading().empty(); }
     void setStoreReachable(bool reachable) { m_upstreams.setStoreReachable(reachable); }
 
 private:
-    void takeShown()
+    void applyObserved()
     {
         for (const auto &[id, models] : m_rollout.shown()) {
             for (const auto &[model, weights] : models)
@@ -81,8 +82,8 @@
     LoadBook m_loads;
     UpstreamDirectory m_upstreams;
     WeightRollout m_rollout;
-    std::uint64_t m_runs = 1;
-    std::int64_t m_taken = 0;
+    std::uint64_t m_runningVersion = 1;
+    std::int64_t m_ordersTaken = 0;
     std::optional<FencedLock::Holding> m_holding
         = FencedLock::Holding{9, TimePoint{}, TimePoint{}, TimePoint::max()};
 };
@@ -94,14 +95,14 @@
 {
     EngineFleet fleet;
     CHECK(fleet.run(2s) == 1);
-    CHECK(fleet.believed() == 2);
+    CHECK(fleet.assumedVersion() == 2);
     fleet.writeRecord(2);
     CHECK(fleet.run(1s) == 0);
-    fleet.setRuns(1);
+    fleet.setRunningVersion(1);
     fleet.writeRecord(1);
     CHECK(fleet.run(1s) == 1);
     fleet.writeRecord(2);
-    CHECK(fleet.believed() == 2);
+    CHECK(fleet.assumedVersion() == 2);
     CHECK_FALSE(fleet.isLoading());
 }
 
@@ -114,17 +115,17 @@
     {
         fleet.writeRecord(1);
         CHECK(fleet.run(1s) == 0);
-        CHECK(fleet.believed() == 2);
+        CHECK(fleet.assumedVersion() == 2);
         CHECK_FALSE(fleet.isLoading());
     }
     SUBCASE("the store is away and nothing can be written")
     {
         fleet.setStoreReachable(false);
         CHECK(fleet.run(30s) == 0);
-        CHECK(fleet.believed() == 2);
+        CHECK(fleet.assumedVersion() == 2);
         fleet.setStoreReachable(true);
         CHECK(fleet.run(2s) == 0);
-        CHECK(fleet.believed() == 2);
+        CHECK(fleet.assumedVersion() == 2);
         fleet.writeRecord(2);
         CHECK(fleet.run(30s) == 0);
     }
@@ -135,7 +136,7 @@
 {
     EngineFleet fleet;
     CHECK(fleet.run(2s) == 1);
-    fleet.setRuns(1); // between two of its records: the store has version 1 throughout
+    fleet.setRunningVersion(1); // between two of its records: the store has version 1 throughout
     CHECK(fleet.run(6s) == 1);
 }
 
@@ -149,12 +150,12 @@
     record.instanceId = "e";
     record.weightVersions["m"] = 1;
     upstreams.put(record);
-    const auto believed = [&] { return upstreams.find("e")->weightVersions.at("m"); };
+    const auto assumedVersion = [&] { return upstreams.find("e")->weightVersions.at("m"); };
     const TimePoint seen = clock.now();
     for (Duration passed{0}; passed < 4s; passed += 200ms) {
         upstreams.setWeightVersion("e", "m", {2, seen});
         upstreams.tick();
-        CHECK(believed() == 2);
+        CHECK(assumedVersion() == 2);
         clock.advance(200ms);
     }
     for (Duration passed{0}; passed < 20s; passed += 200ms) {
@@ -162,11 +163,11 @@
         upstreams.setWeightVersion("e", "m", {2, seen});
         upstreams.tick();
     }
-    CHECK(believed() == 1);
+    CHECK(assumedVersion() == 1);
     SUBCASE("what was seen anew is believed")
     {
         CHECK(upstreams.setWeightVersion("e", "m", {2, clock.now()}));
-        CHECK(believed() == 2);
+        CHECK(assumedVersion() == 2);
     }
     SUBCASE("a node that starts while nothing can be written believes an old word")
     {
@@ -190,24 +191,24 @@
     const TimePoint before = clock.now();
     clock.advance(100ms);
     upstreams.put(record);
-    const auto believed = [&] { return upstreams.find("e")->weightVersions.at("m"); };
+    const auto assumedVersion = [&] { return upstreams.find("e")->weightVersions.at("m"); };
     CHECK_FALSE(upstreams.setWeightVersion("e", "m", {1, before})); // replaced since
-    CHECK(believed() == 2);
+    CHECK(assumedVersion() == 2);
     clock.advance(100ms);
     const TimePoint first = clock.now();
     clock.advance(100ms);
     CHECK(upstreams.setWeightVersion("e", "m", {1, clock.now()})); // it has gone back
-    CHECK(believed() == 1);
+    CHECK(assumedVersion() == 1);
     CHECK_FALSE(upstreams.setWeightVersion("e", "m", {3, first})); // overtaken on its way
-    CHECK(believed() == 1);
+    CHECK(assumedVersion() == 1);
     clock.advance(100ms);
     upstreams.put(record); // loaded anew
-    CHECK(believed() == 2);
+    CHECK(assumedVersion() == 2);
     CHECK_FALSE(upstreams.isAheadOfRecord("e", "m", 2));
     CHECK_FALSE(upstreams.setWeightVersion("gone", "m", {3, clock.now()}));
     clock.advance(100ms);
     CHECK_FALSE(upstreams.setWeightVersion("e", "m", {0, clock.now()})); // there is no such version
-    CHECK(believed() == 2);
+    CHECK(assumedVersion() == 2);
 }
 
 TEST_CASE(
@@ -223,18 +224,18 @@
     upstreams.put(record);
     const TimePoint before = clock.now();
     clock.advance(100ms);
-    const auto isKnown = [&] { return upstreams.find("e")->weightVersions.contains("m"); };
+    const auto hasVersion = [&] { return upstreams.find("e")->weightVersions.contains("m"); };
     CHECK_FALSE(upstreams.rejectWeights("e", "m", {2, before})); // as old as the record
     CHECK_FALSE(upstreams.rejectWeights("e", "m", {1, clock.now()})); // no more believed
-    REQUIRE(isKnown());
+    REQUIRE(hasVersion());
     REQUIRE(upstreams.rejectWeights("e", "m", {2, clock.now()}));
-    CHECK_FALSE(isKnown());
+    CHECK_FALSE(hasVersion());
     CHECK(upstreams.usable("models").size() == 1); // its other models are
     clock.advance(100ms);
     SUBCASE("a record")
     {
         upstreams.put(record);
-        CHECK(isKnown());
+        CHECK(hasVersion());
     }
     SUBCASE("an answer")
     {
@@ -244,14 +245,14 @@
     SUBCASE("an answer from before tells nothing")
     {
         CHECK_FALSE(upstreams.setWeightVersion("e", "m", {3, before}));
-        CHECK_FALSE(isKnown());
+        CHECK_FALSE(hasVersion());
     }
     SUBCASE("the time in which a record would say so, also while the store is away")
     {
         upstreams.setStoreReachable(false);
         clock.advance(4s);
         upstreams.tick();
-        CHECK_FALSE(isKnown());
+        CHECK_FALSE(hasVersion());
         clock.advance(1s);
         upstreams.tick();
         CHECK(upstreams.find("e")->weightVersions.at("m") == 2);
--- a/tests/unit/health_patterns_test.cpp
+++ b/tests/unit/health_patterns_test.cpp
@@ -51,7 +51,7 @@
         int failed = 0; // of these
     };
 
-    Counts play(Duration time)
+    Counts run(Duration time)
     {
         Counts counts;
         for (Duration passed{}; passed < time; passed += m_pause) {
@@ -65,7 +65,7 @@
             counts.toFirst += isFirst ? 1 : 0;
             const Outcome outcome = isFirst ? m_behaviour(m_clock.now()) : Outcome::Answered;
             counts.failed += outcome == Outcome::Answered ? 0 : 1;
-            run(chosen->instanceId, outcome);
+            startRequest(chosen->instanceId, outcome);
         }
         return counts;
     }
@@ -80,7 +80,7 @@
         Outcome outcome = Outcome::Answered;
     };
 
-    void run(const std::string &id, Outcome outcome)
+    void startRequest(const std::string &id, Outcome outcome)
     {
         if (outcome == Outcome::Refused) { // nothing listens there
             m_health.failed(id);
@@ -122,7 +122,7 @@
     std::size_t m_sent = 0;
 };
 
-double partOf(int n, int all)
+double shareOf(int n, int all)
 {
     return static_cast<double>(n) / static_cast<double>(all);
 }
@@ -133,17 +133,18 @@
           "[health]")
 {
     std::mt19937 random(5); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time
-    bool isGrey = true;
+    bool isFailing = true;
     Service service([&](TimePoint) {
-        return isGrey && random() % 10 < 4 ? Service::Outcome::Failure : Service::Outcome::Answered;
+        return isFailing && random() % 10 < 4 ? Service::Outcome::Failure
+                                              : Service::Outcome::Answered;
     });
-    service.play(2s);
-    const auto grey = service.play(30s);
-    CHECK(partOf(grey.failed, grey.requests) <= 0.02); // 0.1 where it gets its equal part
-    isGrey = false;
-    service.play(10s);
-    const auto well = service.play(30s);
-    CHECK(partOf(well.toFirst, well.requests) >= 0.15);
+    service.run(2s);
+    const auto failing = service.run(30s);
+    CHECK(shareOf(failing.failed, failing.requests) <= 0.02); // 0.1 where it gets its equal part
+    isFailing = false;
+    service.run(10s);
+    const auto recovered = service.run(30s);
+    CHECK(shareOf(recovered.toFirst, recovered.requests) >= 0.15);
 }
 
 TEST_CASE(
@@ -154,7 +155,7 @@
         const auto turn = now.time_since_epoch() / 5s;
         return turn % 2 == 0 ? Service::Outcome::Refused : Service::Outcome::Answered;
     });
-    const auto counts = service.play(60s); // six times down, for five seconds each
+    const auto counts = service.run(60s); // six times down, for five seconds each
     CHECK(counts.failed <= 6 * 5); // 300 where nothing is learnt from a failure
     CHECK(counts.toFirst - counts.failed >= 100); // of some 300 at its equal part
 }
@@ -169,16 +170,16 @@
             return random() % 10 < 4 ? Service::Outcome::Failure : Service::Outcome::Answered;
         },
         kUpstreams, 64ms);
-    service.play(10min);
-    const auto counts = service.play(1h);
-    CHECK(partOf(counts.toFirst, counts.requests) <= 0.3 / kUpstreams);
+    service.run(10min);
+    const auto counts = service.run(1h);
+    CHECK(shareOf(counts.toFirst, counts.requests) <= 0.3 / kUpstreams);
 }
 
 TEST_CASE("health patterns: an upstream that hangs is avoided as soon as it owes answers for long "
           "[health]")
 {
     Service service([](TimePoint) { return Service::Outcome::Silence; });
-    service.play(2s);
-    const auto counts = service.play(30s);
-    CHECK(partOf(counts.failed, counts.requests) <= 0.05); // 0.25 at its equal part
+    service.run(2s);
+    const auto counts = service.run(30s);
+    CHECK(shareOf(counts.failed, counts.requests) <= 0.05); // 0.25 at its equal part
 }
