--- a/tests/unit/allowed_regions_test.cpp
+++ b/tests/unit/allowed_regions_test.cpp
@@ -5,19 +5,19 @@
 
 using namespace fordwood;
 
-TEST_CASE("homes: a request goes nowhere but to the regions that its route and its team both name "
-          "[homes]")
+TEST_CASE(
+    "allowed regions: a request is sent only to regions that its route and team allow [homes]")
 {
     const DomainRegions regions{{"a", "north"}, {"b", "south"}, {"c", "west"}};
     ServiceRoute route;
     ServingTeam team;
-    SUBCASE("none named")
+    SUBCASE("no restrictions")
     {
         CHECK(AllowedRegions(route, &team).isUnrestricted());
         CHECK(AllowedRegions(route, nullptr).allows("a", regions));
         CHECK(AllowedRegions(route, nullptr).allows("unknown", regions));
     }
-    SUBCASE("the route alone")
+    SUBCASE("only the route restricts")
     {
         route.homeRegions = {"north", "south"};
         CHECK(AllowedRegions(route, nullptr).allows("b", regions));
@@ -25,7 +25,7 @@
         CHECK_FALSE(AllowedRegions(route, &team).allows("c", regions));
         CHECK_FALSE(AllowedRegions(route, &team).allows("unknown", regions));
     }
-    SUBCASE("both")
+    SUBCASE("route and team restrict")
     {
         route.homeRegions = {"north", "south"};
         team.homeRegions = {"south", "west"};
--- a/tests/unit/call_plan_test.cpp
+++ b/tests/unit/call_plan_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("call plan: what may have run and may not run again is never sent again [once]")
+TEST_CASE("call plan: a request that may have run and must not run again is never retried [once]")
 {
     CallPlan plan(policyOf(false));
     plan.sending("a");
@@ -35,7 +35,7 @@
     CHECK(verdict.retryAfter == 0ms);
 }
 
-TEST_CASE("call plan: a later refusal does not make an earlier run unhappen [once]")
+TEST_CASE("call plan: a later refusal does not hide that an earlier attempt may have run [once]")
 {
     CallPlan plan(policyOf(true));
     plan.sending("a");
@@ -49,8 +49,7 @@
     CHECK(verdict.reason == Reason::UpstreamBroke);
 }
 
-TEST_CASE(
-    "call plan: what surely did not run is refused as such, with a time to come back [not-run]")
+TEST_CASE("call plan: a request that did not run is refused as not-run with a retry time [not-run]")
 {
     CallPlan plan(policyOf(false, false, 1));
     plan.sending("a");
@@ -61,21 +60,20 @@
     CHECK(verdict.retryAfter == 250ms);
 }
 
-TEST_CASE("call plan: an upstream that could not be reached does not count as sent to [retry]")
+TEST_CASE("call plan: a failed connection does not count as a send [retry]")
 {
     CallPlan plan(policyOf(false, false, 1));
     plan.sending("a");
     plan.notSent();
-    // No budget is asked: nothing has been sent yet.
+    // No budget is needed: nothing has been sent yet.
     CHECK(planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
           == AfterFailure::SendAgain);
     CHECK(plan.tried().contains("a"));
     CHECK(plan.sends() == 0);
 }
 
-TEST_CASE(
-    "call plan: an attempt that this node turned down itself costs no retry, and the upstream "
-    "may be chosen again [retry][limit]")
+TEST_CASE("call plan: an attempt rejected by this node itself costs no retry, and its upstream may "
+          "be chosen again [retry][limit]")
 {
     CallPlan plan(policyOf(false));
     for (int n = 0; n < 20; ++n) {
@@ -84,7 +82,7 @@
     }
     CHECK(plan.sends() == 0);
     CHECK(plan.tried().empty());
-    // Neither the budget of repeats nor the search for a reachable upstream has been touched.
+    // Neither the retry budget nor the limit of failed connections has been used.
     plan.sending("b");
     plan.notSent();
     CHECK(planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
@@ -104,8 +102,7 @@
     CHECK(n == 4);
 }
 
-TEST_CASE(
-    "call plan: no more upstreams than the route allows, and no repeat beyond the budget [retry]")
+TEST_CASE("call plan: sends are limited by the route, and retries by the budget [retry]")
 {
     CallPlan plan(policyOf(true));
     plan.sending("a");
@@ -123,8 +120,8 @@
     CHECK(withoutBudget.verdict(250ms).state == RunState::NotRun);
 }
 
-TEST_CASE("call plan: a stream that has begun goes on elsewhere only where it may, else it is cut "
-          "[streams]")
+TEST_CASE("call plan: a stream that has begun continues elsewhere only if resumable, else it is "
+          "cut [streams]")
 {
     CallPlan resumable(policyOf(true, true));
     resumable.sending("a");
@@ -149,9 +146,8 @@
     CHECK(next == AfterFailure::EndWithVerdict);
 }
 
-TEST_CASE(
-    "call plan: an upstream that has ended, with another at its address, is not among those that "
-    "the request may be sent to [not-run][retry]")
+TEST_CASE("call plan: an ended upstream whose address another one has taken does not count as "
+          "tried [not-run][retry]")
 {
     CallPolicy policy;
     policy.maxAttempts = 1;
@@ -166,7 +162,7 @@
     plan.sending("ended");
     plan.reachedOtherInstance();
     CHECK(plan.afterFailure(gone, TimePoint{}, takeRepeat) == AfterFailure::SendAgain);
-    CHECK(repeats == 1); // what arrived there counts for the fleet's budget
+    CHECK(repeats == 1); // the send that arrived there counts toward the fleet's budget
     plan.sending("lives");
     const FailedAttempt full{RunState::NotRun, Reason::UpstreamPushback, false};
     CHECK(plan.afterFailure(full, TimePoint{}, takeRepeat) == AfterFailure::EndWithVerdict);
--- a/tests/unit/dispatcher_test.cpp
+++ b/tests/unit/dispatcher_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// One dispatcher before two engines in one failure domain, with one owner.
+// A dispatcher with two engines in one failure domain and one owner.
 struct Fixture
 {
     ManualClock clock;
@@ -26,7 +26,7 @@
 
     explicit Fixture(int engines = 2) { setFleet(engines, {}); }
 
-    // `further`: members beside the one that owns the engines.
+    // `further`: members besides the owner of the engines.
     void setFleet(int engines, const std::set<std::string> &leaving,
                   const std::vector<Member> &further = {})
     {
@@ -60,7 +60,7 @@
         dispatcher.begin(request);
     }
 
-    // The last action of a kind since the last call, if any.
+    // Takes all actions and returns the last one of type T, if any.
     template <typename T>
     std::optional<T> last()
     {
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE("dispatcher: a granted call is sent, and its permit is given back [permits]")
+TEST_CASE("dispatcher: a granted call is sent and its permit released [permits]")
 {
     Fixture fixture;
     fixture.begin(1);
@@ -108,7 +108,7 @@
     CHECK(fixture.dispatcher.calls() == 0);
 }
 
-TEST_CASE("dispatcher: what may have run is sent again only if it is repeatable [at-most-once]")
+TEST_CASE("dispatcher: a call that may have run is retried only if it is repeatable [at-most-once]")
 {
     for (const bool repeatable : {false, true}) {
         CAPTURE(repeatable);
@@ -128,7 +128,7 @@
     }
 }
 
-TEST_CASE("dispatcher: a node that owns the upstream no more does not end the call [permits]")
+TEST_CASE("dispatcher: a call continues when the node asked no longer owns the upstream [permits]")
 {
     Fixture fixture;
     fixture.begin(1);
@@ -138,11 +138,11 @@
     reply.askId = ask->askId;
     reply.reason = Reason::NotOwner;
     fixture.dispatcher.permitAnswered("n1", reply);
-    // This node's view still names the same owner: the small local allowance is left.
+    // This node's view still names the same owner, which leaves only the small local allowance.
     CHECK(fixture.last<SendCall>());
 }
 
-TEST_CASE("dispatcher: what did not run goes to another upstream [retry]")
+TEST_CASE("dispatcher: a call that did not run is retried at another upstream [retry]")
 {
     Fixture fixture;
     fixture.begin(1, false);
@@ -156,7 +156,8 @@
     CHECK(second->upstream != first->upstream);
 }
 
-TEST_CASE("dispatcher: after an attempt that may have run no refusal says not run [not-run]")
+TEST_CASE(
+    "dispatcher: a refusal after an attempt that may have run does not report not-run [not-run]")
 {
     Fixture fixture;
     fixture.begin(1, true);
@@ -176,7 +177,7 @@
     CHECK(end->verdict.state == RunState::MayHaveRun);
 }
 
-TEST_CASE("dispatcher: an answer that has begun is never begun again [whole-answers]")
+TEST_CASE("dispatcher: an answer that has begun is never restarted [whole-answers]")
 {
     Fixture fixture;
     fixture.begin(1, true);
@@ -189,13 +190,12 @@
     CHECK(end->verdict.reason == Reason::AnswerCut);
 }
 
-TEST_CASE(
-    "dispatcher: a permit that lay unread while the node was paused is not used late [leaving]")
+TEST_CASE("dispatcher: a permit left unread while the node was paused is not used late [leaving]")
 {
     Fixture fixture;
     fixture.begin(1);
     const auto ask = fixture.last<RequestPermit>();
-    fixture.clock.advance(10s); // the grant came at once, but nobody read it
+    fixture.clock.advance(10s); // the grant arrived at once but was not read
     PermitReply reply;
     reply.askId = ask->askId;
     reply.granted = true;
@@ -207,7 +207,7 @@
     CHECK(send->sendBy < fixture.clock.now());
 }
 
-TEST_CASE("dispatcher: a permit for an upstream that is leaving meanwhile is given back [leaving]")
+TEST_CASE("dispatcher: a permit is released if its upstream starts leaving meanwhile [leaving]")
 {
     Fixture fixture(1);
     fixture.begin(1);
@@ -235,7 +235,7 @@
     CHECK(verdict->reason == Reason::UpstreamLeaving);
 }
 
-TEST_CASE("dispatcher: a silent owner costs a local allowance, which is bounded [owner]")
+TEST_CASE("dispatcher: calls of a lost owner use a bounded local allowance [owner]")
 {
     Fixture fixture(1);
     fixture.begin(1);
@@ -252,7 +252,7 @@
     CHECK(refused == 1);
 }
 
-TEST_CASE("dispatcher: the retry budget bounds how often a team's calls are sent again [retry]")
+TEST_CASE("dispatcher: the retry budget limits the retries of a team's calls [retry]")
 {
     Fixture fixture;
     int retries = 0;
@@ -269,7 +269,7 @@
     CHECK(retries <= 32);
 }
 
-TEST_CASE("dispatcher: when the caller leaves, the attempt is cancelled and the permit given back")
+TEST_CASE("dispatcher: when the caller leaves, the attempt is cancelled and the permit released")
 {
     Fixture fixture;
     fixture.begin(1);
@@ -287,7 +287,7 @@
     CHECK(fixture.dispatcher.calls() == 0);
 }
 
-TEST_CASE("dispatcher: a late grant for a call that is over is given back [permits]")
+TEST_CASE("dispatcher: a late grant for a call that has ended is released [permits]")
 {
     Fixture fixture;
     fixture.begin(1);
@@ -304,20 +304,20 @@
     CHECK(release->permitId == 5);
 }
 
-TEST_CASE("dispatcher: an owner that was lost hears of the runs it had admitted [owner][recovery]")
+TEST_CASE("dispatcher: a lost owner is informed of the requests it had admitted [owner][recovery]")
 {
     Fixture fixture;
     fixture.begin(1);
     fixture.grantLast();
     fixture.last<SendCall>();
     fixture.dispatcher.ownerLost("n1");
-    fixture.begin(2); // asks the owner's next process
+    fixture.begin(2); // sent to the owner's next process
     std::optional<AdoptPermit> hold;
     for (const Action &it : fixture.dispatcher.takeActions()) {
         if (const auto *action = std::get_if<AdoptPermit>(&it))
             hold = *action;
         if (std::holds_alternative<RequestPermit>(it))
-            CHECK(hold); // in this order: the place is taken before the next one is asked for
+            CHECK(hold); // the running request is registered before the next permit is requested
     }
     REQUIRE(hold);
     fixture.dispatcher.attemptFinished(1, 1, 7.0);
@@ -329,8 +329,8 @@
 
 namespace {
 
-// Calls with the request that ends upstreams, one after the other, until three have ended under it.
-// An upstream is back under its name by the next call. Returns the id of a call to come.
+// Runs three calls of the same request one after the other, each of which makes its upstream break
+// off. An upstream has restarted under its name by the next call. Returns the next unused call id.
 CallId breakThreeUpstreams(Fixture &fixture, CallId id)
 {
     for (int n = 0; n < 3; ++n) {
@@ -349,11 +349,11 @@
 
 } // namespace
 
-// The node in one process held a request under which three engines had ended; an entry daemon went
-// on sending such a request to an engine each time its caller came back, since it judged each call
-// for itself.
-TEST_CASE("dispatcher: a call under which three upstreams broke off before is sent to none, others "
-          "are [quarantine]")
+// An entry daemon kept sending a request to engines each time its caller repeated it, although
+// several engines had already broken off under it, since each call was judged alone. The node
+// daemon quarantined such a request after three engines.
+TEST_CASE("dispatcher: a request is refused after three upstreams broke off under it, others are "
+          "not [quarantine]")
 {
     Fixture fixture;
     const CallId id = breakThreeUpstreams(fixture, 1);
@@ -375,7 +375,7 @@
     CHECK(fixture.last<RequestPermit>());
 }
 
-TEST_CASE("dispatcher: copies of a call that break off with one upstream count as one end "
+TEST_CASE("dispatcher: copies of a request that one upstream breaks off count as one failure "
           "[quarantine]")
 {
     Fixture fixture;
@@ -392,7 +392,7 @@
     CHECK(fixture.last<RequestPermit>());
 }
 
-TEST_CASE("dispatcher: a call that waits for its permit when its request is held is not sent "
+TEST_CASE("dispatcher: a call waiting for its permit is not sent once its request is quarantined "
           "[quarantine]")
 {
     Fixture fixture;
@@ -412,10 +412,10 @@
     CHECK(fixture.dispatcher.calls() == 0);
 }
 
-// The load pattern: an overloaded engine, and callers that come ten times a second to one of the
-// daemons that send there.
-TEST_CASE("dispatcher: an upstream that names a limit gets this daemon's part of it, and calls "
-          "beyond it are refused at once [limit]")
+// Load pattern: an overloaded engine, and callers that send ten requests per second to one of its
+// daemons.
+TEST_CASE("dispatcher: an upstream with a rate limit gets this daemon's share, and calls beyond it "
+          "are refused at once [limit]")
 {
     for (const int others : {0, 3}) {
         CAPTURE(others);
@@ -457,8 +457,8 @@
     }
 }
 
-TEST_CASE("dispatcher: an engine that rejects a call and asks for a backoff, or is draining, gets "
-          "none until it is over [backoff][drain]")
+TEST_CASE("dispatcher: an engine that asks for a backoff or is draining gets no calls until that "
+          "ends [backoff][drain]")
 {
     for (const UpstreamNotice &notice : {UpstreamNotice{true, {}}, UpstreamNotice{false, 10s}}) {
         Fixture fixture(1);
@@ -485,7 +485,7 @@
     }
 }
 
-TEST_CASE("dispatcher: a call that waits for its permit is not sent into a backoff [backoff]")
+TEST_CASE("dispatcher: a call waiting for its permit is not sent during a backoff [backoff]")
 {
     Fixture fixture(1);
     fixture.begin(1);
--- a/tests/unit/engine_chooser_test.cpp
+++ b/tests/unit/engine_chooser_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::size_t kEngines = 8;
 
-// One node's view of a few engines and one store.
+// One node's view of several engines and one context store.
 class NodeView
 {
 public:
@@ -61,7 +61,7 @@
                                 engines, m_loads, m_health, m_contexts);
     }
 
-    // Chooses, and sends as chosen.
+    // Chooses an engine and records the request as sent.
     std::optional<EngineChoice> send(const Prompt &prompt, const std::string &isolatedTeam = "")
     {
         auto choice = choose(prompt, isolatedTeam);
@@ -104,8 +104,8 @@
     }
 }
 
-TEST_CASE("engines: short prompts of a context keep to two engines while those have places "
-          "[routing]")
+TEST_CASE(
+    "engines: short prompts of a context use two engines while these have free slots [routing]")
 {
     NodeView view;
     const Prompt prompt = shortPrompt();
@@ -113,16 +113,17 @@
     view.m_loads.begin(preferred, {0, 0});
     for (int n = 0; n < 5; ++n)
         view.m_loads.begin(preferred, {0, 500});
-    CHECK(view.choose(prompt)->instanceId == preferred); // six runs slow it less than a cold read
+    CHECK(view.choose(prompt)->instanceId
+          == preferred); // six running requests cost less than recomputing the context
     view.m_loads.setPeer("peer", {{preferred, {11, 0, 0}}});
     const std::string next = view.choose(prompt)->instanceId;
-    CHECK(next != preferred); // it has no place left
+    CHECK(next != preferred); // it has no free slot
     NodeView other;
     other.m_loads.setPeer("peer", {{preferred, {17, 0, 0}}});
-    CHECK(other.choose(prompt)->instanceId == next); // the same one by another node's choice
+    CHECK(other.choose(prompt)->instanceId == next); // another node chooses the same one
 }
 
-TEST_CASE("engines: a context goes elsewhere when its engine has too much to do [routing]")
+TEST_CASE("engines: a context moves elsewhere when its engine is overloaded [routing]")
 {
     NodeView view;
     const std::string preferred = view.choose(longPrompt())->instanceId;
@@ -130,8 +131,7 @@
     CHECK(view.choose(longPrompt())->instanceId != preferred);
 }
 
-TEST_CASE(
-    "engines: what other nodes have sent counts as well, until they fall silent [routing][peers]")
+TEST_CASE("engines: the load from other nodes counts until these stop reporting [routing][peers]")
 {
     NodeView view;
     const std::string preferred = view.choose(longPrompt())->instanceId;
@@ -142,8 +142,7 @@
     CHECK(view.choose(longPrompt("c1"))->instanceId == preferred);
 }
 
-TEST_CASE(
-    "engines: a part that no store holds is saved once; one that is held whole is fetched [stores]")
+TEST_CASE("engines: a part that no store holds is saved once, a complete one is fetched [stores]")
 {
     NodeView view;
     const auto first = view.send(longPrompt());
@@ -151,32 +150,33 @@
     CHECK_FALSE(first->isFetching());
     CHECK(first->load.tokensToCompute == 17'000);
     const auto second = view.choose(longPrompt());
-    CHECK(second->saveTo == std::vector<std::string>{"", ""}); // the save is under way
-    CHECK_FALSE(second->isFetching()); // it is not whole yet
+    CHECK(second->saveTo == std::vector<std::string>{"", ""}); // the save is in progress
+    CHECK_FALSE(second->isFetching()); // it is not complete yet
     view.updateStore({{first->salt, "c1", true, 12'800}});
     const auto third = view.choose(longPrompt());
     CHECK(third->fetchFrom == std::vector<std::string>{"10.0.0.1:80", ""});
     CHECK(third->load.tokensToCompute == 4'200);
 }
 
-TEST_CASE("engines: context is computed where its store has too much to send already [stores]")
+TEST_CASE("engines: context is recomputed if its store has too much to send [stores]")
 {
     NodeView view;
     const auto first = view.send(longPrompt());
     view.updateStore({{first->salt, "c1", true, 12'800}});
-    view.m_clock.advance(4s); // the engine has probably dropped it
+    view.m_clock.advance(4s); // the engine has probably evicted it
     view.updateStore({});
     CHECK(view.choose(longPrompt())->isFetching());
     view.m_loads.begin("10.0.0.1:80", {200'000, 0});
-    CHECK(view.choose(longPrompt())->isFetching()); // 0.8 of four times its computation
+    CHECK(view.choose(longPrompt())
+              ->isFetching()); // the fetch costs 0.8 of the recomputation, which has weight four
     view.m_loads.begin("10.0.0.1:80", {100'000, 0});
     const auto computed = view.choose(longPrompt());
     CHECK_FALSE(computed->isFetching());
     CHECK(computed->load.tokensToCompute == 17'000);
-    CHECK(computed->saveTo == std::vector<std::string>{"", ""}); // it is kept already
+    CHECK(computed->saveTo == std::vector<std::string>{"", ""}); // a store holds it already
 }
 
-TEST_CASE("engines: a choice that is not sent leaves nothing behind [stores]")
+TEST_CASE("engines: a choice that is not sent changes no state [stores]")
 {
     NodeView view;
     const auto refused = view.choose(longPrompt());
@@ -185,8 +185,8 @@
     CHECK_FALSE(next->holdsContext);
 }
 
-TEST_CASE("engines: a small part before a large one is saved as well, since an engine without it "
-          "cannot use the large one [stores]")
+TEST_CASE("engines: a small part before a large one is saved too, as the large one is useless "
+          "without it [stores]")
 {
     NodeView view;
     const Prompt prompt{"m", {{"preface", 300}, {"case", 9'000}, {"own", 2'900}}, 12'200, 30};
@@ -195,17 +195,18 @@
     CHECK(!choice->saveTo[1].empty());
     CHECK(choice->saveTo[2].empty());
     const auto small = view.send(shortPrompt());
-    CHECK(small->saveTo[0].empty()); // alone it is computed sooner than fetched
+    CHECK(small->saveTo[0].empty()); // alone it is recomputed faster than fetched
 }
 
-TEST_CASE("engines: what another node has sent is looked for where it sent it [routing][peers]")
+TEST_CASE("engines: a context sent by another node is expected at the engine it was sent to "
+          "[routing][peers]")
 {
     NodeView one;
     NodeView other;
     const std::string preferred = one.send(longPrompt())->instanceId;
     other.m_loads.setPeer("one", {{preferred, {1, 17'000, 17'000}}});
     CHECK(other.choose(longPrompt())->instanceId
-          != preferred); // it computes, and would do it again
+          != preferred); // busy, and believed to lack the context
     other.m_contexts.recordPeerSends(one.m_contexts.recentSends());
     const auto choice = other.choose(longPrompt());
     CHECK(choice->instanceId == preferred);
@@ -214,35 +215,35 @@
     CHECK(one.m_contexts.recentSends().empty());
 }
 
-TEST_CASE("engines: memory that an engine lacks counts as wait, since runs must end first "
+TEST_CASE("engines: missing memory counts as wait, as running requests must finish first "
           "[routing][admission]")
 {
     NodeView view;
     CHECK(view.choose(longPrompt())->queuedTokens == 0.0);
     for (const UpstreamRecord &it : view.m_records)
         view.m_loads.begin(it.instanceId, {0, 69'000});
-    CHECK(view.choose(longPrompt())->queuedTokens == 0.0); // 17,030 fit into what is left
+    CHECK(view.choose(longPrompt())->queuedTokens == 0.0); // 17,030 tokens fit into the free memory
     for (const UpstreamRecord &it : view.m_records)
         view.m_loads.begin(it.instanceId, {0, 10'000});
-    CHECK(view.choose(longPrompt())->queuedTokens > 30'000.0); // 9,030 tokens do not
+    CHECK(view.choose(longPrompt())->queuedTokens > 30'000.0); // 9,030 tokens do not fit
 }
 
-TEST_CASE("engines: nothing is fetched from a store that is silent or came back empty [stores]")
+TEST_CASE(
+    "engines: nothing is fetched from a store that does not answer or came back empty [stores]")
 {
     NodeView view;
     const std::string salt = view.choose(longPrompt())->salt;
     view.updateStore({{salt, "c1", true, 12'800}});
     REQUIRE(view.choose(longPrompt())->isFetching());
-    view.m_clock.advance(2s); // it has not answered for longer than its word holds
+    view.m_clock.advance(2s); // its last answer is no longer valid
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
-    view.updateStore({}); // it answers again, with what it held
+    view.updateStore({}); // it answers again with the same content
     CHECK(view.choose(longPrompt())->isFetching());
-    view.updateStore({}, 2); // it has started anew
+    view.updateStore({}, 2); // it has restarted
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
 }
 
-TEST_CASE(
-    "engines: no team finds the context of a walled team, no weights that of others [isolation]")
+TEST_CASE("engines: context of an isolated team or of other weights is never found [isolation]")
 {
     NodeView view;
     const std::string shared = view.choose(longPrompt())->salt;
@@ -259,7 +260,7 @@
     CHECK_FALSE(newer->isFetching());
 }
 
-TEST_CASE("engines: no request begins on old weights once their time is over [weights]")
+TEST_CASE("engines: no request begins on replaced weights after their bound [weights]")
 {
     NodeView view;
     view.m_records[3].weightVersions["m"] = 2;
@@ -267,7 +268,7 @@
     view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_clock.advance(5s);
     view.m_weights.note(
-        3, {EventTime::at(view.m_clock.now()), 2}); // does not make version 1 any younger
+        3, {EventTime::at(view.m_clock.now()), 2}); // does not change when version 1 was replaced
     view.m_clock.advance(6s);
     for (int n = 0; n < 20; ++n)
         CHECK(view.choose(longPrompt("c" + std::to_string(n)))->instanceId == "e3");
@@ -275,8 +276,8 @@
     CHECK_FALSE(view.choose(longPrompt()));
 }
 
-TEST_CASE("engines: one with replaced weights is left out where the wait would outlast their time "
-          "[weights]")
+TEST_CASE(
+    "engines: one with replaced weights is excluded if the wait would exceed their bound [weights]")
 {
     NodeView view;
     view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
@@ -294,7 +295,7 @@
     for (const UpstreamRecord &it : view.m_records)
         view.m_loads.end(it.instanceId, {100'000, 0}, false);
     CHECK(canChoose());
-    loadAll({0, 86'900}); // no memory until it ends
+    loadAll({0, 86'900}); // no memory until these requests end
     CHECK(canChoose());
     view.m_clock.advance(800ms);
     CHECK_FALSE(canChoose());
@@ -303,7 +304,7 @@
     CHECK(canChoose());
 }
 
-TEST_CASE("engines: the wait for a store of context takes from the time of replaced weights "
+TEST_CASE("engines: the wait for a context store counts toward the bound of replaced weights "
           "[weights][stores]")
 {
     NodeView view;
@@ -315,16 +316,16 @@
     view.m_clock.advance(9s);
     view.updateStore({});
     CHECK(view.choose(prompt)->isFetching());
-    view.m_loads.begin("10.0.0.1:80", {200'000, 0}); // 0.8 s
+    view.m_loads.begin("10.0.0.1:80", {200'000, 0}); // 0.8 s of transfers
     CHECK(view.choose(prompt)->isFetching());
     view.m_clock.advance(1s);
     view.updateStore({});
     CHECK_FALSE(view.choose(prompt));
-    view.m_loads.begin("10.0.0.1:80", {100'000, 0}); // more than computing it instead
+    view.m_loads.begin("10.0.0.1:80", {100'000, 0}); // fetching now costs more than recomputing
     CHECK_FALSE(view.choose(prompt)->isFetching());
 }
 
-TEST_CASE("engines: those that failed the request, or pause, are left out [health]")
+TEST_CASE("engines: those that failed the request or are paused are excluded [health]")
 {
     NodeView view;
     const std::string preferred = view.choose(shortPrompt())->instanceId;
@@ -344,7 +345,7 @@
     CHECK(view.choose(shortPrompt())->instanceId == next);
 }
 
-TEST_CASE("engines: one that owes an answer and says nothing is avoided [health]")
+TEST_CASE("engines: one with a pending answer that sends nothing is avoided [health]")
 {
     NodeView view;
     const std::string preferred = view.choose(shortPrompt())->instanceId;
@@ -364,7 +365,7 @@
     CHECK_FALSE(view.m_health.isSilent(preferred));
 }
 
-TEST_CASE("engines: short prompts keep to their group, long ones out of it [routing]")
+TEST_CASE("engines: short prompts stay in their group, long ones outside it [routing]")
 {
     NodeView view;
     view.m_shortGroup = {"e1", "e2"};
@@ -375,8 +376,8 @@
     }
 }
 
-TEST_CASE("engine groups: as many engines as the contexts of short prompts need, and the same "
-          "everywhere [routing]")
+TEST_CASE("engine groups: the group fits the contexts of short prompts and is the same everywhere "
+          "[routing]")
 {
     std::vector<UpstreamRecord> records(18);
     std::vector<const UpstreamRecord *> engines;
@@ -390,14 +391,14 @@
     CHECK(enginesForShortPrompts(engines, traits, 1'000).size() == 1);
     const auto group = enginesForShortPrompts(engines, traits, 300'000);
     CHECK(group.size() == 5);
-    CHECK(enginesForShortPrompts(engines, traits, 100'000'000).size() == 7); // others need the rest
-    // One engine more or less in the group moves no other one.
+    CHECK(enginesForShortPrompts(engines, traits, 100'000'000).size()
+          == 7); // long prompts need the rest
+    // Growing the group keeps its engines.
     for (const std::string &it : group)
         CHECK(enginesForShortPrompts(engines, traits, 350'000).contains(it));
 }
 
-TEST_CASE(
-    "store keeper: context of old weights is freed only when nobody can read it any more [stores]")
+TEST_CASE("store keeper: context of old weights is freed only once no node can read it [stores]")
 {
     ManualClock clock;
     StoreKeeper keeper(clock);
@@ -415,22 +416,22 @@
     clock.advance(OldContext::unusedAfter("a") - 1ms);
     CHECK(keeper.tick(holding).empty());
     clock.advance(1ms);
-    CHECK(keeper.tick(std::nullopt).empty()); // only the holder of the lock
+    CHECK(keeper.tick(std::nullopt).empty()); // only the lock holder frees context
     const auto actions = keeper.tick(holding);
     REQUIRE(actions.size() == 1);
     CHECK(actions.front().epoch == 5);
     CHECK(actions.front().parts == std::vector<std::pair<std::string, std::string>>{{old, "a"}});
-    CHECK(keeper.tick(holding).empty()); // the call is on its way
+    CHECK(keeper.tick(holding).empty()); // the call is in progress
     keeper.freed(actions.front(), false);
     clock.advance(1s);
-    REQUIRE(keeper.tick(holding).size() == 1); // it is tried again
+    REQUIRE(keeper.tick(holding).size() == 1); // it is retried
     keeper.freed(actions.front(), true);
     clock.advance(1s);
     CHECK(keeper.tick(holding).empty());
 }
 
-TEST_CASE("contexts: what is superseded is fetched for a while only, and not by a node that hears "
-          "nobody [stores]")
+TEST_CASE("contexts: superseded context is fetched only for a while, and not by a node without "
+          "news [stores]")
 {
     NodeView view;
     const std::string salt = view.choose(longPrompt())->salt;
@@ -446,8 +447,7 @@
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
 }
 
-TEST_CASE("contexts: what is superseded ends part by part, and is not saved any more before "
-          "[stores]")
+TEST_CASE("contexts: superseded parts expire at different times and are no longer saved [stores]")
 {
     NodeView view;
     constexpr std::size_t kParts = 100;
@@ -478,7 +478,7 @@
                     .empty());
 }
 
-TEST_CASE("salts: are read back, and only ours [isolation]")
+TEST_CASE("salts: only salts made by contextSalt() are parsed [isolation]")
 {
     const auto parsed = parseSalt(contextSalt("m", 7, "team"));
     REQUIRE(parsed);
@@ -492,8 +492,8 @@
 
 namespace {
 
-// Many nodes choose at the same moment from one view of 160 engines, each for a context that no
-// engine has: how many requests the busiest engine gets.
+// Many nodes choose at the same moment from the same view of 160 engines, each for a context that
+// no engine has. Returns the number of requests at the busiest engine.
 std::size_t maxAtOneEngine(std::size_t nodes, double consideredShare)
 {
     constexpr std::size_t kManyEngines = 160;
@@ -503,7 +503,7 @@
     for (std::size_t n = 0; n < kManyEngines; ++n) {
         view.m_records.push_back(engine);
         view.m_records.back().instanceId = "many-" + std::to_string(n);
-        // Three of them seem to have next to nothing to do.
+        // Three of them seem almost idle.
         if (n > 2)
             view.m_loads.begin(view.m_records.back().instanceId, {20'000, 20'000});
     }
@@ -525,25 +525,25 @@
 
 } // namespace
 
-TEST_CASE("engines: many nodes that choose at once do not all take the few idle ones "
-          "[routing][overload]")
+TEST_CASE(
+    "engines: nodes that choose at once do not all take the few idle ones [routing][overload]")
 {
-    CHECK(maxAtOneEngine(40, 1.0) >= 12); // what it prevents
+    CHECK(maxAtOneEngine(40, 1.0) >= 12); // without sampling
     CHECK(maxAtOneEngine(40, shareToConsider(295)) <= 5);
 }
 
-TEST_CASE("engines: a small fleet considers all of them [routing]")
+TEST_CASE("engines: nodes of a small fleet consider all engines [routing]")
 {
     CHECK(shareToConsider(0) == 1.0);
     CHECK(shareToConsider(12) == 1.0);
     CHECK(shareToConsider(48) == 0.25);
 }
 
-TEST_CASE("engines: one that has the context is considered, whatever is drawn [routing]")
+TEST_CASE("engines: one that has the context is considered whatever the sample [routing]")
 {
     NodeView view;
     const Prompt prompt = longPrompt();
-    // Not the one that all prefer.
+    // Not the preferred engine.
     const std::string preferred = view.choose(prompt)->instanceId;
     view.m_loads.begin(preferred, {50'000, 50'000});
     const std::string holder = view.send(prompt)->instanceId;
@@ -560,9 +560,8 @@
     }
 }
 
-TEST_CASE("engines: a cold one that only few nodes may send to is considered by these, and used "
-          "while the "
-          "others are busy [routing][cold]")
+TEST_CASE("engines: a node considers its assigned cold engines and uses them while others are busy "
+          "[routing][cold]")
 {
     NodeView view;
     const Prompt prompt = longPrompt();
@@ -580,18 +579,17 @@
     };
     std::size_t skipped = 0;
     for (const UpstreamRecord &it : view.m_records) {
-        view.m_loads.end(it.instanceId, {50'000, 50'000}, false); // this one is idle
+        view.m_loads.end(it.instanceId, {50'000, 50'000}, false); // make this one idle
         CHECK(choose({it.instanceId}) == it.instanceId);
         skipped += choose({}) != it.instanceId ? 1 : 0;
         view.m_loads.begin(it.instanceId, {50'000, 50'000});
     }
-    CHECK(skipped == kEngines - 2); // all but those preferred for the context
+    CHECK(skipped == kEngines - 2); // all but the two preferred for the context
 }
 
-TEST_CASE("engines: short prompts of a fleet that has just started use all engines "
-          "[routing][overload]")
+TEST_CASE("engines: short prompts of a newly started fleet use all engines [routing][overload]")
 {
-    constexpr std::size_t kPrompts = 1'400; // of a second
+    constexpr std::size_t kPrompts = 1'400; // sent within a second
     constexpr std::size_t kContexts = 300;
     constexpr std::size_t kManyEngines = 160;
     const auto maxAtOneEngine = [](bool usesShortGroup) {
@@ -616,6 +614,6 @@
         }
         return most;
     };
-    CHECK(maxAtOneEngine(true) >= 16); // as many as an engine has slots, while others are idle
+    CHECK(maxAtOneEngine(true) >= 16); // all slots of an engine are used while others are idle
     CHECK(maxAtOneEngine(Mechanisms{}.shortEngines) <= 12);
 }
--- a/tests/unit/engine_versions_test.cpp
+++ b/tests/unit/engine_versions_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// An engine's weights went back, and no node believed it: a late order of older weights had been
-// carried out after the engine had started again under its id, since its count of orders had begun
-// anew. Its record said version 1; the nodes kept the highest version that they had ever heard of.
-// From then on the engine turned every request away (421), each of which cost its caller a send,
-// and it was never ordered again, since the lock's holder took it to be done: in the run below no
-// order in 60 s, and version 2 believed for good.
+// Guards against nodes that do not notice when an engine goes back to older weights. An engine
+// restarted under its id and then executed a late order of older weights, as its count of orders
+// had begun anew. Its record listed version 1, but the nodes kept the highest version that they had
+// seen. From then on the engine rejected every request (421), each of which cost its caller a send,
+// and it got no new order, as the lock holder considered it up to date. In the run below that meant
+// no order in 60 s, and version 2 assumed for good.
 #include <doctest/doctest.h>
 
 #include "fordwood/manual_clock.hpp"
@@ -16,7 +16,7 @@
 
 namespace {
 
-// One engine, what a node believes of it, and the orders that it gives while it holds the lock.
+// One engine, a node's knowledge of it, and the orders that the node gives while it holds the lock.
 class EngineFleet
 {
 public:
@@ -26,7 +26,7 @@
         writeRecord(1);
     }
 
-    // The engine's record says so, whatever it runs.
+    // Writes a record with this version, whatever the engine runs.
     void writeRecord(std::uint64_t version)
     {
         UpstreamRecord record;
@@ -37,10 +37,10 @@
         m_rollout.setEngines(m_upstreams.stayingEngines());
     }
 
-    // The engine runs this version, and tells it when asked.
+    // Sets the version that the engine runs and reports when asked.
     void setRunningVersion(std::uint64_t version) { m_runningVersion = version; }
 
-    // Loads what it is ordered, at once. Gives the orders.
+    // Runs the fleet; the engine loads ordered weights at once. Returns the number of orders.
     std::size_t run(Duration time)
     {
         std::size_t orders = 0;
@@ -90,7 +90,7 @@
 
 } // namespace
 
-TEST_CASE("engine versions: one whose weights have gone back is believed and ordered again "
+TEST_CASE("engine versions: an engine that went back to older weights is noticed and ordered again "
           "[weights]")
 {
     EngineFleet fleet;
@@ -106,8 +106,7 @@
     CHECK_FALSE(fleet.isLoading());
 }
 
-TEST_CASE("engine versions: what an answer has shown holds until the engine had time to write it "
-          "[weights]")
+TEST_CASE("engine versions: an observed version is used until the record should list it [weights]")
 {
     EngineFleet fleet;
     CHECK(fleet.run(2s) == 1);
@@ -118,7 +117,7 @@
         CHECK(fleet.assumedVersion() == 2);
         CHECK_FALSE(fleet.isLoading());
     }
-    SUBCASE("the store is away and nothing can be written")
+    SUBCASE("the store is unreachable and nothing can be written")
     {
         fleet.setStoreReachable(false);
         CHECK(fleet.run(30s) == 0);
@@ -131,18 +130,16 @@
     }
 }
 
-TEST_CASE("engine versions: weights that went back before the engine wrote anything are found "
-          "[weights]")
+TEST_CASE("engine versions: older weights are noticed before any record is written [weights]")
 {
     EngineFleet fleet;
     CHECK(fleet.run(2s) == 1);
-    fleet.setRunningVersion(1); // between two of its records: the store has version 1 throughout
+    fleet.setRunningVersion(1); // between two records: the store lists version 1 throughout
     CHECK(fleet.run(6s) == 1);
 }
 
-TEST_CASE(
-    "engine versions: the word of a peer ends with the time that a record takes however often "
-    "it is repeated [weights]")
+TEST_CASE("engine versions: a version reported by a peer expires even if the report is repeated "
+          "[weights]")
 {
     ManualClock clock;
     UpstreamDirectory upstreams(clock, {});
@@ -164,12 +161,12 @@
         upstreams.tick();
     }
     CHECK(assumedVersion() == 1);
-    SUBCASE("what was seen anew is believed")
+    SUBCASE("a new observation is used")
     {
         CHECK(upstreams.setWeightVersion("e", "m", {2, clock.now()}));
         CHECK(assumedVersion() == 2);
     }
-    SUBCASE("a node that starts while nothing can be written believes an old word")
+    SUBCASE("a node that starts while nothing can be written uses an old report")
     {
         UpstreamDirectory started(clock, {});
         started.setStoreReachable(false);
@@ -181,7 +178,7 @@
     }
 }
 
-TEST_CASE("engine versions: of words about an engine the one that was seen last holds [weights]")
+TEST_CASE("engine versions: the latest observation of an engine is used [weights]")
 {
     ManualClock clock;
     UpstreamDirectory upstreams(clock, {});
@@ -192,28 +189,27 @@
     clock.advance(100ms);
     upstreams.put(record);
     const auto assumedVersion = [&] { return upstreams.find("e")->weightVersions.at("m"); };
-    CHECK_FALSE(upstreams.setWeightVersion("e", "m", {1, before})); // replaced since
+    CHECK_FALSE(upstreams.setWeightVersion("e", "m", {1, before})); // older than the record
     CHECK(assumedVersion() == 2);
     clock.advance(100ms);
     const TimePoint first = clock.now();
     clock.advance(100ms);
-    CHECK(upstreams.setWeightVersion("e", "m", {1, clock.now()})); // it has gone back
+    CHECK(upstreams.setWeightVersion("e", "m", {1, clock.now()})); // it went back to version 1
     CHECK(assumedVersion() == 1);
-    CHECK_FALSE(upstreams.setWeightVersion("e", "m", {3, first})); // overtaken on its way
+    CHECK_FALSE(upstreams.setWeightVersion("e", "m", {3, first})); // overtaken by a newer one
     CHECK(assumedVersion() == 1);
     clock.advance(100ms);
-    upstreams.put(record); // loaded anew
+    upstreams.put(record); // loaded again
     CHECK(assumedVersion() == 2);
     CHECK_FALSE(upstreams.isAheadOfRecord("e", "m", 2));
     CHECK_FALSE(upstreams.setWeightVersion("gone", "m", {3, clock.now()}));
     clock.advance(100ms);
-    CHECK_FALSE(upstreams.setWeightVersion("e", "m", {0, clock.now()})); // there is no such version
+    CHECK_FALSE(upstreams.setWeightVersion("e", "m", {0, clock.now()})); // version 0 does not exist
     CHECK(assumedVersion() == 2);
 }
 
-TEST_CASE(
-    "engine versions: none is believed of an engine that turned the last one down until more is "
-    "known [weights]")
+TEST_CASE("engine versions: none is assumed after an engine rejected the last one, until more is "
+          "known [weights]")
 {
     ManualClock clock;
     UpstreamDirectory upstreams(clock, {});
@@ -225,12 +221,12 @@
     const TimePoint before = clock.now();
     clock.advance(100ms);
     const auto hasVersion = [&] { return upstreams.find("e")->weightVersions.contains("m"); };
-    CHECK_FALSE(upstreams.rejectWeights("e", "m", {2, before})); // as old as the record
-    CHECK_FALSE(upstreams.rejectWeights("e", "m", {1, clock.now()})); // no more believed
+    CHECK_FALSE(upstreams.rejectWeights("e", "m", {2, before})); // older than the record
+    CHECK_FALSE(upstreams.rejectWeights("e", "m", {1, clock.now()})); // not the assumed version
     REQUIRE(hasVersion());
     REQUIRE(upstreams.rejectWeights("e", "m", {2, clock.now()}));
     CHECK_FALSE(hasVersion());
-    CHECK(upstreams.usable("models").size() == 1); // its other models are
+    CHECK(upstreams.usable("models").size() == 1); // it is usable for other models
     clock.advance(100ms);
     SUBCASE("a record")
     {
@@ -242,12 +238,12 @@
         CHECK(upstreams.setWeightVersion("e", "m", {3, clock.now()}));
         CHECK(upstreams.find("e")->weightVersions.at("m") == 3);
     }
-    SUBCASE("an answer from before tells nothing")
+    SUBCASE("an older answer changes nothing")
     {
         CHECK_FALSE(upstreams.setWeightVersion("e", "m", {3, before}));
         CHECK_FALSE(hasVersion());
     }
-    SUBCASE("the time in which a record would say so, also while the store is away")
+    SUBCASE("the time limit of a record update, even while the store is unreachable")
     {
         upstreams.setStoreReachable(false);
         clock.advance(4s);
--- a/tests/unit/health_patterns_test.cpp
+++ b/tests/unit/health_patterns_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The load patterns: one of four plain upstreams is grey, goes down and up by turns, or hangs,
-// while its health answers may say anything: nodes judge by what their own requests show.
+// Load patterns: one of four plain upstreams fails part of its requests, alternates between down
+// and up, or hangs. Its health checks may report anything, so nodes judge it by the results of
+// their own requests.
 #include <doctest/doctest.h>
 
 #include <deque>
@@ -22,13 +23,13 @@
 
 namespace {
 
-// One node before four upstreams of six slots, forty requests a second of 50 ms each; or of a fleet
-// with more of both.
+// One node with four upstreams of six slots, and forty requests per second of 50 ms each; or with
+// more upstreams at another request rate.
 class Service
 {
 public:
     enum class Outcome { Answered, Failure, Refused, Silence };
-    using Behaviour = std::function<Outcome(TimePoint)>; // of the first upstream
+    using Behaviour = std::function<Outcome(TimePoint)>; // behaviour of the first upstream
 
     explicit Service(Behaviour behaviour, std::size_t upstreams = 4, Duration pause = 25ms)
         : m_pause(pause), m_behaviour(std::move(behaviour))
@@ -48,7 +49,7 @@
     {
         int requests = 0;
         int toFirst = 0;
-        int failed = 0; // of these
+        int failed = 0; // failed requests to the first upstream
     };
 
     Counts run(Duration time)
@@ -82,13 +83,13 @@
 
     void startRequest(const std::string &id, Outcome outcome)
     {
-        if (outcome == Outcome::Refused) { // nothing listens there
+        if (outcome == Outcome::Refused) { // connection refused
             m_health.failed(id);
             return;
         }
         m_loads.begin(id, {});
         m_health.sent(id);
-        // A caller gives a silent one up after a second.
+        // A caller gives up on a silent upstream after a second.
         const Duration takes = outcome == Outcome::Silence ? 1s : 50ms;
         m_runs.push_back({m_clock.now() + takes, id, outcome});
     }
@@ -129,8 +130,7 @@
 
 } // namespace
 
-TEST_CASE("health patterns: a grey upstream gets few requests, and its part again once it is well "
-          "[health]")
+TEST_CASE("health patterns: a partly failing upstream gets few requests until it recovers [health]")
 {
     std::mt19937 random(5); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time
     bool isFailing = true;
@@ -140,28 +140,27 @@
     });
     service.run(2s);
     const auto failing = service.run(30s);
-    CHECK(shareOf(failing.failed, failing.requests) <= 0.02); // 0.1 where it gets its equal part
+    CHECK(shareOf(failing.failed, failing.requests) <= 0.02); // 0.1 at an equal share
     isFailing = false;
     service.run(10s);
     const auto recovered = service.run(30s);
     CHECK(shareOf(recovered.toFirst, recovered.requests) >= 0.15);
 }
 
-TEST_CASE(
-    "health patterns: an upstream that goes down and up by turns costs a few attempts each time "
-    "it goes, and is used while it is up [health]")
+TEST_CASE("health patterns: an alternating upstream costs few attempts per outage and is used "
+          "while up [health]")
 {
     Service service([](TimePoint now) {
         const auto turn = now.time_since_epoch() / 5s;
         return turn % 2 == 0 ? Service::Outcome::Refused : Service::Outcome::Answered;
     });
-    const auto counts = service.run(60s); // six times down, for five seconds each
-    CHECK(counts.failed <= 6 * 5); // 300 where nothing is learnt from a failure
-    CHECK(counts.toFirst - counts.failed >= 100); // of some 300 at its equal part
+    const auto counts = service.run(60s); // down six times for five seconds
+    CHECK(counts.failed <= 6 * 5); // 300 if failures are ignored
+    CHECK(counts.toFirst - counts.failed >= 100); // of about 300 at an equal share
 }
 
-TEST_CASE("health patterns: a grey upstream gets few requests also where each node has one for it "
-          "only now and then [health]")
+TEST_CASE("health patterns: a partly failing upstream gets few requests even if each node rarely "
+          "uses it [health]")
 {
     std::mt19937 random(5); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time
     constexpr std::size_t kUpstreams = 112;
@@ -175,11 +174,11 @@
     CHECK(shareOf(counts.toFirst, counts.requests) <= 0.3 / kUpstreams);
 }
 
-TEST_CASE("health patterns: an upstream that hangs is avoided as soon as it owes answers for long "
-          "[health]")
+TEST_CASE(
+    "health patterns: an upstream that hangs is avoided once its answers are overdue [health]")
 {
     Service service([](TimePoint) { return Service::Outcome::Silence; });
     service.run(2s);
     const auto counts = service.run(30s);
-    CHECK(shareOf(counts.failed, counts.requests) <= 0.05); // 0.25 at its equal part
+    CHECK(shareOf(counts.failed, counts.requests) <= 0.05); // 0.25 at an equal share
 }
--- a/tests/unit/isolation_test.cpp
+++ b/tests/unit/isolation_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Tries to cross from one team to another at every place that carries the team.
+// Tries to reach another team's data at every place that depends on the team.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Teams and models whose names could be run together into the same text.
+// Teams and models whose names give the same text if joined.
 std::shared_ptr<const apps::ServingState> stateOf(const std::string &version = "v")
 {
     auto configuration = std::make_shared<Configuration>();
@@ -58,7 +58,7 @@
 
 } // namespace
 
-TEST_CASE("isolation: a bearer key is its own team's alone [isolation]")
+TEST_CASE("isolation: a bearer key identifies its own team only [isolation]")
 {
     const auto state = stateOf();
     CHECK(interpreted(*state, "key of a", "c").call.team == "a");
@@ -70,7 +70,7 @@
     }
 }
 
-TEST_CASE("isolation: no two of team, model and version share a salt or a prefix [isolation]")
+TEST_CASE("isolation: different teams, models or versions never share a salt or prefix [isolation]")
 {
     const auto state = stateOf();
     const auto one = interpreted(*state, "key of a", "b/c");
@@ -82,7 +82,7 @@
     CHECK(saltOf(one) == saltOf(interpreted(*state, "key of a", "b/c")));
 }
 
-TEST_CASE("isolation: what a caller says of salt, version or team is not passed on [isolation]")
+TEST_CASE("isolation: a caller's own salt, version or team is not passed on [isolation]")
 {
     const auto state = stateOf();
     auto message = messageOf("key of a", "c");
@@ -94,7 +94,7 @@
         CHECK(value != "forged");
 }
 
-TEST_CASE("isolation: a version that comes into force later replaces the salt, whole [isolation]")
+TEST_CASE("isolation: a later weight version replaces the whole salt [isolation]")
 {
     auto call = interpreted(*stateOf(), "key of a", "c");
     const std::string before = saltOf(call);
@@ -107,7 +107,7 @@
     CHECK(saltOf(call) == before);
 }
 
-TEST_CASE("isolation: a permit is nobody's but its holder's [isolation]")
+TEST_CASE("isolation: only the holder of a permit can release it [isolation]")
 {
     ManualClock clock;
     PermitBook book(clock);
@@ -116,8 +116,8 @@
     const auto answers = book.takeAnswers();
     REQUIRE(answers.at(0).granted);
     const std::uint64_t permit = answers[0].permitId;
-    book.release(2, permit, "up", 1.0); // another node's
-    book.release(1, permit, "other", 1.0); // of another upstream
+    book.release(2, permit, "up", 1.0); // by another node
+    book.release(1, permit, "other", 1.0); // for another upstream
     book.withdraw(2, 1, "up");
     CHECK(book.running("up") == 1);
     book.release(1, permit, "up", 1.0);
--- a/tests/unit/late_begin_test.cpp
+++ b/tests/unit/late_begin_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Requests began on weights that had been replaced for longer than is allowed, though they were
-// sent in time. Callers got whole answers, from weights that were meant to be gone. A request
-// begins with its first token; nodes kept a fixed 1.5 s for the wait until then, whatever lay at
-// the engine. Over 20 runs of each pattern below, 4,334 of 42,591 short prompts began late, 377 of
-// 2,918 long ones, 860 of 5,721 that waited for memory, 292 of 1,447 on slow engines; and where
-// nothing waited, each engine stood idle for the last 1.1 s in which it might have served.
+// Guards against requests that begin on replaced weights after the allowed time although they were
+// sent in time. A request begins with its first token. Nodes used to allow a fixed 1.5 s for the
+// wait until then, whatever the load of the engine. Over 20 runs of each pattern below, 4,334 of
+// 42,591 short prompts began late, 377 of 2,918 long ones, 860 of 5,721 that waited for memory, and
+// 292 of 1,447 on slow engines. Where nothing waited, each engine was idle for the last 1.1 s in
+// which it could have served.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -22,12 +22,12 @@
 
 namespace {
 
-constexpr Duration kMaxOldWeightsAge = 10s; // from the naming of newer weights
+constexpr Duration kMaxOldWeightsAge = 10s; // since newer weights were published
 constexpr Duration kStep = 5ms;
 constexpr int kEngines = 4;
 constexpr int kVariations = 20;
-constexpr std::size_t kHeavyTokens = 1'500; // of a prompt that nodes tell each other of at once
-constexpr Duration kMessageDelay = 20ms; // of such a word
+constexpr std::size_t kHeavyTokens = 1'500; // prompts of this size are reported to peers at once
+constexpr Duration kMessageDelay = 20ms; // delay of such a report
 constexpr const char *kModel = "m";
 
 double milliseconds(Duration time)
@@ -35,29 +35,29 @@
     return std::chrono::duration<double, std::milli>(time).count();
 }
 
-// How the engines of a run work, and what is asked of them.
+// The engines and the load of a run.
 struct Pattern
 {
     std::string name;
     std::size_t slots = 32;
-    std::size_t maxQueued = 192; // more are refused
-    std::size_t memory = 400'000; // tokens
-    double tokensPerMs = 55.0; // of prompts
-    Duration token = 6ms; // between two of an answer
-    double perSecond = 200.0; // requests to the fleet
+    std::size_t maxQueued = 192; // beyond this, requests are refused
+    std::size_t memory = 400'000; // in tokens
+    double tokensPerMs = 55.0; // prefill speed
+    Duration token = 6ms; // time per output token
+    double perSecond = 200.0; // requests per second to the fleet
     std::size_t tokensIn = 380;
     std::size_t tokensOut = 100;
 };
 
-// What a run showed.
+// The results of a run.
 struct RunResult
 {
-    int begun = 0; // in time
+    int begun = 0; // begun in time
     int late = 0; // begun after the bound
-    Duration idle{}; // of engines without work before the bound, while requests found no engine
+    Duration idle{}; // time of idle engines before the bound while requests found no engine
 };
 
-// What one node knows.
+// The state of one node.
 struct Node
 {
     Node(const Clock &clock, const EngineChooser::Limits &limits)
@@ -84,7 +84,8 @@
     bool hasEnded = false;
 };
 
-// Works as engines do: prompts one after the other, short ones first, answers side by side.
+// Simulates an engine: computes prompts one after the other, short ones first, and answers
+// concurrently.
 class Engine
 {
 public:
@@ -150,8 +151,8 @@
     std::vector<std::shared_ptr<Sent>> m_running;
 };
 
-// A few engines, all with weights that are replaced when the run begins, and nodes that hear of
-// each other's loads several times a second.
+// Several engines, all with weights that are replaced when the measured run begins, and nodes that
+// exchange their loads several times a second.
 class Fleet
 {
 public:
@@ -196,7 +197,7 @@
     {
         m_clock.advance(kStep);
         m_steps += 1;
-        constexpr std::uint64_t kStepsPerExchange = 40; // nodes tell each other their loads
+        constexpr std::uint64_t kStepsPerExchange = 40; // nodes exchange their loads
         if (m_steps % kStepsPerExchange == 0 || (m_exchangeDue && m_clock.now() >= *m_exchangeDue))
             exchangeLoads();
         const bool isRejected = sendWaiting();
@@ -207,10 +208,10 @@
         }
     }
 
-    // True: a request finds no engine.
+    // Returns whether a request found no engine.
     bool sendWaiting()
     {
-        constexpr std::size_t kMaxWaiting = 20; // callers that do not go elsewhere meanwhile
+        constexpr std::size_t kMaxWaiting = 20; // callers that keep waiting
         m_pendingRequests += m_pattern.perSecond * milliseconds(kStep) / 1'000.0;
         for (; m_pendingRequests >= 1.0; m_pendingRequests -= 1.0)
             m_waiting = std::min(m_waiting + 1, kMaxWaiting);
@@ -302,7 +303,7 @@
     RunResult m_result;
 };
 
-// Some 190 requests wait at each engine, each for a place.
+// About 190 requests wait for a slot at each engine.
 Pattern manyShortPrompts()
 {
     Pattern pattern;
@@ -324,7 +325,7 @@
     return pattern;
 }
 
-// Answers that take 3 s each, for which the engines lack the memory.
+// Answers that take 3 s each, with too little memory at the engines.
 Pattern littleMemory()
 {
     Pattern pattern;
@@ -337,7 +338,7 @@
     return pattern;
 }
 
-// Slower than any engine that the nodes have met before.
+// Engines slower than any that the nodes have measured before.
 Pattern slowEngines()
 {
     Pattern pattern = longPrompts();
@@ -347,7 +348,7 @@
     return pattern;
 }
 
-// Hardly any wait.
+// Requests hardly wait.
 Pattern lightLoad()
 {
     Pattern pattern;
@@ -356,7 +357,7 @@
     return pattern;
 }
 
-// Many runs of the pattern, with loads and engines that differ; their sums.
+// Runs the pattern with varied loads and engine speeds and sums up the results.
 RunResult runVariations(const Pattern &pattern)
 {
     RunResult sum;
@@ -375,8 +376,8 @@
 
 } // namespace
 
-TEST_CASE("late begin: nothing begins on replaced weights after the bound, however long it waits "
-          "[weights]")
+TEST_CASE("late begin: no request begins on replaced weights after the bound, however long it "
+          "waits [weights]")
 {
     for (const Pattern &pattern :
          {manyShortPrompts(), longPrompts(), littleMemory(), slowEngines()}) {
@@ -387,23 +388,22 @@
     }
 }
 
-// The other side: engines with replaced weights are of use while they may be.
-TEST_CASE("late begin: engines have work until shortly before the bound where nothing waits "
-          "[weights]")
+// The opposite fault: engines with replaced weights must still be used while that is allowed.
+TEST_CASE("late begin: engines are used until shortly before the bound if nothing waits [weights]")
 {
     const RunResult result = runVariations(lightLoad());
     CHECK(result.late == 0);
     CHECK(milliseconds(result.idle) < 800.0 * kEngines * kVariations);
 }
 
-TEST_CASE(
-    "late begin: engines whose queues are long have work until shortly before the bound [weights]")
+TEST_CASE("late begin: engines with long queues are used until shortly before the bound [weights]")
 {
     const RunResult result = runVariations(manyShortPrompts());
     CHECK(milliseconds(result.idle) < 500.0 * kEngines * kVariations);
 }
 
-TEST_CASE("late begin: a request that waits for others to end waits as long as they take [weights]")
+TEST_CASE(
+    "late begin: the wait for other requests to finish is estimated from their duration [weights]")
 {
     PrefillPace pace;
     for (int n = 0; n < 200; ++n)
@@ -414,7 +414,7 @@
     CHECK(pace.timeUntilFinished(160, 32) > 2'900ms);
 }
 
-TEST_CASE("late begin: slow engines are known after a few prompts [weights]")
+TEST_CASE("late begin: slow engines are recognized after a few prompts [weights]")
 {
     PrefillPace pace;
     for (int n = 0; n < 10; ++n)
--- a/tests/unit/prefill_queue_test.cpp
+++ b/tests/unit/prefill_queue_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Computes 1,000 tokens a second and keeps two contexts of 1,000.
+// A queue that computes 1,000 tokens per second and caches two contexts of 1,000 tokens.
 PrefillQueue makeQueue()
 {
     PrefillQueue queue;
@@ -37,8 +37,7 @@
 
 } // namespace
 
-TEST_CASE(
-    "prefill line: prompts are computed one after the other, kept contexts not again [routing]")
+TEST_CASE("prefill queue: prompts are computed in order, cached contexts only once [routing]")
 {
     ManualClock clock;
     PrefillQueue queue = makeQueue();
@@ -52,7 +51,7 @@
     CHECK(queue.backlog(clock.now()) == 0ms);
 }
 
-TEST_CASE("prefill line: the least recently used context goes first [routing]")
+TEST_CASE("prefill queue: the least recently used context is evicted first [routing]")
 {
     ManualClock clock;
     PrefillQueue queue = makeQueue();
@@ -65,7 +64,7 @@
     CHECK(queue.isCached(promptOf(3)));
 }
 
-TEST_CASE("permit book: an engine that runs nothing has nothing to compute [routing]")
+TEST_CASE("permit book: an engine without running requests has no backlog [routing]")
 {
     ManualClock clock;
     PermitBook book(clock);
@@ -73,19 +72,19 @@
     book.ask(askOf(1, 1));
     const auto first = book.takeAnswers();
     REQUIRE(first.at(0).granted);
-    book.release(0, first[0].permitId, "up", 0); // sooner than was thought
+    book.release(0, first[0].permitId, "up", 0); // earlier than estimated
     book.ask(askOf(2, 2));
     CHECK(book.takeAnswers().at(0).granted);
 }
 
-TEST_CASE("permit book: prompts that waited for one context leave nothing behind [routing]")
+TEST_CASE("permit book: prompts that waited for the same context leave no backlog behind [routing]")
 {
     ManualClock clock;
     PermitBook book(clock);
     book.setUpstreams({{"up", 8, false, 1000, 10'000}});
     book.ask(askOf(1, 1));
     for (std::uint64_t it = 2; it <= 5; ++it)
-        book.ask(askOf(it, 2, 60s)); // the first of them makes it cheap for the others
+        book.ask(askOf(it, 2, 60s)); // the first one caches the context for the others
     for (int it = 0; it < 10; ++it) {
         clock.advance(1s);
         book.tick();
@@ -97,25 +96,25 @@
     REQUIRE(book.waiting("up") == 0);
     book.ask(askOf(6, 6));
     CHECK(book.takeAnswers().at(0).granted);
-    book.ask(askOf(7, 7, 4s)); // the engine has 1.1 s to compute, and nothing waits
+    book.ask(askOf(7, 7, 4s)); // the engine has a backlog of 1.1 s and an empty queue
     CHECK(book.waiting("up") == 1);
 }
 
-TEST_CASE("permit book: free slots do not hide prompts that wait to be computed [routing]")
+TEST_CASE("permit book: free slots do not hide the backlog of prompts [routing]")
 {
     ManualClock clock;
     PermitBook book(clock);
     book.setUpstreams({{"up", 8, false, 1000, 10'000}});
     book.ask(askOf(1, 1));
     CHECK(book.takeAnswers().at(0).granted);
-    book.ask(askOf(2, 2)); // seven slots are free, but it would wait for 1.1 s
+    book.ask(askOf(2, 2)); // seven slots are free, but the backlog is 1.1 s
     const auto cold = book.takeAnswers();
     CHECK_FALSE(cold.at(0).granted);
     CHECK(cold.at(0).reason == Reason::UpstreamBusy);
     CHECK(cold.at(0).firstTokenIn > 1100ms);
-    book.ask(askOf(3, 1)); // its context is there: elsewhere it would take as long
+    book.ask(askOf(3, 1)); // its context is cached: it would take as long elsewhere
     CHECK(book.takeAnswers().at(0).granted);
-    book.ask(askOf(4, 2, 10s)); // it may wait, and is granted when the engine is nearly idle
+    book.ask(askOf(4, 2, 10s)); // it may wait and is granted once the engine is nearly idle
     CHECK(book.takeAnswers().empty());
     clock.advance(1s);
     book.tick();
--- a/tests/unit/retry_schedule_test.cpp
+++ b/tests/unit/retry_schedule_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The load pattern: more callers are refused for a limit than the upstreams take, all at once.
+// Load pattern: a rate limit refuses more callers at once than the upstreams accept.
 #include "fordwood/retry_schedule.hpp"
 
 #include <doctest/doctest.h>
@@ -12,8 +12,8 @@
 using namespace fordwood;
 using namespace std::chrono_literals;
 
-TEST_CASE("return times: refused callers come back one after the other, as often as requests are "
-          "taken, those who came first before the others [limit]")
+TEST_CASE("retry schedule: refused callers return in order, at the rate at which requests are "
+          "accepted [limit]")
 {
     ManualClock clock;
     RetrySchedule schedule(clock);
@@ -26,12 +26,12 @@
     CHECK(std::is_sorted(given.begin(), given.end()));
     clock.advance(3s);
     CHECK(schedule.next(2.0) == 1500ms);
-    // Who comes when nobody waits any more is not told to wait for those who did.
+    // A caller refused when no others wait does not have to wait for earlier ones.
     clock.advance(10s);
     CHECK(schedule.next(2.0) == 500ms);
 }
 
-TEST_CASE("return times: nobody is told to stay away for longer than limits last [limit]")
+TEST_CASE("retry schedule: no retry time is later than limits usually last [limit]")
 {
     ManualClock clock;
     RetrySchedule schedule(clock);
--- a/tests/unit/serving_parts_test.cpp
+++ b/tests/unit/serving_parts_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The smaller decisions of a node: routes, budgets, loads, health, plain services, events.
+// Tests of the smaller routing parts: routes, budgets, loads, health, plain services, events.
 #include <doctest/doctest.h>
 
 #include "fordwood/event_splitter.hpp"
@@ -51,8 +51,7 @@
     CHECK(table.findRoute("c.example", "/x/y/") == nullptr);
 }
 
-TEST_CASE(
-    "routes: requests are divided by the weights of the split, each always the same way [routes]")
+TEST_CASE("routes: requests are split by weight, each id always to the same service [routes]")
 {
     const ServiceRoute route = routeOf("split", "a", "/", {{"one", 90.0}, {"two", 10.0}});
     int two = 0;
@@ -66,7 +65,7 @@
     CHECK(two < 1'150);
 }
 
-TEST_CASE("routes: a key belongs to the team that holds it, and to nobody else [teams]")
+TEST_CASE("routes: a key identifies its own team only [teams]")
 {
     ServingConfig config;
     config.teams = {{"a", {"k1", "k2"}, std::nullopt, false, {}}, {"b", {"k3"}, 1, true, {}}};
@@ -77,8 +76,7 @@
     CHECK(table.findTeam("k") == nullptr);
 }
 
-TEST_CASE(
-    "window budget: all nodes together stay below the ratio and the slack of the fleet [retry]")
+TEST_CASE("window budget: all nodes together stay within the ratio and slack of the fleet [retry]")
 {
     constexpr std::size_t kNodes = 8;
     ManualClock clock;
@@ -97,7 +95,7 @@
     CHECK(budget.takeRepeat(kNodes)); // the slack of a new window
 }
 
-TEST_CASE("loads: what has ended or was computed counts no more [routing]")
+TEST_CASE("loads: ended requests and computed prompts no longer count [routing]")
 {
     const ManualClock clock;
     LoadBook loads(clock);
@@ -112,7 +110,7 @@
     CHECK(loads.own().empty());
 }
 
-TEST_CASE("health: pauses double with failures in a row and end with a success [health]")
+TEST_CASE("health: pauses double with consecutive failures and end with a success [health]")
 {
     ManualClock clock;
     UpstreamHealth health(clock);
@@ -127,7 +125,7 @@
     CHECK_FALSE(health.isPaused("a"));
     for (int n = 0; n < 100; ++n)
         health.failed("a");
-    clock.advance(4s); // the longest
+    clock.advance(4s); // the longest pause
     CHECK_FALSE(health.isPaused("a"));
     health.succeeded("a");
     health.failed("a");
@@ -135,7 +133,7 @@
     CHECK_FALSE(health.isPaused("a"));
 }
 
-TEST_CASE("health: the failure rate follows what requests show [health]")
+TEST_CASE("health: the failure rate follows the results of requests [health]")
 {
     const ManualClock clock;
     UpstreamHealth health(clock);
@@ -148,7 +146,7 @@
     CHECK(health.failureRate("a") < 0.1);
 }
 
-TEST_CASE("services: the upstream with the most room is chosen, a near one among equals [routing]")
+TEST_CASE("services: the upstream with the least load is chosen, a near one among equals [routing]")
 {
     const ManualClock clock;
     LoadBook loads(clock);
@@ -166,7 +164,7 @@
     CHECK(chooseUpstream(all, {}, "home", 1, loads, health) == &near);
 }
 
-TEST_CASE("events: only whole ones are passed on, and the last id is known [streams]")
+TEST_CASE("events: only complete ones are passed on, and the last id is tracked [streams]")
 {
     EventSplitter events;
     CHECK(events.add("id: 1\ndata: a").empty());
@@ -180,7 +178,7 @@
     CHECK_FALSE(events.hasPartialEvent());
 }
 
-TEST_CASE("events: an event without end is told [streams]")
+TEST_CASE("events: an event that is too long is detected [streams]")
 {
     EventSplitter events;
     const std::string bytes(EventSplitter::kMaxEventBytes + 1, 'x');
@@ -188,7 +186,7 @@
     CHECK(events.isTooLong());
 }
 
-TEST_CASE("weights: a version is old from the naming of the first newer one [weights]")
+TEST_CASE("weights: a version is superseded when the first newer one is published [weights]")
 {
     const TimePoint start{1h};
     WeightHistory history;
@@ -204,21 +202,21 @@
     CHECK(history.superseded(1) == EventTime::at(start - 1s));
 }
 
-TEST_CASE("weights: the age of a naming bounds only what it may have replaced [weights]")
+TEST_CASE("weights: the age of a publication bounds only what it may have replaced [weights]")
 {
     const TimePoint start{1h};
     WeightHistory history;
     history.note(3, {EventTime::at(start), 2});
     CHECK(history.superseded(2) == EventTime::at(start));
-    CHECK_FALSE(history.superseded(1)->earliest); // by version 2, which may have come long before
-    // Both were named while somebody did not look.
+    CHECK_FALSE(history.superseded(1)->earliest); // superseded by version 2, perhaps long before
+    // Both were published while nothing was observed.
     history.note(3, {{start - 9s, start}, 1});
     CHECK_FALSE(history.superseded(1)->earliest);
     history.note(2, {{start - 2s, start}, 1});
     CHECK(history.superseded(1)->earliest == start - 2s);
 }
 
-TEST_CASE("pace: is learned from long prompts [routing]")
+TEST_CASE("prefill pace: only long prompts are measured [routing]")
 {
     PrefillPace pace;
     for (int n = 0; n < 200; ++n)
@@ -226,6 +224,6 @@
     CHECK(pace.timeFor(20'000) < 110ms);
     CHECK(pace.timeFor(20'000) > 90ms);
     for (int n = 0; n < 200; ++n)
-        pace.observe(100, 100ms); // tells of the fixed part of the time
+        pace.observe(100, 100ms); // mostly fixed overhead
     CHECK(pace.timeFor(20'000) < 110ms);
 }
--- a/tests/unit/upstream_directory_test.cpp
+++ b/tests/unit/upstream_directory_test.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("upstreams: one that drains or whose record is gone gets nothing any more [leaving]")
+TEST_CASE("upstreams: one that drains or whose record is gone is no longer usable [leaving]")
 {
     const ManualClock clock;
     UpstreamDirectory upstreams(clock, {});
@@ -33,12 +33,12 @@
     upstreams.remove("b", false);
     REQUIRE(upstreams.usable("board").size() == 1);
     CHECK(upstreams.usable("board").front()->instanceId == "c");
-    CHECK(upstreams.find("a") != nullptr); // it still finishes what it runs
+    CHECK(upstreams.find("a") != nullptr); // it still finishes its running requests
     CHECK(upstreams.find("b") == nullptr);
 }
 
-TEST_CASE("upstreams: records that lapsed while the store was away stay in use until it had time "
-          "to tell [outage]")
+TEST_CASE("upstreams: records that expired while the store was unreachable stay in use for a while "
+          "[outage]")
 {
     ManualClock clock;
     UpstreamDirectory upstreams(clock, {});
@@ -52,7 +52,7 @@
     CHECK(upstreams.usable("board").size() == 2);
     upstreams.setStoreReachable(true);
     clock.advance(1s);
-    upstreams.put(recordOf("lives")); // it has written itself again
+    upstreams.put(recordOf("lives")); // it has published its record again
     CHECK(upstreams.tick().empty());
     clock.advance(1500ms);
     CHECK(upstreams.tick() == std::vector<std::string>{"dead"});
@@ -60,8 +60,8 @@
     CHECK(upstreams.usable("board").front()->instanceId == "lives");
 }
 
-TEST_CASE(
-    "upstreams: one that said it drains does not come back by an expiry in doubt [leaving][outage]")
+TEST_CASE("upstreams: a draining one is removed even if its record may only have expired "
+          "[leaving][outage]")
 {
     const ManualClock clock;
     UpstreamDirectory upstreams(clock, {});
@@ -71,8 +71,7 @@
     CHECK(upstreams.find("a") == nullptr);
 }
 
-TEST_CASE(
-    "upstreams: weights that an answer has shown are not forgotten by an older record [weights]")
+TEST_CASE("upstreams: an older record does not replace observed weights [weights]")
 {
     const ManualClock clock;
     UpstreamDirectory upstreams(clock, {});
@@ -84,9 +83,8 @@
     CHECK(upstreams.find("a")->weightVersions.at("m") == 2);
 }
 
-TEST_CASE(
-    "upstreams: those of an evacuated failure domain get nothing new until that is taken back "
-    "[evacuation]")
+TEST_CASE("upstreams: those of an evacuated failure domain get no new requests until the "
+          "evacuation ends [evacuation]")
 {
     const ManualClock clock;
     UpstreamDirectory upstreams(clock, {});
@@ -99,15 +97,15 @@
     CHECK_FALSE(upstreams.takesNewWork("a"));
     REQUIRE(upstreams.usable("board").size() == 1);
     CHECK(upstreams.usable("board").front()->instanceId == "b");
-    CHECK(upstreams.find("a") != nullptr); // what runs there goes on
-    SUBCASE("one that comes up there meanwhile as well")
+    CHECK(upstreams.find("a") != nullptr); // running requests continue
+    SUBCASE("one that starts there meanwhile")
     {
         UpstreamRecord record = recordOf("c");
         record.failureDomain = "a";
         upstreams.put(record);
         CHECK_FALSE(upstreams.takesNewWork("c"));
     }
-    SUBCASE("two domains are told apart, in whatever order they come back")
+    SUBCASE("two domains are evacuated independently")
     {
         upstreams.setEvacuated("b", true);
         CHECK(upstreams.usable("board").empty());
@@ -116,7 +114,7 @@
         CHECK(upstreams.takesNewWork("a"));
         CHECK_FALSE(upstreams.takesNewWork("b"));
     }
-    SUBCASE("one that leaves is no reason to speak of an evacuation")
+    SUBCASE("a draining upstream does not count as evacuated")
     {
         UpstreamRecord record = recordOf("a", true);
         record.failureDomain = "a";
