--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -292,7 +292,7 @@
     keeper.setWeights("m", history);
     const std::string salt = contextSalt("m", 1, "");
     for (int store = 0; store < kStores; ++store) {
-        StoreUpdate news;
+        ContextStoreUpdate news;
         news.store = "store-" + std::to_string(store);
         news.epoch = 1;
         for (int it = 0; it < state.range(0); ++it)
--- a/include/fordwood/call_plan.hpp
+++ b/include/fordwood/call_plan.hpp
@@ -60,10 +60,10 @@
     // toward the limit of failed connections, and as a send in the fleet's retry budget.
     void reachedOtherInstance();
 
-    // Decides what to do after a failure. `takeRepeat` takes a retry from the fleet's budget and is
+    // Decides what to do after a failure. `takeRetry` takes a retry from the fleet's budget and is
     // called only if needed.
     AfterFailure afterFailure(const FailedAttempt &failure, TimePoint now,
-                              const std::function<bool()> &takeRepeat);
+                              const std::function<bool()> &takeRetry);
 
     // The verdict for the caller once no attempt is left. It reports that the request may have run
     // if any attempt may have.
--- a/include/fordwood/context_directory.hpp
+++ b/include/fordwood/context_directory.hpp
@@ -26,7 +26,7 @@
 };
 
 // Changes that one context store has reported.
-struct StoreUpdate
+struct ContextStoreUpdate
 {
     std::string store; // its name
     std::uint64_t epoch = 0; // changes when the store has lost everything
@@ -81,7 +81,7 @@
                            std::uint64_t contextHash, Duration keptFor) const;
 
     // `waited`: time since this node received the update.
-    void storeAnswered(const StoreUpdate &update, Duration waited = Duration::zero());
+    void storeAnswered(const ContextStoreUpdate &update, Duration waited = Duration::zero());
     void storeFailed(const std::string &store);
 
     // Whether the last answer of any store is still valid; also true if there are no stores.
--- a/include/fordwood/engine_chooser.hpp
+++ b/include/fordwood/engine_chooser.hpp
@@ -57,7 +57,7 @@
 // load reports that are some tenths of a second old. In a large fleet, all nodes would send to the
 // few engines that seemed idle, many times what these can compute between two reports. With a
 // random share, each engine is considered by as many nodes as in a small fleet.
-double shareToConsider(std::size_t liveNodes);
+double candidateFractionFor(std::size_t liveNodes);
 
 // Chooses the engine for a prompt. All nodes prefer the same engine for the same context, so that
 // it is computed only once. Another engine is chosen when the work queued at the preferred one
@@ -88,8 +88,8 @@
         // The engines that short prompts prefer; see engine_groups.hpp.
         const std::set<std::string> &shortGroup;
         // Share of the engines to consider besides those that have the context or are preferred for
-        // it; see shareToConsider(). `sampleSeed` selects the random sample.
-        double consideredShare = 1.0;
+        // it; see candidateFractionFor(). `sampleSeed` selects the random sample.
+        double candidateFraction = 1.0;
         std::uint64_t sampleSeed = 0;
         // Cold engines that only a few nodes, including this one, may send to. They are always
         // considered, as no other node uses them.
@@ -122,7 +122,7 @@
         ContextDirectory::Holder holder; // store with the context; empty address: none
         double storeTokens = 0.0; // queued there for other requests
         double cost = 0.0; // of answering with this version
-        bool isReplaced = false;
+        bool isSuperseded = false;
         bool isAtEngine = false; // an engine has the context, according to recent sends
     };
     struct Candidate
--- a/include/fordwood/store_keeper.hpp
+++ b/include/fordwood/store_keeper.hpp
@@ -61,7 +61,7 @@
     // The versions that were named for the model.
     void setWeights(const std::string &model, const WeightHistory &history);
 
-    void storeAnswered(const StoreUpdate &news);
+    void storeAnswered(const ContextStoreUpdate &news);
     void storeSilent(const std::string &store);
 
     // What may be freed now; nothing without the lock.
--- a/include/fordwood/store_news_log.hpp
+++ b/include/fordwood/store_news_log.hpp
@@ -36,11 +36,11 @@
     explicit StoreNewsLog(const Clock &clock) : StoreNewsLog(clock, Limits{}) { }
     StoreNewsLog(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    void told(const StoreUpdate &news);
+    void told(const ContextStoreUpdate &news);
     void silent(const std::string &store);
 
     // What the reader lacks, for each store that answers this node.
-    std::vector<StoreUpdate> since(const std::vector<StorePosition> &positions) const;
+    std::vector<ContextStoreUpdate> since(const std::vector<StorePosition> &positions) const;
 
 private:
     struct Batch
@@ -60,9 +60,9 @@
         std::map<std::pair<std::string, std::string>, std::size_t> parts; // by salt and id
     };
 
-    void remember(Store &store, const StoreUpdate &news) const;
-    StoreUpdate newsFor(const std::string &name, const Store &store,
-                        const StorePosition &position) const;
+    void remember(Store &store, const ContextStoreUpdate &news) const;
+    ContextStoreUpdate newsFor(const std::string &name, const Store &store,
+                               const StorePosition &position) const;
 
     const Clock &m_clock;
     const Limits m_limits;
--- a/include/fordwood/upstream_record.hpp
+++ b/include/fordwood/upstream_record.hpp
@@ -18,7 +18,7 @@
 {
     std::string instanceId; // of this start
     std::string announcedId; // id under which the upstream announces itself
-    std::optional<WallTime> born; // start of this instance; nothing: not published
+    std::optional<WallTime> startedAt; // start of this instance; nothing: not published
     std::string service;
     std::string address; // IP:port; another upstream may get it later
     std::string failureDomain;
--- a/include/fordwood/window_budget.hpp
+++ b/include/fordwood/window_budget.hpp
@@ -29,7 +29,7 @@
     void countRequest();
 
     // Takes one retry; false if none is left. `nodes`: number of nodes that share the slack.
-    bool takeRepeat(std::size_t nodes);
+    bool takeRetry(std::size_t nodes);
 
 private:
     void forgetOld();
@@ -37,7 +37,7 @@
     const Clock &m_clock;
     Limits m_limits;
     std::deque<TimePoint> m_requests;
-    std::deque<TimePoint> m_repeats;
+    std::deque<TimePoint> m_retries;
 };
 
 } // namespace fordwood
--- a/src/core/call_plan.cpp
+++ b/src/core/call_plan.cpp
@@ -39,7 +39,7 @@
 }
 
 AfterFailure CallPlan::afterFailure(const FailedAttempt &failure, TimePoint now,
-                                    const std::function<bool()> &takeRepeat)
+                                    const std::function<bool()> &takeRetry)
 {
     m_reason = failure.reason;
     if (failure.state != RunState::NotRun)
@@ -53,7 +53,7 @@
         || m_connectFailures >= kMaxConnectFailures)
         return end;
     // Sending again is not a repetition if no upstream has been reached yet.
-    if (m_deliveries > 0 && !takeRepeat()) {
+    if (m_deliveries > 0 && !takeRetry()) {
         if (!m_mayHaveRun)
             m_reason = Reason::RetryBudgetUsed;
         return end;
--- a/src/core/context_directory.cpp
+++ b/src/core/context_directory.cpp
@@ -117,7 +117,7 @@
     store.answered = TimePoint::min();
 }
 
-void ContextDirectory::storeAnswered(const StoreUpdate &update, Duration waited)
+void ContextDirectory::storeAnswered(const ContextStoreUpdate &update, Duration waited)
 {
     const auto it = m_stores.find(update.store);
     if (it == m_stores.end())
--- a/src/core/engine_chooser.cpp
+++ b/src/core/engine_chooser.cpp
@@ -196,7 +196,7 @@
     weights.version = version;
     weights.salt = contextSalt(prompt.model, version, query.isolatedTeam);
     weights.cost = oldWeightsCost(version, query.weights);
-    weights.isReplaced = query.weights.superseded(version).has_value();
+    weights.isSuperseded = query.weights.superseded(version).has_value();
     if (prompt.parts.size() > 1 && m_limits.mechanisms.contextStores)
         weights.holder = contexts.holderOf(weights.salt, prompt.parts.front().id);
     if (!weights.holder.address.empty())
@@ -234,7 +234,7 @@
     return candidate.holdsContext || candidate.rank < kPreferred
            || query.assignedColdEngines.contains(candidate.engine->instanceId)
            || hashFraction(rendezvousWeight(query.sampleSeed, candidate.hash))
-                  < query.consideredShare;
+                  < query.candidateFraction;
 }
 
 void EngineChooser::computeCost(Candidate &candidate, const PromptInfo &promptInfo,
@@ -252,7 +252,7 @@
         candidate.cost += promptInfo.isShort ? kShortOutsideGroupCost : kLongInShortGroupCost;
 }
 
-double shareToConsider(std::size_t liveNodes)
+double candidateFractionFor(std::size_t liveNodes)
 {
     // This many nodes do little harm if they choose at the same time without seeing each other's
     // choices.
@@ -276,7 +276,7 @@
         auto known = weights.find(version);
         if (known == weights.end())
             known = weights.emplace(version, weightsInfo(version, query, loads, contexts)).first;
-        if (known->second.isReplaced) {
+        if (known->second.isSuperseded) {
             const Duration wait
                 = timeToFirstToken(loads.total(it->instanceId), query, known->second);
             if (!beginsInTime(version, wait, query.weights))
--- a/src/core/service_chooser.cpp
+++ b/src/core/service_chooser.cpp
@@ -24,7 +24,7 @@
                                      const LoadBook &loads, const UpstreamHealth &health)
 {
     const UpstreamRecord *best = nullptr;
-    double least = 0.0;
+    double lowestCost = 0.0;
     for (const UpstreamRecord *it : upstreams) {
         if (tried.contains(it->instanceId) || health.isPaused(it->instanceId))
             continue;
@@ -37,9 +37,9 @@
             cost += kOtherDomainCost;
         const std::uint64_t hash = rendezvousWeight(salt, stableHash(it->instanceId));
         cost += kSpread * hashFraction(hash);
-        if (best == nullptr || cost < least) {
+        if (best == nullptr || cost < lowestCost) {
             best = it;
-            least = cost;
+            lowestCost = cost;
         }
     }
     return best;
--- a/src/core/store_keeper.cpp
+++ b/src/core/store_keeper.cpp
@@ -38,7 +38,7 @@
     m_weights[modelHashOfSalt(model)] = history;
 }
 
-void StoreKeeper::storeAnswered(const StoreUpdate &news)
+void StoreKeeper::storeAnswered(const ContextStoreUpdate &news)
 {
     Store &store = m_stores[news.store];
     if (news.isSnapshot || news.epoch != store.epoch)
--- a/src/core/store_news_log.cpp
+++ b/src/core/store_news_log.cpp
@@ -7,7 +7,7 @@
 
 namespace fordwood {
 
-void StoreNewsLog::told(const StoreUpdate &news)
+void StoreNewsLog::told(const ContextStoreUpdate &news)
 {
     Store &store = m_stores[news.store];
     if (news.isSnapshot || news.epoch != store.epoch) {
@@ -32,7 +32,7 @@
     store.clock = news.clock;
 }
 
-void StoreNewsLog::remember(Store &store, const StoreUpdate &news) const
+void StoreNewsLog::remember(Store &store, const ContextStoreUpdate &news) const
 {
     if (news.changes.empty())
         return;
@@ -49,10 +49,10 @@
     m_stores[store].answers = false;
 }
 
-StoreUpdate StoreNewsLog::newsFor(const std::string &name, const Store &store,
-                                  const StorePosition &position) const
+ContextStoreUpdate StoreNewsLog::newsFor(const std::string &name, const Store &store,
+                                         const StorePosition &position) const
 {
-    StoreUpdate news;
+    ContextStoreUpdate news;
     news.store = name;
     news.epoch = store.epoch;
     news.next = store.next;
@@ -80,9 +80,10 @@
     return news;
 }
 
-std::vector<StoreUpdate> StoreNewsLog::since(const std::vector<StorePosition> &positions) const
+std::vector<ContextStoreUpdate>
+StoreNewsLog::since(const std::vector<StorePosition> &positions) const
 {
-    std::vector<StoreUpdate> told;
+    std::vector<ContextStoreUpdate> told;
     for (const auto &[name, store] : m_stores) {
         if (!store.answers)
             continue;
--- a/src/node/call_run.cpp
+++ b/src/node/call_run.cpp
@@ -425,7 +425,7 @@
     // A failure of the upstream's own: another may do better; if none may be asked, it stands.
     const auto again = m_plan.afterFailure(
         {RunState::Ran, Reason::UpstreamBroke, false}, m_traffic.clock().now(),
-        [this] { return m_traffic.takeRepeat(m_call.pool->name); });
+        [this] { return m_traffic.takeRetry(m_call.pool->name); });
     if (again != AfterFailure::SendAgain) {
         passOn();
         return;
@@ -510,7 +510,7 @@
 {
     m_events.dropPartialEvent();
     const AfterFailure next = m_plan.afterFailure(failure, m_traffic.clock().now(), [this] {
-        return m_traffic.takeRepeat(m_call.pool->name);
+        return m_traffic.takeRetry(m_call.pool->name);
     });
     switch (next) {
     case AfterFailure::SendAgain:
--- a/src/node/context_keeping.hpp
+++ b/src/node/context_keeping.hpp
@@ -36,7 +36,7 @@
     void setFollowing(bool follows);
 
     // What a peer lacks that stands at these positions.
-    std::vector<StoreUpdate> newsSince(const std::vector<StorePosition> &positions) const
+    std::vector<ContextStoreUpdate> newsSince(const std::vector<StorePosition> &positions) const
     {
         return m_log.since(positions);
     }
--- a/src/node/context_messages.cpp
+++ b/src/node/context_messages.cpp
@@ -82,10 +82,10 @@
     return positions;
 }
 
-std::string encodeContextNews(const std::vector<StoreUpdate> &news)
+std::string encodeContextNews(const std::vector<ContextStoreUpdate> &news)
 {
     Json stores = Json::array();
-    for (const StoreUpdate &it : news) {
+    for (const ContextStoreUpdate &it : news) {
         // An array: most stores have nothing new, and names of fields would be most of the message.
         stores.push_back({it.store, it.epoch, it.next, it.clock.count(), it.age.count(),
                           it.isSnapshot, changesBySalt(it.changes)});
@@ -93,12 +93,12 @@
     return encodeCbor(stores);
 }
 
-std::optional<std::vector<StoreUpdate>> decodeContextNews(std::string_view bytes)
+std::optional<std::vector<ContextStoreUpdate>> decodeContextNews(std::string_view bytes)
 {
-    return decodeCbor<std::vector<StoreUpdate>>(bytes, [](const Json &stores) {
-        std::vector<StoreUpdate> news;
+    return decodeCbor<std::vector<ContextStoreUpdate>>(bytes, [](const Json &stores) {
+        std::vector<ContextStoreUpdate> news;
         for (const Json &it : stores) {
-            StoreUpdate told;
+            ContextStoreUpdate told;
             std::size_t field = 0;
             it.at(field++).get_to(told.store);
             it.at(field++).get_to(told.epoch);
--- a/src/node/context_messages.hpp
+++ b/src/node/context_messages.hpp
@@ -19,8 +19,8 @@
 std::optional<std::vector<StorePosition>> readContextNewsTarget(std::string_view target);
 
 // The relay's answer, in CBOR.
-std::string encodeContextNews(const std::vector<StoreUpdate> &news);
-std::optional<std::vector<StoreUpdate>> decodeContextNews(std::string_view bytes);
+std::string encodeContextNews(const std::vector<ContextStoreUpdate> &news);
+std::optional<std::vector<ContextStoreUpdate>> decodeContextNews(std::string_view bytes);
 
 } // namespace fordwood::node
 
--- a/src/node/context_relay_reader.cpp
+++ b/src/node/context_relay_reader.cpp
@@ -92,13 +92,13 @@
         return;
     }
     m_failed.clear();
-    for (StoreUpdate &it : *news) {
+    for (ContextStoreUpdate &it : *news) {
         if (m_stores.contains(it.store))
             take(std::move(it), asked);
     }
 }
 
-void ContextRelayReader::take(StoreUpdate news, TimePoint asked)
+void ContextRelayReader::take(ContextStoreUpdate news, TimePoint asked)
 {
     // As old as it was for the relay, and on its way since, at the most.
     const TimePoint now = m_clock.now();
--- a/src/node/context_relay_reader.hpp
+++ b/src/node/context_relay_reader.hpp
@@ -38,7 +38,7 @@
     void ask();
     void askLater(Duration pause);
     void take(const HttpResult &result, TimePoint asked);
-    void take(StoreUpdate news, TimePoint asked);
+    void take(ContextStoreUpdate news, TimePoint asked);
 
     HttpCaller &m_caller;
     const Clock &m_clock;
--- a/src/node/document_reader.cpp
+++ b/src/node/document_reader.cpp
@@ -105,7 +105,7 @@
     const auto known = m_lives.find(id);
     if (known != m_lives.end() && !goesOn(known->second, *record, item))
         return;
-    m_lives[id] = {record->instanceId, record->born};
+    m_lives[id] = {record->instanceId, record->startedAt};
     logEvent(record->draining ? Event::UpstreamDraining : Event::UpstreamReady,
              {{"upstream", record->instanceId},
               {"service", record->service},
@@ -119,12 +119,12 @@
 // reach the store after the first one of the next.
 bool DocumentReader::goesOn(const Life &known, const UpstreamRecord &record, const StoredItem &item)
 {
-    if (known.born && !record.born) {
+    if (known.born && !record.startedAt) {
         refuse(item, "does not tell when the upstream was born, as the one before did");
         endLife(record.announcedId, false);
         return false;
     }
-    if (record.born < known.born) {
+    if (record.startedAt < known.born) {
         refuse(item, "is of an earlier life of the upstream");
         return false;
     }
--- a/src/node/fleet_update.hpp
+++ b/src/node/fleet_update.hpp
@@ -111,7 +111,7 @@
 // A store of kept context has told what it holds.
 struct ContextStoreTold
 {
-    StoreUpdate news;
+    ContextStoreUpdate news;
     TimePoint heard{}; // by this node, which is when the age in the news holds
 };
 
--- a/src/node/traffic.cpp
+++ b/src/node/traffic.cpp
@@ -349,9 +349,9 @@
     return m_shortGroups[pool.name];
 }
 
-double Traffic::consideredShare() const
+double Traffic::candidateFraction() const
 {
-    return m_settings.mechanisms.fewCandidates ? shareToConsider(m_liveNodes) : 1.0;
+    return m_settings.mechanisms.fewCandidates ? candidateFractionFor(m_liveNodes) : 1.0;
 }
 
 void Traffic::countPrompt(const Prompt &prompt, const EngineTraits &traits)
@@ -456,9 +456,9 @@
     budget(service).countRequest();
 }
 
-bool Traffic::takeRepeat(const std::string &service)
+bool Traffic::takeRetry(const std::string &service)
 {
-    return budget(service).takeRepeat(m_liveNodes);
+    return budget(service).takeRetry(m_liveNodes);
 }
 
 } // namespace fordwood::node
--- a/src/node/traffic.hpp
+++ b/src/node/traffic.hpp
@@ -75,7 +75,7 @@
     const std::set<std::string> &shortGroup(const ServicePool &pool);
 
     // The part of the engines that a request considers.
-    double consideredShare() const;
+    double candidateFraction() const;
 
     // Counts a prompt, for what the engines must keep.
     void countPrompt(const Prompt &prompt, const EngineTraits &traits);
@@ -120,7 +120,7 @@
     void countRequest(const std::string &service);
 
     // Takes one repeated send to the service out of this node's part of the budget.
-    bool takeRepeat(const std::string &service);
+    bool takeRetry(const std::string &service);
 
     const std::shared_ptr<const RouteTable> &table() const { return m_table; }
     bool isStopping() const { return m_stopBegan.has_value(); }
--- a/src/node/update_queue.cpp
+++ b/src/node/update_queue.cpp
@@ -58,7 +58,7 @@
 }
 
 // Adds what a store tells to what it told before.
-void addNews(StoreUpdate &older, StoreUpdate newer)
+void addNews(ContextStoreUpdate &older, ContextStoreUpdate newer)
 {
     if (newer.isSnapshot || newer.epoch != older.epoch) {
         older = std::move(newer);
--- a/src/node/upstream_choice.cpp
+++ b/src/node/upstream_choice.cpp
@@ -53,7 +53,7 @@
                                         *call.pool->engine,
                                         plan.tried(),
                                         traffic.shortGroup(*call.pool),
-                                        traffic.consideredShare(),
+                                        traffic.candidateFraction(),
                                         stableHash(caller.requestId, plan.sends()),
                                         traffic.boundedAmong(candidates),
                                         traffic.pace(call.pool->name)};
--- a/tests/node/belief_ages_test.cpp
+++ b/tests/node/belief_ages_test.cpp
@@ -490,7 +490,7 @@
     // As the other thread puts it into the ring.
     FleetUpdate storeTold() const
     {
-        StoreUpdate news;
+        ContextStoreUpdate news;
         news.store = "s";
         news.epoch = 1;
         return ContextStoreTold{news, clock.now()};
@@ -521,7 +521,7 @@
 TEST_CASE("ages: words of a store that wait together are as old as the last [stores]")
 {
     const auto wordAt = [](Duration time, std::chrono::milliseconds age) {
-        StoreUpdate news;
+        ContextStoreUpdate news;
         news.store = "s";
         news.age = age;
         return ContextStoreTold{news, TimePoint{} + time};
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -31,7 +31,7 @@
         REQUIRE(m_server.listening());
     }
 
-    void tell(const StoreUpdate &news)
+    void tell(const ContextStoreUpdate &news)
     {
         const std::lock_guard lock(m_mutex);
         m_log.told(news);
@@ -59,9 +59,9 @@
     standins::BlockingServer m_server;
 };
 
-StoreUpdate news(std::uint64_t next, std::vector<StorePartChange> changes)
+ContextStoreUpdate news(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    StoreUpdate told;
+    ContextStoreUpdate told;
     told.store = "s";
     told.epoch = 3;
     told.next = next;
@@ -97,7 +97,7 @@
 
     boost::asio::io_context context;
     HttpCaller caller;
-    std::vector<StoreUpdate> told;
+    std::vector<ContextStoreUpdate> told;
     ContextRelayReader reader;
 };
 
@@ -143,13 +143,13 @@
 {
     ManualClock clock;
     Relay relay(clock, 1);
-    StoreUpdate other = news(5, {});
+    ContextStoreUpdate other = news(5, {});
     other.store = "unknown";
     relay.tell(other);
     relay.tell(news(5, {}));
     Reading reading(clock, [&](const std::string &) { return relay.address; });
     reading.untilTold(2);
-    for (const StoreUpdate &it : reading.told)
+    for (const ContextStoreUpdate &it : reading.told)
         CHECK(it.store == "s");
     reading.reader.setReading(false);
 }
--- a/tests/node/mailbox_test.cpp
+++ b/tests/node/mailbox_test.cpp
@@ -15,7 +15,7 @@
 FleetUpdate told(const std::string &store, std::uint64_t epoch,
                  std::vector<StorePartChange> changes, bool isSnapshot = false)
 {
-    StoreUpdate news;
+    ContextStoreUpdate news;
     news.store = store;
     news.epoch = epoch;
     news.isSnapshot = isSnapshot;
@@ -87,7 +87,7 @@
     queue.push(told("s", 1, {{"salt", "a", false, 0}, {"salt", "c", true, 300}}));
     const auto taken = takeAll(queue);
     REQUIRE(taken.size() == 1);
-    const StoreUpdate &news = std::get<ContextStoreTold>(taken.front()).news;
+    const ContextStoreUpdate &news = std::get<ContextStoreTold>(taken.front()).news;
     REQUIRE(news.changes.size() == 3);
     CHECK(news.changes[0].partId == "a");
     CHECK_FALSE(news.changes[0].held);
@@ -102,7 +102,7 @@
     queue.push(told("s", 2, {{"salt", "c", true, 1}}, true));
     const auto taken = takeAll(queue);
     REQUIRE(taken.size() == 1);
-    const StoreUpdate &news = std::get<ContextStoreTold>(taken.front()).news;
+    const ContextStoreUpdate &news = std::get<ContextStoreTold>(taken.front()).news;
     REQUIRE(news.changes.size() == 1);
     CHECK(news.changes.front().partId == "c");
     CHECK(news.isSnapshot);
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -287,7 +287,7 @@
     REQUIRE(record);
     CHECK(record->announcedId == "i-7");
     CHECK(record->instanceId == "i-7@1796000000000");
-    CHECK(record->born == WallTime(1'796'000'000'000ms));
+    CHECK(record->startedAt == WallTime(1'796'000'000'000ms));
     CHECK(record->draining);
     CHECK(record->coldFor == 1821ms);
     CHECK(record->weightVersions.at("m") == 4);
@@ -544,7 +544,7 @@
                             "/contexts?since=1.2.x,", "/contexts?since=-1.2.3,"})
         CHECK_FALSE(node::readContextNewsTarget(bad));
 
-    StoreUpdate news;
+    ContextStoreUpdate news;
     news.store = "s";
     news.epoch = 5;
     news.next = 9;
--- a/tests/node/standstill_test.cpp
+++ b/tests/node/standstill_test.cpp
@@ -39,7 +39,7 @@
 
     void tellStore()
     {
-        StoreUpdate news;
+        ContextStoreUpdate news;
         news.store = "s";
         news.epoch = 1;
         traffic.take(ContextStoreTold{news, clock.now()});
--- a/tests/unit/belief_ages_test.cpp
+++ b/tests/unit/belief_ages_test.cpp
@@ -33,7 +33,7 @@
     ManualClock clock;
     clock.advance(1h);
     StoreNewsLog log(clock);
-    StoreUpdate news;
+    ContextStoreUpdate news;
     news.store = "s";
     news.epoch = 1;
     news.age = 800ms;
@@ -52,7 +52,7 @@
     ManualClock clock;
     clock.advance(1h);
     StoreNewsLog log(clock);
-    StoreUpdate news;
+    ContextStoreUpdate news;
     news.store = "s";
     news.epoch = 1;
     log.told(news);
--- a/tests/unit/call_plan_test.cpp
+++ b/tests/unit/call_plan_test.cpp
@@ -154,18 +154,18 @@
     policy.answerBy = TimePoint(1h);
     CallPlan plan(policy);
     int repeats = 0;
-    const auto takeRepeat = [&repeats] {
+    const auto takeRetry = [&repeats] {
         repeats += 1;
         return true;
     };
     const FailedAttempt gone{RunState::NotRun, Reason::UpstreamGone, false};
     plan.sending("ended");
     plan.reachedOtherInstance();
-    CHECK(plan.afterFailure(gone, TimePoint{}, takeRepeat) == AfterFailure::SendAgain);
+    CHECK(plan.afterFailure(gone, TimePoint{}, takeRetry) == AfterFailure::SendAgain);
     CHECK(repeats == 1); // the send that arrived there counts toward the fleet's budget
     plan.sending("lives");
     const FailedAttempt full{RunState::NotRun, Reason::UpstreamPushback, false};
-    CHECK(plan.afterFailure(full, TimePoint{}, takeRepeat) == AfterFailure::EndWithVerdict);
+    CHECK(plan.afterFailure(full, TimePoint{}, takeRetry) == AfterFailure::EndWithVerdict);
     SUBCASE("the search ends")
     {
         CallPlan other(policy);
@@ -173,7 +173,7 @@
         do {
             other.sending("ended-" + std::to_string(sends++));
             other.reachedOtherInstance();
-        } while (other.afterFailure(gone, TimePoint{}, takeRepeat) == AfterFailure::SendAgain
+        } while (other.afterFailure(gone, TimePoint{}, takeRetry) == AfterFailure::SendAgain
                  && sends < 100);
         CHECK(sends < 10);
         CHECK(other.verdict(250ms).state == RunState::NotRun);
--- a/tests/unit/engine_chooser_test.cpp
+++ b/tests/unit/engine_chooser_test.cpp
@@ -45,7 +45,7 @@
 
     void updateStore(std::vector<StorePartChange> changes, std::uint64_t epoch = 1)
     {
-        StoreUpdate update;
+        ContextStoreUpdate update;
         update.store = "store";
         update.epoch = epoch;
         update.changes = std::move(changes);
@@ -404,7 +404,7 @@
     StoreKeeper keeper(clock);
     const std::string old = contextSalt("m", 1, "");
     const std::string current = contextSalt("m", 2, "");
-    StoreUpdate update;
+    ContextStoreUpdate update;
     update.store = "store";
     update.epoch = 5;
     update.changes = {{old, "a", true, 10}, {current, "a", true, 10}, {"foreign", "b", true, 10}};
@@ -494,7 +494,7 @@
 
 // Many nodes choose at the same moment from the same view of 160 engines, each for a context that
 // no engine has. Returns the number of requests at the busiest engine.
-std::size_t maxAtOneEngine(std::size_t nodes, double consideredShare)
+std::size_t maxAtOneEngine(std::size_t nodes, double candidateFraction)
 {
     constexpr std::size_t kManyEngines = 160;
     NodeView view;
@@ -516,7 +516,7 @@
         const Prompt prompt = longPrompt("cold-" + std::to_string(n));
         const auto choice = view.m_chooser.choose(
             {prompt, "", view.m_weights, view.m_traits, view.m_tried, view.m_shortGroup,
-             consideredShare, stableHash(std::to_string(n))},
+             candidateFraction, stableHash(std::to_string(n))},
             engines, view.m_loads, view.m_health, view.m_contexts);
         most = std::max(most, ++chosen[choice->instanceId]);
     }
@@ -529,14 +529,14 @@
     "engines: nodes that choose at once do not all take the few idle ones [routing][overload]")
 {
     CHECK(maxAtOneEngine(40, 1.0) >= 12); // without sampling
-    CHECK(maxAtOneEngine(40, shareToConsider(295)) <= 5);
+    CHECK(maxAtOneEngine(40, candidateFractionFor(295)) <= 5);
 }
 
 TEST_CASE("engines: nodes of a small fleet consider all engines [routing]")
 {
-    CHECK(shareToConsider(0) == 1.0);
-    CHECK(shareToConsider(12) == 1.0);
-    CHECK(shareToConsider(48) == 0.25);
+    CHECK(candidateFractionFor(0) == 1.0);
+    CHECK(candidateFractionFor(12) == 1.0);
+    CHECK(candidateFractionFor(48) == 0.25);
 }
 
 TEST_CASE("engines: one that has the context is considered whatever the sample [routing]")
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -76,9 +76,9 @@
     std::vector<bool> m_isAnswered;
 };
 
-StoreUpdate news(std::uint64_t next, std::vector<StorePartChange> changes)
+ContextStoreUpdate news(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    StoreUpdate told;
+    ContextStoreUpdate told;
     told.store = "s";
     told.epoch = 7;
     told.next = next;
@@ -207,7 +207,7 @@
     store.name = "s";
     store.address = "10.0.0.1:80";
     contexts.setStores({store});
-    StoreUpdate told = news(1, {{"salt", "a", true, 100}});
+    ContextStoreUpdate told = news(1, {{"salt", "a", true, 100}});
     told.age = 1'400ms;
     contexts.storeAnswered(told);
     CHECK(contexts.hasCurrentStore());
--- a/tests/unit/serving_parts_test.cpp
+++ b/tests/unit/serving_parts_test.cpp
@@ -87,12 +87,12 @@
     for (int n = 0; n < 100; ++n)
         budget.countRequest();
     int repeats = 0;
-    while (repeats < 1'000 && budget.takeRepeat(kNodes))
+    while (repeats < 1'000 && budget.takeRetry(kNodes))
         ++repeats;
     CHECK(repeats > 10);
     CHECK(repeats <= (0.2 * 100 * kNodes + 56) / kNodes);
     clock.advance(11s);
-    CHECK(budget.takeRepeat(kNodes)); // the slack of a new window
+    CHECK(budget.takeRetry(kNodes)); // the slack of a new window
 }
 
 TEST_CASE("loads: ended requests and computed prompts no longer count [routing]")
