--- a/include/fordwood/call_plan.hpp
+++ b/include/fordwood/call_plan.hpp
@@ -40,15 +40,15 @@
 class CallPlan
 {
 public:
-    explicit CallPlan(const CallPolicy &terms) : m_terms(terms) { }
+    explicit CallPlan(const CallPolicy &policy) : m_policy(policy) { }
 
     // The request is about to be sent to an upstream.
-    void sending(const std::string &instanceId);
+    void beginSend(const std::string &instanceId);
 
     // The connection could not be established, so that nothing was sent. The attempt counts toward
     // the limit of failed connections, but not toward the number of upstreams that the request may
     // be sent to.
-    void notSent();
+    void connectionFailed();
 
     // This node found by itself that the upstream accepts no requests at the moment. Nothing was
     // sent and nothing failed, so the attempt does not count at all and the upstream may be chosen
@@ -75,10 +75,10 @@
     bool mayHaveRun() const { return m_mayHaveRun; }
     const std::set<std::string> &tried() const { return m_tried; }
     std::size_t sends() const { return m_sends; }
-    const CallPolicy &terms() const { return m_terms; }
+    const CallPolicy &policy() const { return m_policy; }
 
 private:
-    CallPolicy m_terms;
+    CallPolicy m_policy;
     std::size_t m_sends = 0; // sends that count toward maxAttempts
     std::size_t m_deliveries = 0; // sends that reached any upstream
     std::size_t m_connectFailures = 0;
--- a/src/core/call_plan.cpp
+++ b/src/core/call_plan.cpp
@@ -11,14 +11,14 @@
 
 } // namespace
 
-void CallPlan::sending(const std::string &instanceId)
+void CallPlan::beginSend(const std::string &instanceId)
 {
     m_tried.insert(instanceId);
     m_sends += 1;
     m_deliveries += 1;
 }
 
-void CallPlan::notSent()
+void CallPlan::connectionFailed()
 {
     m_sends -= 1;
     m_deliveries -= 1;
@@ -47,9 +47,9 @@
     const AfterFailure end
         = failure.answerBegun ? AfterFailure::CutAnswer : AfterFailure::EndWithVerdict;
     const RunState state = m_mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
-    if (!maySendAgain(state, m_terms.mayRunAgain, failure.answerBegun && !m_terms.resumable))
+    if (!maySendAgain(state, m_policy.mayRunAgain, failure.answerBegun && !m_policy.resumable))
         return end;
-    if (now >= m_terms.answerBy || m_sends >= m_terms.maxAttempts
+    if (now >= m_policy.answerBy || m_sends >= m_policy.maxAttempts
         || m_connectFailures >= kMaxConnectFailures)
         return end;
     // Sending again is not a repetition if no upstream has been reached yet.
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kRetrySoon{500};
+constexpr std::chrono::milliseconds kDefaultRetryAfter{500};
 
 // A restarted upstream keeps its name here, so that a reported draining state expires after this
 // time.
@@ -48,7 +48,8 @@
             verdict.state = RunState::MayHaveRun; // by an earlier send with the same key
         m_actions.emplace_back(EndCall{request.id, std::move(verdict)});
     };
-    const auto refuse = [&](Reason reason) { refuseWith(Verdict::of(reason, {}, kRetrySoon)); };
+    const auto refuse
+        = [&](Reason reason) { refuseWith(Verdict::of(reason, {}, kDefaultRetryAfter)); };
     if (m_stopping)
         return refuse(Reason::Stopping);
     if (!m_view)
@@ -59,7 +60,7 @@
         return refuseWith(quarantineVerdict(request));
     Call &call = m_calls[request.id];
     call.request = request;
-    call.last = Verdict::of(Reason::NoUpstream, {}, kRetrySoon);
+    call.last = Verdict::of(Reason::NoUpstream, {}, kDefaultRetryAfter);
     const double ratio = m_view->configuration().limits.retryRatio;
     m_budgets.try_emplace(request.team, ratio).first->second.countFirstSend();
     choose(call);
@@ -86,9 +87,9 @@
     case ClaimAnswer::Decision::Redirect:
         if (m_claims.mayRedirect(*id))
             return claim(call, call.candidates.view().member(answer.holder));
-        return end(*id, Verdict::of(Reason::KeyHolderGone, {}, kRetrySoon));
+        return end(*id, Verdict::of(Reason::KeyHolderGone, {}, kDefaultRetryAfter));
     case ClaimAnswer::Decision::Refuse:
-        return end(*id, Verdict{answer.state, answer.reason, kRetrySoon, {}});
+        return end(*id, Verdict{answer.state, answer.reason, kDefaultRetryAfter, {}});
     }
 }
 
@@ -152,7 +153,7 @@
             waiting.push_back(id);
     }
     for (const CallId id : m_claims.openAt(owner))
-        end(id, Verdict::of(Reason::KeyHolderGone, {}, kRetrySoon));
+        end(id, Verdict::of(Reason::KeyHolderGone, {}, kDefaultRetryAfter));
     m_admission.ownerLost(owner);
     std::sort(waiting.begin(), waiting.end());
     for (const CallId id : waiting) {
@@ -299,7 +300,7 @@
     std::sort(late.begin(), late.end());
     std::sort(unclaimed.begin(), unclaimed.end());
     for (const CallId id : unclaimed)
-        end(id, Verdict::of(Reason::OwnerSilent, {}, kRetrySoon));
+        end(id, Verdict::of(Reason::OwnerSilent, {}, kDefaultRetryAfter));
     for (const CallId id : late)
         endExpired(m_calls.at(id));
     for (const CallId id : silent) {
@@ -319,7 +320,7 @@
     const CallId id = call.request.id;
     withdraw(call);
     if (call.stage != Stage::Sent)
-        return end(id, Verdict::of(Reason::DeadlineTooNear, {}, kRetrySoon));
+        return end(id, Verdict::of(Reason::DeadlineTooNear, {}, kDefaultRetryAfter));
     m_actions.emplace_back(CancelAttempt{id, call.attempt});
     m_permits.release(id, 0.0);
     end(id, Verdict::of(Reason::UpstreamTimeout));
@@ -346,7 +347,7 @@
 
 void Dispatcher::refused(CallId id)
 {
-    end(id, Verdict::of(Reason::TeamCeiling, {}, kRetrySoon));
+    end(id, Verdict::of(Reason::TeamCeiling, {}, kDefaultRetryAfter));
 }
 
 // Removes a call that has ended.
@@ -368,7 +369,7 @@
 void Dispatcher::claim(Call &call, const Member *holder)
 {
     if (holder == nullptr)
-        return end(call.request.id, Verdict::of(Reason::KeyHolderGone, {}, kRetrySoon));
+        return end(call.request.id, Verdict::of(Reason::KeyHolderGone, {}, kDefaultRetryAfter));
     call.stage = Stage::Claiming;
     m_claims.open(call.request.id, *call.request.key, *holder);
 }
@@ -437,7 +438,7 @@
 {
     if (call.candidates.isQueueing())
         return end(call.request.id, limitedVerdict(*call.candidates.current()));
-    tryNext(call, Verdict::of(Reason::UpstreamLimited, {}, kRetrySoon));
+    tryNext(call, Verdict::of(Reason::UpstreamLimited, {}, kDefaultRetryAfter));
 }
 
 // Direct sends go only to upstreams that refuse requests when full, without running them. A call
@@ -457,7 +458,7 @@
 void Dispatcher::sendWithoutOwner(Call &call)
 {
     if (!m_permits.takeLocal(call.request, *call.candidates.current())) {
-        const Verdict verdict = Verdict::of(Reason::LocalAllowanceUsed, {}, kRetrySoon);
+        const Verdict verdict = Verdict::of(Reason::LocalAllowanceUsed, {}, kDefaultRetryAfter);
         return call.candidates.isQueueing() ? end(call.request.id, verdict)
                                             : tryNext(call, verdict);
     }
@@ -471,7 +472,7 @@
     const UpstreamConfig *upstream = call.candidates.current();
     if (m_view->isLeaving(upstream->name)) {
         m_permits.release(call.request.id, 0.0);
-        return tryNext(call, Verdict::of(Reason::UpstreamLeaving, {}, kRetrySoon));
+        return tryNext(call, Verdict::of(Reason::UpstreamLeaving, {}, kDefaultRetryAfter));
     }
     // Other copies of the request may have made upstreams break off while this one waited.
     if (isHeld(call.request)) {
--- a/src/node/call_run.cpp
+++ b/src/node/call_run.cpp
@@ -72,7 +72,7 @@
 
 void CallRun::armDeadline()
 {
-    m_deadline.expires_at(m_plan.terms().answerBy);
+    m_deadline.expires_at(m_plan.policy().answerBy);
     m_deadline.async_wait([self = shared_from_this()](const ErrorCode &ec) {
         if (!ec && !self->m_isOver)
             self->deadlinePassed();
@@ -81,7 +81,7 @@
 
 std::chrono::milliseconds CallRun::remaining() const
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(m_plan.terms().answerBy
+    return std::chrono::duration_cast<std::chrono::milliseconds>(m_plan.policy().answerBy
                                                                  - m_traffic.clock().now());
 }
 
@@ -104,7 +104,7 @@
         waitForUpstream();
         return;
     }
-    m_plan.sending(m_attempt->upstream.instanceId);
+    m_plan.beginSend(m_attempt->upstream.instanceId);
     m_attempt->begun = m_traffic.clock().now();
     m_lastUpstream = m_attempt->upstream.instanceId;
     m_traffic.loads().begin(m_lastUpstream, m_attempt->load);
@@ -237,7 +237,7 @@
     if (ec == net::error::connection_refused)
         m_traffic.gate().cold().suspectRestart(m_attempt->upstream.instanceId,
                                                m_call.pool->coldStart);
-    m_plan.notSent();
+    m_plan.connectionFailed();
     endAttempt(false);
     judgeFailure({RunState::NotRun, Reason::ConnectFailed, m_streamBegun});
 }
@@ -257,7 +257,7 @@
     // The upstream may have begun to leave while the connection came up, or its failure domain may
     // have been evacuated.
     if (!m_traffic.upstreams().takesNewWork(m_attempt->upstream.instanceId)) {
-        m_plan.notSent();
+        m_plan.connectionFailed();
         endAttempt(true);
         judgeFailure({RunState::NotRun, Reason::UpstreamLeaving, m_streamBegun});
         return;
@@ -418,7 +418,7 @@
     }
     if (isGood(status))
         noteAnswered();
-    if (status < kFirstServerError || !m_plan.terms().mayRunAgain) {
+    if (status < kFirstServerError || !m_plan.policy().mayRunAgain) {
         passOn();
         return;
     }
--- a/tests/node/weights_fleet.cpp
+++ b/tests/node/weights_fleet.cpp
@@ -100,9 +100,9 @@
     engine.weightVersions[kModel] = weights;
     const Prompt prompt{kModel, {{"context", 300}, {"own", 80}}, 380, 10};
     const EngineTraits traits;
-    const EngineChooser::Question question{prompt, "", m_traffic.weights(kModel), traits, {}, {}};
+    const EngineChooser::Query query{prompt, "", m_traffic.weights(kModel), traits, {}, {}};
     return m_traffic.engines()
-        .choose(question, {&engine}, m_traffic.loads(), m_traffic.health(), m_traffic.contexts())
+        .choose(query, {&engine}, m_traffic.loads(), m_traffic.health(), m_traffic.contexts())
         .has_value();
 }
 
--- a/tests/unit/call_plan_test.cpp
+++ b/tests/unit/call_plan_test.cpp
@@ -26,7 +26,7 @@
 TEST_CASE("call plan: a request that may have run and must not run again is never retried [once]")
 {
     CallPlan plan(policyOf(false));
-    plan.sending("a");
+    plan.beginSend("a");
     CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
@@ -38,10 +38,10 @@
 TEST_CASE("call plan: a later refusal does not hide that an earlier attempt may have run [once]")
 {
     CallPlan plan(policyOf(true));
-    plan.sending("a");
+    plan.beginSend("a");
     CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
           == AfterFailure::SendAgain);
-    plan.sending("b");
+    plan.beginSend("b");
     CHECK(planAfterFailure(plan, RunState::NotRun, Reason::UpstreamPushback)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
@@ -52,7 +52,7 @@
 TEST_CASE("call plan: a request that did not run is refused as not-run with a retry time [not-run]")
 {
     CallPlan plan(policyOf(false, false, 1));
-    plan.sending("a");
+    plan.beginSend("a");
     CHECK(planAfterFailure(plan, RunState::NotRun, Reason::UpstreamPushback)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
@@ -63,8 +63,8 @@
 TEST_CASE("call plan: a failed connection does not count as a send [retry]")
 {
     CallPlan plan(policyOf(false, false, 1));
-    plan.sending("a");
-    plan.notSent();
+    plan.beginSend("a");
+    plan.connectionFailed();
     // No budget is needed: nothing has been sent yet.
     CHECK(planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
           == AfterFailure::SendAgain);
@@ -77,14 +77,14 @@
 {
     CallPlan plan(policyOf(false));
     for (int n = 0; n < 20; ++n) {
-        plan.sending("a");
+        plan.beginSend("a");
         plan.rejectedLocally("a");
     }
     CHECK(plan.sends() == 0);
     CHECK(plan.tried().empty());
     // Neither the retry budget nor the limit of failed connections has been used.
-    plan.sending("b");
-    plan.notSent();
+    plan.beginSend("b");
+    plan.connectionFailed();
     CHECK(planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
           == AfterFailure::SendAgain);
 }
@@ -95,8 +95,8 @@
     AfterFailure next = AfterFailure::SendAgain;
     int n = 0;
     while (next == AfterFailure::SendAgain && n < 100) {
-        plan.sending(std::to_string(n++));
-        plan.notSent();
+        plan.beginSend(std::to_string(n++));
+        plan.connectionFailed();
         next = planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed);
     }
     CHECK(n == 4);
@@ -105,15 +105,15 @@
 TEST_CASE("call plan: sends are limited by the route, and retries by the budget [retry]")
 {
     CallPlan plan(policyOf(true));
-    plan.sending("a");
+    plan.beginSend("a");
     CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
           == AfterFailure::SendAgain);
-    plan.sending("b");
+    plan.beginSend("b");
     CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
           == AfterFailure::EndWithVerdict);
 
     CallPlan withoutBudget(policyOf(true));
-    withoutBudget.sending("a");
+    withoutBudget.beginSend("a");
     CHECK(planAfterFailure(withoutBudget, RunState::NotRun, Reason::UpstreamPushback, false, false)
           == AfterFailure::EndWithVerdict);
     CHECK(withoutBudget.verdict(250ms).reason == Reason::RetryBudgetUsed);
@@ -124,15 +124,15 @@
           "cut [streams]")
 {
     CallPlan resumable(policyOf(true, true));
-    resumable.sending("a");
+    resumable.beginSend("a");
     CHECK(planAfterFailure(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::SendAgain);
-    resumable.sending("b");
+    resumable.beginSend("b");
     CHECK(planAfterFailure(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::CutAnswer);
 
     CallPlan other(policyOf(false));
-    other.sending("a");
+    other.beginSend("a");
     CHECK(planAfterFailure(other, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::CutAnswer);
 }
@@ -140,7 +140,7 @@
 TEST_CASE("call plan: nothing is sent after the deadline [deadline]")
 {
     CallPlan plan(policyOf(true));
-    plan.sending("a");
+    plan.beginSend("a");
     const auto next = plan.afterFailure({RunState::NotRun, Reason::UpstreamPushback, false},
                                         kNow + 1s, [] { return true; });
     CHECK(next == AfterFailure::EndWithVerdict);
@@ -159,11 +159,11 @@
         return true;
     };
     const FailedAttempt gone{RunState::NotRun, Reason::UpstreamGone, false};
-    plan.sending("ended");
+    plan.beginSend("ended");
     plan.reachedOtherInstance();
     CHECK(plan.afterFailure(gone, TimePoint{}, takeRetry) == AfterFailure::SendAgain);
     CHECK(repeats == 1); // the send that arrived there counts toward the fleet's budget
-    plan.sending("lives");
+    plan.beginSend("lives");
     const FailedAttempt full{RunState::NotRun, Reason::UpstreamPushback, false};
     CHECK(plan.afterFailure(full, TimePoint{}, takeRetry) == AfterFailure::EndWithVerdict);
     SUBCASE("the search ends")
@@ -171,7 +171,7 @@
         CallPlan other(policy);
         std::size_t sends = 0;
         do {
-            other.sending("ended-" + std::to_string(sends++));
+            other.beginSend("ended-" + std::to_string(sends++));
             other.reachedOtherInstance();
         } while (other.afterFailure(gone, TimePoint{}, takeRetry) == AfterFailure::SendAgain
                  && sends < 100);
