--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -164,7 +164,7 @@
         request.deadline = clock.now() + 30s;
         dispatcher.begin(request);
         for (const Action &action : dispatcher.takeActions()) {
-            const auto *ask = std::get_if<AskPermit>(&action);
+            const auto *ask = std::get_if<RequestPermit>(&action);
             if (ask == nullptr)
                 continue;
             PermitReply reply;
@@ -292,7 +292,7 @@
     keeper.setWeights("m", history);
     const std::string salt = contextSalt("m", 1, "");
     for (int store = 0; store < kStores; ++store) {
-        StoreNews news;
+        ContextStoreUpdate news;
         news.store = "store-" + std::to_string(store);
         news.epoch = 1;
         for (int it = 0; it < state.range(0); ++it)
--- a/include/fordwood/window_budget.hpp
+++ b/include/fordwood/window_budget.hpp
@@ -8,9 +8,9 @@
 
 namespace fordwood {
 
-// One node's part of a budget of repeated sends that is stated for the whole fleet: in each window
-// of time a ratio of the requests, and a slack that all nodes share. Each node spends the ratio of
-// its own requests and an equal part of the slack, so the sum holds without messages.
+// One node's share of a retry budget for the whole fleet: in each time window, a ratio of the
+// requests plus a slack that all nodes share. Each node spends the ratio of its own requests and an
+// equal share of the slack, so that the sum is kept without messages.
 class WindowBudget
 {
 public:
@@ -19,17 +19,17 @@
         Duration window = std::chrono::seconds(10);
         double ratio = 0.2;
         double slack = 0.0; // of the whole fleet
-        // The part of it that is spent: nodes may see different windows, and a node that starts
-        // again has forgotten what it spent.
-        double usablePart = 0.7;
+        // Share of the budget that is spent: the windows of the nodes may differ, and a restarted
+        // node has forgotten what it spent.
+        double usableShare = 0.7;
     };
 
     WindowBudget(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
     void countRequest();
 
-    // Takes one repeated send; false when none is left. `nodes`: those that share the slack.
-    bool takeRepeat(std::size_t nodes);
+    // Takes one retry; false if none is left. `nodes`: number of nodes that share the slack.
+    bool takeRetry(std::size_t nodes);
 
 private:
     void forgetOld();
@@ -37,7 +37,7 @@
     const Clock &m_clock;
     Limits m_limits;
     std::deque<TimePoint> m_requests;
-    std::deque<TimePoint> m_repeats;
+    std::deque<TimePoint> m_retries;
 };
 
 } // namespace fordwood
--- a/src/core/call_plan.cpp
+++ b/src/core/call_plan.cpp
@@ -5,41 +5,41 @@
 
 namespace {
 
-// Upstreams that one request tries to reach in vain before it is refused: two dead ones are likely
-// in a bad hour, more mean that this node is cut off.
-constexpr std::size_t kMostConnectFailures = 4;
+// Failed connections after which a request is refused. Two dead upstreams are likely during an
+// outage; more of them suggest that this node is cut off.
+constexpr std::size_t kMaxConnectFailures = 4;
 
 } // namespace
 
-void CallPlan::sending(const std::string &instanceId)
+void CallPlan::beginSend(const std::string &instanceId)
 {
     m_tried.insert(instanceId);
     m_sends += 1;
-    m_arrivals += 1;
+    m_deliveries += 1;
 }
 
-void CallPlan::notSent()
+void CallPlan::connectionFailed()
 {
     m_sends -= 1;
-    m_arrivals -= 1;
+    m_deliveries -= 1;
     m_connectFailures += 1;
 }
 
-void CallPlan::turnedDown(const std::string &instanceId)
+void CallPlan::rejectedLocally(const std::string &instanceId)
 {
     m_tried.erase(instanceId);
     m_sends -= 1;
-    m_arrivals -= 1;
+    m_deliveries -= 1;
 }
 
-void CallPlan::metAnother()
+void CallPlan::reachedOtherInstance()
 {
     m_sends -= 1;
     m_connectFailures += 1;
 }
 
 AfterFailure CallPlan::afterFailure(const FailedAttempt &failure, TimePoint now,
-                                    const std::function<bool()> &takeRepeat)
+                                    const std::function<bool()> &takeRetry)
 {
     m_reason = failure.reason;
     if (failure.state != RunState::NotRun)
@@ -47,13 +47,13 @@
     const AfterFailure end
         = failure.answerBegun ? AfterFailure::CutAnswer : AfterFailure::EndWithVerdict;
     const RunState state = m_mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
-    if (!maySendAgain(state, m_terms.mayRunAgain, failure.answerBegun && !m_terms.resumable))
+    if (!maySendAgain(state, m_policy.mayRunAgain, failure.answerBegun && !m_policy.resumable))
         return end;
-    if (now >= m_terms.answerBy || m_sends >= m_terms.maxAttempts
-        || m_connectFailures >= kMostConnectFailures)
+    if (now >= m_policy.answerBy || m_sends >= m_policy.maxAttempts
+        || m_connectFailures >= kMaxConnectFailures)
         return end;
-    // A first send that never reached an upstream is no repetition.
-    if (m_arrivals > 0 && !takeRepeat()) {
+    // Sending again is not a repetition if no upstream has been reached yet.
+    if (m_deliveries > 0 && !takeRetry()) {
         if (!m_mayHaveRun)
             m_reason = Reason::RetryBudgetUsed;
         return end;
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kRetrySoon{500};
+constexpr std::chrono::milliseconds kDefaultRetryAfter{500};
 
-// Here an upstream goes on under its name when it starts again, so that an answer by which it is
-// draining counts for a while only.
+// A restarted upstream keeps its name here, so that a reported draining state expires after this
+// time.
 constexpr Duration kDrainingPause = std::chrono::seconds(10);
-constexpr std::size_t kMostMismatches = 20;
+constexpr std::size_t kMaxMismatches = 20;
 constexpr Duration kLocalSendWithin = std::chrono::seconds(2);
 
 } // namespace
@@ -48,7 +48,8 @@
             verdict.state = RunState::MayHaveRun; // by an earlier send with the same key
         m_actions.emplace_back(EndCall{request.id, std::move(verdict)});
     };
-    const auto refuse = [&](Reason reason) { refuseWith(Verdict::of(reason, {}, kRetrySoon)); };
+    const auto refuse
+        = [&](Reason reason) { refuseWith(Verdict::of(reason, {}, kDefaultRetryAfter)); };
     if (m_stopping)
         return refuse(Reason::Stopping);
     if (!m_view)
@@ -56,10 +57,10 @@
     if (m_calls.size() >= m_limits.maxCalls)
         return refuse(Reason::InFlightLimit);
     if (isHeld(request))
-        return refuseWith(heldVerdict(request));
+        return refuseWith(quarantineVerdict(request));
     Call &call = m_calls[request.id];
     call.request = request;
-    call.last = Verdict::of(Reason::NoUpstream, {}, kRetrySoon);
+    call.last = Verdict::of(Reason::NoUpstream, {}, kDefaultRetryAfter);
     const double ratio = m_view->configuration().limits.retryRatio;
     m_budgets.try_emplace(request.team, ratio).first->second.countFirstSend();
     choose(call);
@@ -81,46 +82,48 @@
         m_claims.grant(*id);
         return admit(call);
     case ClaimAnswer::Decision::Answer:
-        m_actions.emplace_back(AnswerKept{*id, answer.answer});
+        m_actions.emplace_back(EndWithStoredAnswer{*id, answer.answer});
         return forget(*id);
     case ClaimAnswer::Decision::Redirect:
         if (m_claims.mayRedirect(*id))
             return claim(call, call.candidates.view().member(answer.holder));
-        return end(*id, Verdict::of(Reason::KeyHolderGone, {}, kRetrySoon));
+        return end(*id, Verdict::of(Reason::KeyHolderGone, {}, kDefaultRetryAfter));
     case ClaimAnswer::Decision::Refuse:
-        return end(*id, Verdict{answer.state, answer.reason, kRetrySoon, {}});
+        return end(*id, Verdict{answer.state, answer.reason, kDefaultRetryAfter, {}});
     }
 }
 
 void Dispatcher::permitAnswered(const std::string &owner, const PermitReply &reply)
 {
-    const auto known = m_asks.find(reply.requestId);
-    if (known == m_asks.end()) {
-        // The call has gone on without this permit.
+    const auto known = m_permitRequests.find(reply.requestId);
+    if (known == m_permitRequests.end()) {
+        // The call no longer needs this permit.
         if (reply.granted)
             m_actions.emplace_back(ReleasePermit{owner, reply.permitId, {}, 0.0, false});
         return;
     }
     Call &call = m_calls.at(known->second);
-    m_asks.erase(known);
+    m_permitRequests.erase(known);
     call.requestId = 0;
     if (reply.granted) {
-        // Counted from the ask, not from the reply: it may have lain unread while we were paused.
-        const TimePoint sendBy = call.asked + reply.waited + reply.sendWithin;
+        // Counted from the permit request, not from the reply: the reply may have waited unread
+        // while this process was paused.
+        const TimePoint sendBy = call.requestedAt + reply.waited + reply.sendWithin;
         m_permits.addGranted(call.request, owner, reply.permitId, call.candidates.current()->name);
         return send(call, sendBy);
     }
     const Verdict why = Verdict::of(reply.reason, {}, reply.retryAfter);
     if (reply.reason == Reason::UpstreamBusy)
-        call.candidates.noteFirstTokenIn(reply.firstTokenIn);
+        call.candidates.recordFirstTokenDelay(reply.firstTokenIn);
     if (reply.reason == Reason::NotOwner)
-        return askAgain(call, owner, why);
-    askNext(call, why);
+        return retryAfterNotOwner(call, owner, why);
+    tryNext(call, why);
 }
 
-// Whoever was asked owns the upstream no more, or not yet: the views of two nodes differ for a
-// moment.
-void Dispatcher::askAgain(Call &call, const std::string &asked, const Verdict &why)
+// The member that was asked no longer owns the upstream, or not yet: the views of two nodes can
+// differ briefly.
+void Dispatcher::retryAfterNotOwner(Call &call, const std::string &previousOwner,
+                                    const Verdict &why)
 {
     const bool queueing = call.candidates.isQueueing();
     choose(call);
@@ -130,9 +133,9 @@
         return end(call.request.id, why);
     call.last = why;
     const Member *owner = call.candidates.view().owner(*upstream);
-    if (owner != nullptr && owner->name != asked)
-        return ask(call);
-    fallBack(call);
+    if (owner != nullptr && owner->name != previousOwner)
+        return requestPermit(call);
+    sendWithoutOwner(call);
 }
 
 void Dispatcher::allowanceAnswered(const std::string &team, std::uint64_t requestId,
@@ -146,18 +149,18 @@
     m_permits.ownerLost(owner);
     std::vector<CallId> waiting;
     for (const auto &[id, call] : m_calls) {
-        if (call.requestId != 0 && call.askedOwner == owner)
+        if (call.requestId != 0 && call.requestedOwner == owner)
             waiting.push_back(id);
     }
     for (const CallId id : m_claims.openAt(owner))
-        end(id, Verdict::of(Reason::KeyHolderGone, {}, kRetrySoon));
+        end(id, Verdict::of(Reason::KeyHolderGone, {}, kDefaultRetryAfter));
     m_admission.ownerLost(owner);
     std::sort(waiting.begin(), waiting.end());
     for (const CallId id : waiting) {
         Call &call = m_calls.at(id);
-        m_asks.erase(call.requestId);
+        m_permitRequests.erase(call.requestId);
         call.requestId = 0;
-        fallBack(call);
+        sendWithoutOwner(call);
     }
 }
 
@@ -171,46 +174,47 @@
         = failure.reason == Reason::UpstreamPushback || failure.reason == Reason::VersionMismatch;
     m_permits.release(id, 0.0, busy);
     if (failure.reason == Reason::UpstreamBroke || failure.reason == Reason::AnswerCut)
-        noteBrokeOff(*call);
+        recordBreakOff(*call);
     if (failure.reason == Reason::VersionMismatch)
-        call->candidates.noteOtherWeights();
+        call->candidates.markWeightMismatch();
     else if (busy)
-        call->candidates.noteFull();
+        call->candidates.markFull();
     Verdict verdict{failure.state, failure.reason, std::chrono::milliseconds(0), failure.detail};
-    // A stream of whole events is not begun again but continued.
+    // A stream of complete events is resumed, not restarted.
     const bool cutForGood = failure.answerBegun && !failure.passedEvents;
     if (!maySendAgain(failure.state, call->request.repeatable, cutForGood))
         return end(id, verdict);
     if (call->request.deadline <= m_clock.now() || isHeld(call->request))
         return end(id, verdict);
-    const bool free = isFree(*call, failure, sentDirectly);
+    const bool free = needsNoRetry(*call, failure, sentDirectly);
     if (free)
         m_actions.emplace_back(CountRetry{failure.reason});
     if (!free && !takeRetry(*call, failure.reason)) {
-        // The failure itself stays the verdict: an exhausted budget must not hide that it may have
-        // run.
+        // Keep the failure as the verdict: an exhausted budget must not hide that the request may
+        // have run.
         verdict.detail += (verdict.detail.empty() ? "" : "; ") + std::string("no retry left");
         return end(id, verdict);
     }
-    call->stage = Stage::Asking;
+    call->stage = Stage::RequestingPermit;
     if (failure.answerBegun)
         call->resumeFrom = failure.passedEvents;
     call->last = verdict;
     call->mayHaveRun = call->mayHaveRun || failure.state != RunState::NotRun;
     if (!busy && failure.reason != Reason::PermitExpired)
-        call->candidates.noteBroken();
+        call->candidates.markBroken();
     choose(*call);
     if (call->candidates.isEmpty())
         return end(id, verdict);
-    ask(*call);
+    requestPermit(*call);
 }
 
-// Whether sending again costs nothing of the team's budget, since it adds no load: a direct send
-// that met a full upstream now waits its turn at the owner, and so does one that met other weights.
-bool Dispatcher::isFree(const Call &call, const AttemptFailure &failure, bool sentDirectly)
+// Whether a retry is free of charge for the team's retry budget because it adds no load: a direct
+// send that a full upstream refused now waits for a permit at the owner, and so does one that met
+// other weights.
+bool Dispatcher::needsNoRetry(const Call &call, const AttemptFailure &failure, bool sentDirectly)
 {
     if (failure.reason == Reason::VersionMismatch)
-        return call.candidates.metOtherWeights() <= kMostMismatches;
+        return call.candidates.weightMismatches() <= kMaxMismatches;
     return sentDirectly && failure.reason == Reason::UpstreamPushback;
 }
 
@@ -227,20 +231,21 @@
     forget(id);
 }
 
-Dispatcher::LimitHeard Dispatcher::limitRead(CallId id, unsigned attempt, const ParsedLimit &limit)
+Dispatcher::LimitOutcome Dispatcher::limitRead(CallId id, unsigned attempt,
+                                               const ParsedLimit &limit)
 {
     const Call *call = find(id, attempt);
     if (call == nullptr)
         return {};
-    LimitHeard heard;
-    heard.upstream = call->candidates.current()->name;
+    LimitOutcome outcome;
+    outcome.upstream = call->candidates.current()->name;
     if (limit.perSecond)
-        m_gate.upstreamLimits().addUpstream(heard.upstream);
+        m_gate.upstreamLimits().addUpstream(outcome.upstream);
     if (limit.perSecond || !limit.isUnreadable)
-        heard.change
-            = m_gate.upstreamLimits().onAnswer(heard.upstream, limit.perSecond, call->sentAt);
-    heard.ownPart = m_gate.ownRate(heard.upstream);
-    return heard;
+        outcome.change
+            = m_gate.upstreamLimits().onAnswer(outcome.upstream, limit.perSecond, call->sentAt);
+    outcome.ownRate = m_gate.ownRate(outcome.upstream);
+    return outcome;
 }
 
 std::optional<Dispatcher::Backoff> Dispatcher::noticeRead(CallId id, unsigned attempt,
@@ -257,7 +262,7 @@
     return Backoff{upstream, length};
 }
 
-// The gate counts whoever asks it as having a request: it is not asked during a backoff.
+// LimitGate::maySend() counts this node as having a request, so it is not called during a backoff.
 bool Dispatcher::maySend(const std::string &upstream)
 {
     return !m_backoffs.isBackingOff(upstream) && m_gate.maySend(upstream);
@@ -270,7 +275,7 @@
         return;
     Call &call = it->second;
     if (m_claims.isGranted(id) && call.stage == Stage::Sent)
-        return; // its answer is kept for the caller's next send with the same key
+        return; // its answer is stored for a repeat with the same key
     withdraw(call);
     if (call.stage == Stage::Sent)
         m_actions.emplace_back(CancelAttempt{id, call.attempt});
@@ -289,34 +294,34 @@
             late.push_back(id);
         else if (m_claims.isOverdue(id))
             unclaimed.push_back(id);
-        else if (call.requestId != 0 && call.askedUntil <= now)
+        else if (call.requestId != 0 && call.replyDue <= now)
             silent.push_back(id);
     }
     std::sort(silent.begin(), silent.end());
     std::sort(late.begin(), late.end());
     std::sort(unclaimed.begin(), unclaimed.end());
     for (const CallId id : unclaimed)
-        end(id, Verdict::of(Reason::OwnerSilent, {}, kRetrySoon));
+        end(id, Verdict::of(Reason::OwnerSilent, {}, kDefaultRetryAfter));
     for (const CallId id : late)
-        endLate(m_calls.at(id));
+        endExpired(m_calls.at(id));
     for (const CallId id : silent) {
         Call &call = m_calls.at(id);
         withdraw(call);
-        fallBack(call);
+        sendWithoutOwner(call);
     }
     m_admission.tick();
     m_quarantine.tick();
-    // This daemon counts for itself: there is nobody to tell.
+    // This daemon keeps its own counts and shares them with nobody.
     std::ignore = m_quarantine.takeUpdates();
 }
 
-// Ends a call whose time is up.
-void Dispatcher::endLate(Call &call)
+// Ends a call whose deadline has passed.
+void Dispatcher::endExpired(Call &call)
 {
     const CallId id = call.request.id;
     withdraw(call);
     if (call.stage != Stage::Sent)
-        return end(id, Verdict::of(Reason::DeadlineTooNear, {}, kRetrySoon));
+        return end(id, Verdict::of(Reason::DeadlineTooNear, {}, kDefaultRetryAfter));
     m_actions.emplace_back(CancelAttempt{id, call.attempt});
     m_permits.release(id, 0.0);
     end(id, Verdict::of(Reason::UpstreamTimeout));
@@ -327,7 +332,7 @@
     return std::exchange(m_actions, {});
 }
 
-// Lets the call begin if its team may run one more request.
+// Starts the call once its team may run one more request.
 void Dispatcher::admit(Call &call)
 {
     call.stage = Stage::Admitting;
@@ -338,12 +343,12 @@
 {
     Call &call = m_calls.at(id);
     call.entered = true;
-    ask(call);
+    requestPermit(call);
 }
 
 void Dispatcher::onRefused(CallId id)
 {
-    end(id, Verdict::of(Reason::TeamCeiling, {}, kRetrySoon));
+    end(id, Verdict::of(Reason::TeamCeiling, {}, kDefaultRetryAfter));
 }
 
 // Removes a call that has ended.
@@ -361,11 +366,11 @@
     m_calls.erase(it);
 }
 
-// Asks a member whether the call's key may run.
+// Asks a member whether the request with the call's key may run.
 void Dispatcher::claim(Call &call, const Member *holder)
 {
     if (holder == nullptr)
-        return end(call.request.id, Verdict::of(Reason::KeyHolderGone, {}, kRetrySoon));
+        return end(call.request.id, Verdict::of(Reason::KeyHolderGone, {}, kDefaultRetryAfter));
     call.stage = Stage::Claiming;
     m_claims.open(call.request.id, *call.request.key, *holder);
 }
@@ -375,33 +380,34 @@
     call.candidates.choose(m_view, call.request, call.resumeFrom.has_value(), m_limits.candidates);
 }
 
-void Dispatcher::ask(Call &call)
+void Dispatcher::requestPermit(Call &call)
 {
     const UpstreamConfig *upstream = call.candidates.current();
     if (upstream == nullptr)
         return end(call.request.id, call.last);
     if (!maySend(upstream->name))
-        return passOver(call);
+        return skipUpstream(call);
     if (maySendDirectly(*upstream, call)) {
         m_permits.addDirect(call.request, upstream->name);
         return send(call, m_clock.now() + kLocalSendWithin);
     }
     const Member *owner = call.candidates.view().owner(*upstream);
     if (owner == nullptr)
-        return fallBack(call);
+        return sendWithoutOwner(call);
     m_permits.announceHeldPermits(*owner);
-    // A lone candidate is queued for at once; else the first round only looks for a free place.
+    // A single candidate is queued for at once; otherwise the first pass only looks for a free
+    // slot.
     const bool queueing = call.candidates.isQueueing() || call.candidates.isOnlyOne();
     call.candidates.setQueueing(queueing);
     const TimePoint now = m_clock.now();
     const Duration wait = queueing ? call.request.deadline - now : Duration::zero();
-    call.stage = Stage::Asking;
-    call.requestId = m_nextAsk++;
-    call.askedOwner = owner->name;
-    call.asked = now;
-    call.askedUntil = now + m_limits.ownerTimeout + wait;
-    m_asks.emplace(call.requestId, call.request.id);
-    m_actions.emplace_back(AskPermit{
+    call.stage = Stage::RequestingPermit;
+    call.requestId = m_nextRequestId++;
+    call.requestedOwner = owner->name;
+    call.requestedAt = now;
+    call.replyDue = now + m_limits.ownerTimeout + wait;
+    m_permitRequests.emplace(call.requestId, call.request.id);
+    m_actions.emplace_back(RequestPermit{
         call.request.id,
         call.requestId,
         owner->name,
@@ -414,35 +420,35 @@
         {call.request.prefixHash, call.request.contextTokens, call.request.questionTokens}});
 }
 
-void Dispatcher::askNext(Call &call, const Verdict &why)
+void Dispatcher::tryNext(Call &call, const Verdict &why)
 {
     call.last = why;
     if (call.candidates.isQueueing())
         return end(call.request.id, why);
     if (call.candidates.advance())
-        return ask(call);
+        return requestPermit(call);
     m_contention.countRefused(call.request.target);
-    // No place is free anywhere near.
-    call.candidates.queueWhereSoonest();
-    ask(call);
+    // No candidate has a free slot.
+    call.candidates.queueAtSoonest();
+    requestPermit(call);
 }
 
-// The upstream takes no more requests for now. Others come first; where there is none, the call is
-// refused at once.
-void Dispatcher::passOver(Call &call)
+// Skips an upstream that accepts no requests at the moment. If no other candidate is left, the call
+// is refused at once.
+void Dispatcher::skipUpstream(Call &call)
 {
     if (call.candidates.isQueueing())
-        return end(call.request.id, closedVerdict(*call.candidates.current()));
-    askNext(call, Verdict::of(Reason::UpstreamLimited, {}, kRetrySoon));
+        return end(call.request.id, limitedVerdict(*call.candidates.current()));
+    tryNext(call, Verdict::of(Reason::UpstreamLimited, {}, kDefaultRetryAfter));
 }
 
-// Only where a full upstream says that it did not run the request. A call that found every
-// candidate full waits its turn at an owner instead, and tells the others of its model that places
-// are short.
+// Direct sends go only to upstreams that refuse requests when full, without running them. A call
+// that all candidates refused waits for a permit at an owner instead, and counts as a sign of
+// contention for the other calls of its model.
 bool Dispatcher::maySendDirectly(const UpstreamConfig &upstream, const Call &call)
 {
     const std::size_t tokens = call.request.contextTokens + call.request.questionTokens;
-    if (!m_limits.direct || !upstream.refusesWhenFull || tokens > m_limits.mostDirectTokens)
+    if (!m_limits.direct || !upstream.refusesWhenFull || tokens > m_limits.maxDirectTokens)
         return false;
     const bool triedAll = call.candidates.wasRefusedBy(upstream);
     if (triedAll)
@@ -450,36 +456,36 @@
     return !triedAll && !m_contention.isContended(call.request.target);
 }
 
-void Dispatcher::fallBack(Call &call)
+void Dispatcher::sendWithoutOwner(Call &call)
 {
     if (!m_permits.tryTakeLocal(call.request, *call.candidates.current())) {
-        const Verdict verdict = Verdict::of(Reason::LocalAllowanceUsed, {}, kRetrySoon);
+        const Verdict verdict = Verdict::of(Reason::LocalAllowanceUsed, {}, kDefaultRetryAfter);
         return call.candidates.isQueueing() ? end(call.request.id, verdict)
-                                            : askNext(call, verdict);
+                                            : tryNext(call, verdict);
     }
     m_actions.emplace_back(CountRetry{Reason::OwnerSilent});
     send(call, m_clock.now() + kLocalSendWithin);
 }
 
-// Sends the call under the permit that it has just taken.
+// Sends the call with the permit just obtained.
 void Dispatcher::send(Call &call, TimePoint sendBy)
 {
     const UpstreamConfig *upstream = call.candidates.current();
     if (m_view->isLeaving(upstream->name)) {
         m_permits.release(call.request.id, 0.0);
-        return askNext(call, Verdict::of(Reason::UpstreamLeaving, {}, kRetrySoon));
+        return tryNext(call, Verdict::of(Reason::UpstreamLeaving, {}, kDefaultRetryAfter));
     }
-    // Its upstreams may have ended under other copies of it while it waited.
+    // Other copies of the request may have made upstreams break off while this one waited.
     if (isHeld(call.request)) {
         m_permits.release(call.request.id, 0.0);
-        return end(call.request.id, heldVerdict(call.request));
+        return end(call.request.id, quarantineVerdict(call.request));
     }
-    // Another call may have used this daemon's part of the limit, or the limit been named, while
-    // this one waited for its permit. An engine that named two requests a second got ten from one
-    // daemon.
+    // While this call waited for its permit, another call may have used up this daemon's share of
+    // the limit, or the limit may have been announced. Without this check, an engine with a limit
+    // of two requests per second got ten from one daemon.
     if (!maySend(upstream->name)) {
         m_permits.release(call.request.id, 0.0);
-        return passOver(call);
+        return skipUpstream(call);
     }
     m_gate.recordSend(upstream->name);
     renewVersion(call);
@@ -492,8 +498,8 @@
                  call.request.key.has_value(), call.request.weightVersion, call.resumeFrom});
 }
 
-// A request that nobody has begun to answer runs on the weight version that is in force now; a
-// stream goes on with the one that it began with.
+// A request without any part of an answer runs on the current weight version; a resumed stream
+// continues on the version that it began with.
 void Dispatcher::renewVersion(Call &call) const
 {
     if (call.request.kind != CallKind::Completion || call.resumeFrom)
@@ -509,8 +515,8 @@
     if (call.requestId == 0)
         return;
     m_actions.emplace_back(
-        WithdrawAsk{call.requestId, call.askedOwner, call.candidates.current()->name});
-    m_asks.erase(call.requestId);
+        WithdrawPermitRequest{call.requestId, call.requestedOwner, call.candidates.current()->name});
+    m_permitRequests.erase(call.requestId);
     call.requestId = 0;
 }
 
@@ -520,8 +526,8 @@
     EndCall action{id, verdict};
     if (it != m_calls.end()) {
         const Call &call = it->second;
-        // "Not run" is only true if it is true of every attempt, and of a key only if the key was
-        // ours.
+        // Report "not run" only if it holds for every attempt and, with a key, only if this call
+        // was granted the key.
         const bool unsure = call.mayHaveRun || (call.request.key && !m_claims.isGranted(id));
         if (unsure && verdict.state == RunState::NotRun)
             action.verdict.state = RunState::MayHaveRun;
@@ -542,9 +548,9 @@
     return true;
 }
 
-// An upstream has broken off under the call. Without counting that, a request that its caller sends
-// again and again ends an upstream each time.
-void Dispatcher::noteBrokeOff(const Call &call)
+// Records that an upstream broke off while it ran the call. Without this count, a request that its
+// caller keeps repeating would bring down one upstream after the other.
+void Dispatcher::recordBreakOff(const Call &call)
 {
     if (call.request.fingerprint)
         m_quarantine.onDisconnect(*call.request.fingerprint,
@@ -556,23 +562,23 @@
     return request.fingerprint && m_quarantine.isHeld(*request.fingerprint);
 }
 
-Verdict Dispatcher::heldVerdict(const CallRequest &request) const
+Verdict Dispatcher::quarantineVerdict(const CallRequest &request) const
 {
     return Verdict::of(
         Reason::RequestQuarantined, {},
         std::chrono::ceil<std::chrono::milliseconds>(m_quarantine.heldFor(*request.fingerprint)));
 }
 
-Verdict Dispatcher::closedVerdict(const UpstreamConfig &upstream)
+Verdict Dispatcher::limitedVerdict(const UpstreamConfig &upstream)
 {
     const double nodes = static_cast<double>(std::max<std::size_t>(m_view->members().size(), 1));
-    ReturnTimes &times = m_returnTimes.try_emplace(upstream.name, m_clock).first->second;
+    RetrySchedule &schedule = m_retrySchedules.try_emplace(upstream.name, m_clock).first->second;
     const Duration backoff = m_backoffs.remaining(upstream.name);
     if (backoff > Duration::zero())
         return Verdict::of(Reason::UpstreamBackoff, {},
-                           times.next(static_cast<double>(upstream.slots) / nodes, backoff));
+                           schedule.next(static_cast<double>(upstream.slots) / nodes, backoff));
     const double perSecond = m_gate.totalRate(upstream.name).value_or(0.0);
-    return Verdict::of(Reason::UpstreamLimited, {}, times.next(perSecond / nodes));
+    return Verdict::of(Reason::UpstreamLimited, {}, schedule.next(perSecond / nodes));
 }
 
 Dispatcher::Call *Dispatcher::find(CallId id, unsigned attempt)
--- a/src/core/permit_scheduler.cpp
+++ b/src/core/permit_scheduler.cpp
@@ -194,7 +194,7 @@
 void PermitScheduler::grant(UpstreamState &state, const PermitRequest &request, Duration waited)
 {
     const std::uint64_t id = m_nextPermit++;
-    state.prefill.give(request.prompt, m_clock.now());
+    state.prefill.enqueue(request.prompt, m_clock.now());
     state.running.emplace(std::pair(request.holder, id),
                           Permit{request.holder, request.team, request.cost, m_clock.now()});
     PermitAnswer answer;
@@ -276,8 +276,8 @@
     if (state.isPaused || now < state.pushbackUntil || state.running.size() >= state.upstream.slots)
         return false;
     const Duration most
-        = state.prefill.isWarm(request.prompt)
-              ? std::max(m_limits.maxBacklog, state.prefill.coldTimeFor(request.prompt))
+        = state.prefill.isCached(request.prompt)
+              ? std::max(m_limits.maxBacklog, state.prefill.uncachedTimeFor(request.prompt))
               : m_limits.maxBacklog;
     return state.prefill.backlog(now) <= most;
 }
--- a/src/core/recent_answers.cpp
+++ b/src/core/recent_answers.cpp
@@ -5,10 +5,10 @@
 
 namespace {
 
-// A node answers some tens of requests a second; 48 KB.
+// 48 KB; a node answers some tens of requests per second.
 constexpr std::size_t kSlots = 2'048;
 
-constexpr Duration kOfLate = std::chrono::minutes(1);
+constexpr Duration kMaxAge = std::chrono::minutes(1);
 
 } // namespace
 
@@ -22,7 +22,7 @@
 bool RecentAnswers::contains(const RequestFingerprint &request) const
 {
     const Slot &slot = m_slots[request.low % kSlots];
-    return slot.request == request && m_clock.now() - slot.when < kOfLate;
+    return slot.request == request && m_clock.now() - slot.when < kMaxAge;
 }
 
 } // namespace fordwood
--- a/src/core/service_chooser.cpp
+++ b/src/core/service_chooser.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// In requests for each slot. An upstream that fails all of its requests counts as this full.
+// Costs are measured in requests per slot. An upstream whose requests all fail counts as this full.
 constexpr double kFailureCost = 4.0;
-// A path to another failure domain costs bytes and a millisecond: as much as a small load.
+// Crossing failure domains costs bandwidth and a millisecond: as much as a small load.
 constexpr double kOtherDomainCost = 0.08;
-// Only to spread equals.
+// Only spreads requests over equal upstreams.
 constexpr double kSpread = 0.01;
 
 } // namespace
@@ -24,7 +24,7 @@
                                      const LoadBook &loads, const UpstreamHealth &health)
 {
     const UpstreamRecord *best = nullptr;
-    double least = 0.0;
+    double lowestCost = 0.0;
     for (const UpstreamRecord *it : upstreams) {
         if (tried.contains(it->instanceId) || health.isPaused(it->instanceId))
             continue;
@@ -37,9 +37,9 @@
             cost += kOtherDomainCost;
         const std::uint64_t hash = rendezvousWeight(salt, stableHash(it->instanceId));
         cost += kSpread * hashFraction(hash);
-        if (best == nullptr || cost < least) {
+        if (best == nullptr || cost < lowestCost) {
             best = it;
-            least = cost;
+            lowestCost = cost;
         }
     }
     return best;
--- a/src/core/team_admission.cpp
+++ b/src/core/team_admission.cpp
@@ -80,7 +80,7 @@
         return processWaiting(team);
     }
     m_pendingRequests[team] = {owner->name, m_clock.now() + m_ownerTimeout};
-    m_actions.emplace_back(AskAllowance{owner->name, owner->controlAddress, request});
+    m_actions.emplace_back(RequestAllowance{owner->name, owner->controlAddress, request});
 }
 
 // Processes the waiting calls of all matching pending requests without an answer.
--- a/tests/unit/call_plan_test.cpp
+++ b/tests/unit/call_plan_test.cpp
@@ -10,24 +10,24 @@
 
 const TimePoint kNow{1h};
 
-CallTerms termsOf(bool mayRunAgain, bool resumable = false, std::size_t maxAttempts = 2)
+CallPolicy policyOf(bool mayRunAgain, bool resumable = false, std::size_t maxAttempts = 2)
 {
     return {mayRunAgain, resumable, maxAttempts, kNow + 1s};
 }
 
-AfterFailure failureOf(CallPlan &plan, RunState state, Reason reason, bool answerBegun = false,
-                       bool budget = true)
+AfterFailure planAfterFailure(CallPlan &plan, RunState state, Reason reason,
+                              bool answerBegun = false, bool budget = true)
 {
     return plan.afterFailure({state, reason, answerBegun}, kNow, [budget] { return budget; });
 }
 
 } // namespace
 
-TEST_CASE("call plan: what may have run and may not run again is never sent again [once]")
+TEST_CASE("call plan: a request that may have run and must not run again is never retried [once]")
 {
-    CallPlan plan(termsOf(false));
-    plan.sending("a");
-    CHECK(failureOf(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
+    CallPlan plan(policyOf(false));
+    plan.beginSend("a");
+    CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
     CHECK(verdict.state == RunState::MayHaveRun);
@@ -35,147 +35,145 @@
     CHECK(verdict.retryAfter == 0ms);
 }
 
-TEST_CASE("call plan: a later refusal does not make an earlier run unhappen [once]")
+TEST_CASE("call plan: a later refusal does not hide that an earlier attempt may have run [once]")
 {
-    CallPlan plan(termsOf(true));
-    plan.sending("a");
-    CHECK(failureOf(plan, RunState::MayHaveRun, Reason::UpstreamBroke) == AfterFailure::SendAgain);
-    plan.sending("b");
-    CHECK(failureOf(plan, RunState::NotRun, Reason::UpstreamPushback)
+    CallPlan plan(policyOf(true));
+    plan.beginSend("a");
+    CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
+          == AfterFailure::SendAgain);
+    plan.beginSend("b");
+    CHECK(planAfterFailure(plan, RunState::NotRun, Reason::UpstreamPushback)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
     CHECK(verdict.state == RunState::MayHaveRun);
     CHECK(verdict.reason == Reason::UpstreamBroke);
 }
 
-TEST_CASE(
-    "call plan: what surely did not run is refused as such, with a time to come back [not-run]")
+TEST_CASE("call plan: a request that did not run is refused as not-run with a retry time [not-run]")
 {
-    CallPlan plan(termsOf(false, false, 1));
-    plan.sending("a");
-    CHECK(failureOf(plan, RunState::NotRun, Reason::UpstreamPushback)
+    CallPlan plan(policyOf(false, false, 1));
+    plan.beginSend("a");
+    CHECK(planAfterFailure(plan, RunState::NotRun, Reason::UpstreamPushback)
           == AfterFailure::EndWithVerdict);
     const Verdict verdict = plan.verdict(250ms);
     CHECK(verdict.state == RunState::NotRun);
     CHECK(verdict.retryAfter == 250ms);
 }
 
-TEST_CASE("call plan: an upstream that could not be reached does not count as sent to [retry]")
+TEST_CASE("call plan: a failed connection does not count as a send [retry]")
 {
-    CallPlan plan(termsOf(false, false, 1));
-    plan.sending("a");
-    plan.notSent();
-    // No budget is asked: nothing has been sent yet.
-    CHECK(failureOf(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
+    CallPlan plan(policyOf(false, false, 1));
+    plan.beginSend("a");
+    plan.connectionFailed();
+    // No budget is needed: nothing has been sent yet.
+    CHECK(planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
           == AfterFailure::SendAgain);
     CHECK(plan.tried().contains("a"));
     CHECK(plan.sends() == 0);
 }
 
-TEST_CASE(
-    "call plan: an attempt that this node turned down itself costs no retry, and the upstream "
-    "may be chosen again [retry][limit]")
+TEST_CASE("call plan: an attempt rejected by this node itself costs no retry, and its upstream may "
+          "be chosen again [retry][limit]")
 {
-    CallPlan plan(termsOf(false));
+    CallPlan plan(policyOf(false));
     for (int n = 0; n < 20; ++n) {
-        plan.sending("a");
-        plan.turnedDown("a");
+        plan.beginSend("a");
+        plan.rejectedLocally("a");
     }
     CHECK(plan.sends() == 0);
     CHECK(plan.tried().empty());
-    // Neither the budget of repeats nor the search for a reachable upstream has been touched.
-    plan.sending("b");
-    plan.notSent();
-    CHECK(failureOf(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
+    // Neither the retry budget nor the limit of failed connections has been used.
+    plan.beginSend("b");
+    plan.connectionFailed();
+    CHECK(planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed, false, false)
           == AfterFailure::SendAgain);
 }
 
 TEST_CASE("call plan: the search for a reachable upstream ends [retry]")
 {
-    CallPlan plan(termsOf(true, false, 10));
+    CallPlan plan(policyOf(true, false, 10));
     AfterFailure next = AfterFailure::SendAgain;
     int n = 0;
     while (next == AfterFailure::SendAgain && n < 100) {
-        plan.sending(std::to_string(n++));
-        plan.notSent();
-        next = failureOf(plan, RunState::NotRun, Reason::ConnectFailed);
+        plan.beginSend(std::to_string(n++));
+        plan.connectionFailed();
+        next = planAfterFailure(plan, RunState::NotRun, Reason::ConnectFailed);
     }
     CHECK(n == 4);
 }
 
-TEST_CASE(
-    "call plan: no more upstreams than the route allows, and no repeat beyond the budget [retry]")
+TEST_CASE("call plan: sends are limited by the route, and retries by the budget [retry]")
 {
-    CallPlan plan(termsOf(true));
-    plan.sending("a");
-    CHECK(failureOf(plan, RunState::MayHaveRun, Reason::UpstreamBroke) == AfterFailure::SendAgain);
-    plan.sending("b");
-    CHECK(failureOf(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
+    CallPlan plan(policyOf(true));
+    plan.beginSend("a");
+    CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
+          == AfterFailure::SendAgain);
+    plan.beginSend("b");
+    CHECK(planAfterFailure(plan, RunState::MayHaveRun, Reason::UpstreamBroke)
           == AfterFailure::EndWithVerdict);
 
-    CallPlan poor(termsOf(true));
-    poor.sending("a");
-    CHECK(failureOf(poor, RunState::NotRun, Reason::UpstreamPushback, false, false)
+    CallPlan withoutBudget(policyOf(true));
+    withoutBudget.beginSend("a");
+    CHECK(planAfterFailure(withoutBudget, RunState::NotRun, Reason::UpstreamPushback, false, false)
           == AfterFailure::EndWithVerdict);
-    CHECK(poor.verdict(250ms).reason == Reason::RetryBudgetUsed);
-    CHECK(poor.verdict(250ms).state == RunState::NotRun);
+    CHECK(withoutBudget.verdict(250ms).reason == Reason::RetryBudgetUsed);
+    CHECK(withoutBudget.verdict(250ms).state == RunState::NotRun);
 }
 
-TEST_CASE("call plan: a stream that has begun goes on elsewhere only where it may, else it is cut "
-          "[streams]")
+TEST_CASE("call plan: a stream that has begun continues elsewhere only if resumable, else it is "
+          "cut [streams]")
 {
-    CallPlan resumable(termsOf(true, true));
-    resumable.sending("a");
-    CHECK(failureOf(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
+    CallPlan resumable(policyOf(true, true));
+    resumable.beginSend("a");
+    CHECK(planAfterFailure(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::SendAgain);
-    resumable.sending("b");
-    CHECK(failureOf(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
+    resumable.beginSend("b");
+    CHECK(planAfterFailure(resumable, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::CutAnswer);
 
-    CallPlan other(termsOf(false));
-    other.sending("a");
-    CHECK(failureOf(other, RunState::MayHaveRun, Reason::UpstreamBroke, true)
+    CallPlan other(policyOf(false));
+    other.beginSend("a");
+    CHECK(planAfterFailure(other, RunState::MayHaveRun, Reason::UpstreamBroke, true)
           == AfterFailure::CutAnswer);
 }
 
 TEST_CASE("call plan: nothing is sent after the deadline [deadline]")
 {
-    CallPlan plan(termsOf(true));
-    plan.sending("a");
+    CallPlan plan(policyOf(true));
+    plan.beginSend("a");
     const auto next = plan.afterFailure({RunState::NotRun, Reason::UpstreamPushback, false},
                                         kNow + 1s, [] { return true; });
     CHECK(next == AfterFailure::EndWithVerdict);
 }
 
-TEST_CASE(
-    "call plan: an upstream that has ended, with another at its address, is not among those that "
-    "the request may be sent to [not-run][retry]")
+TEST_CASE("call plan: an ended upstream whose address another one has taken does not count as "
+          "tried [not-run][retry]")
 {
-    CallTerms terms;
-    terms.maxAttempts = 1;
-    terms.answerBy = TimePoint(1h);
-    CallPlan plan(terms);
+    CallPolicy policy;
+    policy.maxAttempts = 1;
+    policy.answerBy = TimePoint(1h);
+    CallPlan plan(policy);
     int repeats = 0;
-    const auto takeRepeat = [&repeats] {
+    const auto takeRetry = [&repeats] {
         repeats += 1;
         return true;
     };
     const FailedAttempt gone{RunState::NotRun, Reason::UpstreamGone, false};
-    plan.sending("ended");
-    plan.metAnother();
-    CHECK(plan.afterFailure(gone, TimePoint{}, takeRepeat) == AfterFailure::SendAgain);
-    CHECK(repeats == 1); // what arrived there counts for the fleet's budget
-    plan.sending("lives");
+    plan.beginSend("ended");
+    plan.reachedOtherInstance();
+    CHECK(plan.afterFailure(gone, TimePoint{}, takeRetry) == AfterFailure::SendAgain);
+    CHECK(repeats == 1); // the send that arrived there counts toward the fleet's budget
+    plan.beginSend("lives");
     const FailedAttempt full{RunState::NotRun, Reason::UpstreamPushback, false};
-    CHECK(plan.afterFailure(full, TimePoint{}, takeRepeat) == AfterFailure::EndWithVerdict);
+    CHECK(plan.afterFailure(full, TimePoint{}, takeRetry) == AfterFailure::EndWithVerdict);
     SUBCASE("the search ends")
     {
-        CallPlan other(terms);
+        CallPlan other(policy);
         std::size_t sends = 0;
         do {
-            other.sending("ended-" + std::to_string(sends++));
-            other.metAnother();
-        } while (other.afterFailure(gone, TimePoint{}, takeRepeat) == AfterFailure::SendAgain
+            other.beginSend("ended-" + std::to_string(sends++));
+            other.reachedOtherInstance();
+        } while (other.afterFailure(gone, TimePoint{}, takeRetry) == AfterFailure::SendAgain
                  && sends < 100);
         CHECK(sends < 10);
         CHECK(other.verdict(250ms).state == RunState::NotRun);
--- a/tests/unit/control_parts_test.cpp
+++ b/tests/unit/control_parts_test.cpp
@@ -228,7 +228,7 @@
     Allowance allowance;
     allowance.amount = 1;
     allowance.life = 3s;
-    const auto &ask = std::get<AskAllowance>(actions.front()).ask;
+    const auto &ask = std::get<RequestAllowance>(actions.front()).ask;
     admission.onAnswer("t", ask.requestId, allowance);
     CHECK(listener.in.back() == secondWaiting);
     CHECK(listener.out.size() + listener.in.size() == 19);
--- a/tests/unit/health_patterns_test.cpp
+++ b/tests/unit/health_patterns_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The load patterns: one of four plain upstreams is grey, goes down and up by turns, or hangs,
-// while its health answers may say anything: nodes judge by what their own requests show.
+// Load patterns: one of four plain upstreams fails part of its requests, alternates between down
+// and up, or hangs. Its health checks may report anything, so nodes judge it by the results of
+// their own requests.
 #include <doctest/doctest.h>
 
 #include <deque>
@@ -22,13 +23,13 @@
 
 namespace {
 
-// One node before four upstreams of six slots, forty requests a second of 50 ms each; or of a fleet
-// with more of both.
+// One node with four upstreams of six slots, and forty requests per second of 50 ms each; or with
+// more upstreams at another request rate.
 class Service
 {
 public:
     enum class Outcome { Answered, Failure, Refused, Silence };
-    using Behaviour = std::function<Outcome(TimePoint)>; // of the first upstream
+    using Behaviour = std::function<Outcome(TimePoint)>; // behaviour of the first upstream
 
     explicit Service(Behaviour behaviour, std::size_t upstreams = 4, Duration pause = 25ms)
         : m_pause(pause), m_behaviour(std::move(behaviour))
@@ -48,10 +49,10 @@
     {
         int requests = 0;
         int toFirst = 0;
-        int failed = 0; // of these
+        int failed = 0; // failed requests to the first upstream
     };
 
-    Counts play(Duration time)
+    Counts run(Duration time)
     {
         Counts counts;
         for (Duration passed{}; passed < time; passed += m_pause) {
@@ -65,7 +66,7 @@
             counts.toFirst += isFirst ? 1 : 0;
             const Outcome outcome = isFirst ? m_behaviour(m_clock.now()) : Outcome::Answered;
             counts.failed += outcome == Outcome::Answered ? 0 : 1;
-            run(chosen->instanceId, outcome);
+            startRequest(chosen->instanceId, outcome);
         }
         return counts;
     }
@@ -80,15 +81,15 @@
         Outcome outcome = Outcome::Answered;
     };
 
-    void run(const std::string &id, Outcome outcome)
+    void startRequest(const std::string &id, Outcome outcome)
     {
-        if (outcome == Outcome::Refused) { // nothing listens there
+        if (outcome == Outcome::Refused) { // connection refused
             m_health.failed(id);
             return;
         }
         m_loads.begin(id, {});
         m_health.sent(id);
-        // A caller gives a silent one up after a second.
+        // A caller gives up on a silent upstream after a second.
         const Duration takes = outcome == Outcome::Silence ? 1s : 50ms;
         m_runs.push_back({m_clock.now() + takes, id, outcome});
     }
@@ -101,11 +102,11 @@
             m_loads.end(it.upstream, {}, true);
             m_health.ended(it.upstream);
             if (it.outcome == Outcome::Answered) {
-                m_health.heard(it.upstream);
+                m_health.dataReceived(it.upstream);
                 m_health.succeeded(it.upstream);
             } else if (it.outcome == Outcome::Failure) {
-                m_health.heard(it.upstream);
-                m_health.answeredFailure(it.upstream);
+                m_health.dataReceived(it.upstream);
+                m_health.answeredWithError(it.upstream);
             }
             return true;
         });
@@ -122,45 +123,44 @@
     std::size_t m_sent = 0;
 };
 
-double partOf(int n, int all)
+double shareOf(int n, int all)
 {
     return static_cast<double>(n) / static_cast<double>(all);
 }
 
 } // namespace
 
-TEST_CASE("health patterns: a grey upstream gets few requests, and its part again once it is well "
-          "[health]")
+TEST_CASE("health patterns: a partly failing upstream gets few requests until it recovers [health]")
 {
     std::mt19937 random(5); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time
-    bool isGrey = true;
+    bool isFailing = true;
     Service service([&](TimePoint) {
-        return isGrey && random() % 10 < 4 ? Service::Outcome::Failure : Service::Outcome::Answered;
+        return isFailing && random() % 10 < 4 ? Service::Outcome::Failure
+                                              : Service::Outcome::Answered;
     });
-    service.play(2s);
-    const auto grey = service.play(30s);
-    CHECK(partOf(grey.failed, grey.requests) <= 0.02); // 0.1 where it gets its equal part
-    isGrey = false;
-    service.play(10s);
-    const auto well = service.play(30s);
-    CHECK(partOf(well.toFirst, well.requests) >= 0.15);
+    service.run(2s);
+    const auto failing = service.run(30s);
+    CHECK(shareOf(failing.failed, failing.requests) <= 0.02); // 0.1 at an equal share
+    isFailing = false;
+    service.run(10s);
+    const auto recovered = service.run(30s);
+    CHECK(shareOf(recovered.toFirst, recovered.requests) >= 0.15);
 }
 
-TEST_CASE(
-    "health patterns: an upstream that goes down and up by turns costs a few attempts each time "
-    "it goes, and is used while it is up [health]")
+TEST_CASE("health patterns: an alternating upstream costs few attempts per outage and is used "
+          "while up [health]")
 {
     Service service([](TimePoint now) {
         const auto turn = now.time_since_epoch() / 5s;
         return turn % 2 == 0 ? Service::Outcome::Refused : Service::Outcome::Answered;
     });
-    const auto counts = service.play(60s); // six times down, for five seconds each
-    CHECK(counts.failed <= 6 * 5); // 300 where nothing is learnt from a failure
-    CHECK(counts.toFirst - counts.failed >= 100); // of some 300 at its equal part
+    const auto counts = service.run(60s); // down six times for five seconds
+    CHECK(counts.failed <= 6 * 5); // 300 if failures are ignored
+    CHECK(counts.toFirst - counts.failed >= 100); // of about 300 at an equal share
 }
 
-TEST_CASE("health patterns: a grey upstream gets few requests also where each node has one for it "
-          "only now and then [health]")
+TEST_CASE("health patterns: a partly failing upstream gets few requests even if each node rarely "
+          "uses it [health]")
 {
     std::mt19937 random(5); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time
     constexpr std::size_t kUpstreams = 112;
@@ -169,16 +169,16 @@
             return random() % 10 < 4 ? Service::Outcome::Failure : Service::Outcome::Answered;
         },
         kUpstreams, 64ms);
-    service.play(10min);
-    const auto counts = service.play(1h);
-    CHECK(partOf(counts.toFirst, counts.requests) <= 0.3 / kUpstreams);
+    service.run(10min);
+    const auto counts = service.run(1h);
+    CHECK(shareOf(counts.toFirst, counts.requests) <= 0.3 / kUpstreams);
 }
 
-TEST_CASE("health patterns: an upstream that hangs is avoided as soon as it owes answers for long "
-          "[health]")
+TEST_CASE(
+    "health patterns: an upstream that hangs is avoided once its answers are overdue [health]")
 {
     Service service([](TimePoint) { return Service::Outcome::Silence; });
-    service.play(2s);
-    const auto counts = service.play(30s);
-    CHECK(partOf(counts.failed, counts.requests) <= 0.05); // 0.25 at its equal part
+    service.run(2s);
+    const auto counts = service.run(30s);
+    CHECK(shareOf(counts.failed, counts.requests) <= 0.05); // 0.25 at an equal share
 }
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -77,9 +77,9 @@
     std::vector<bool> m_reachesStore;
 };
 
-StoreNews makeUpdate(std::uint64_t next, std::vector<StorePartChange> changes)
+ContextStoreUpdate makeUpdate(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    StoreNews update;
+    ContextStoreUpdate update;
     update.store = "s";
     update.epoch = 7;
     update.next = next;
@@ -165,7 +165,7 @@
 
     const auto lacking = log.since({position(12)});
     REQUIRE(lacking.size() == 1);
-    CHECK_FALSE(lacking[0].restated);
+    CHECK_FALSE(lacking[0].isSnapshot);
     REQUIRE(lacking[0].changes.size() == 1);
     CHECK(lacking[0].changes[0].partId == "a");
     CHECK_FALSE(lacking[0].changes[0].held);
@@ -175,15 +175,15 @@
     CHECK(log.since({position(13)})[0].changes.empty());
     for (const StorePosition &unknown : {position(9), position(13, 6)}) {
         const auto whole = log.since({unknown});
-        CHECK(whole[0].restated);
+        CHECK(whole[0].isSnapshot);
         REQUIRE(whole[0].changes.size() == 1);
         CHECK(whole[0].changes[0].partId == "b");
     }
-    CHECK(log.since({})[0].restated);
+    CHECK(log.since({})[0].isSnapshot);
 
     log.told(makeUpdate(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
-    CHECK(log.since({position(10)})[0].restated); // the oldest changes were dropped
-    CHECK_FALSE(log.since({position(13)})[0].restated);
+    CHECK(log.since({position(10)})[0].isSnapshot); // the oldest changes were dropped
+    CHECK_FALSE(log.since({position(13)})[0].isSnapshot);
 }
 
 TEST_CASE("relays: a reader that is ahead is not reset; a silent store is not included "
@@ -209,12 +209,12 @@
     store.name = "s";
     store.address = "10.0.0.1:80";
     contexts.setStores({store});
-    StoreNews update = makeUpdate(1, {{"salt", "a", true, 100}});
+    ContextStoreUpdate update = makeUpdate(1, {{"salt", "a", true, 100}});
     update.age = 1'400ms;
     contexts.storeAnswered(update);
-    CHECK(contexts.hasWord());
+    CHECK(contexts.hasCurrentStore());
     clock.advance(200ms);
-    CHECK_FALSE(contexts.hasWord());
+    CHECK_FALSE(contexts.hasCurrentStore());
 }
 
 namespace {
