--- a/src/node/answer_writer.hpp
+++ b/src/node/answer_writer.hpp
@@ -31,7 +31,7 @@
     virtual void endStream() = 0;
 
     // The answer cannot be completed: the connection ends so that this is seen.
-    virtual void cut() = 0;
+    virtual void abort() = 0;
 };
 
 } // namespace fordwood::node
--- a/src/node/call_handler.cpp
+++ b/src/node/call_handler.cpp
@@ -129,7 +129,7 @@
 void CallHandler::rejectQuarantined()
 {
     if (m_streamStarted) {
-        m_writer.cut();
+        m_writer.abort();
         finish("cut-quarantined", 0);
         return;
     }
@@ -205,7 +205,7 @@
     const TimePoint now = m_state.clock().now();
     if (m_streamStarted || now - m_arrived >= patience) {
         if (m_streamStarted) {
-            m_writer.cut();
+            m_writer.abort();
             finish("cut-no-upstream", 0);
             return;
         }
@@ -387,9 +387,9 @@
         return;
     }
     if (isStreamed()) {
-        const bool isWhole = !m_eventSplitter.hasPartOfEvent();
+        const bool isComplete = !m_eventSplitter.hasPartOfEvent();
         endAttempt(true);
-        if (!isWhole) {
+        if (!isComplete) {
             health.failed(id);
             recordDisconnect();
             handleFailure({RunState::MayHaveRun, Reason::AnswerCut, m_streamStarted});
@@ -422,10 +422,10 @@
         return;
     }
     // A failure of the upstream's own: another may do better; if none may be asked, it stands.
-    const auto again
+    const auto nextStep
         = m_plan.afterFailure({RunState::Ran, Reason::UpstreamBroke, false}, m_state.clock().now(),
                               [this] { return m_state.takeRetry(m_call.pool->name); });
-    if (again != AfterFailure::SendAgain) {
+    if (nextStep != AfterFailure::SendAgain) {
         forwardAnswer();
         return;
     }
@@ -438,22 +438,24 @@
 void CallHandler::handleRejection()
 {
     const std::string id = m_attempt->upstream.instanceId;
-    const bool isGone = platform::isOfAnother(m_attempt->head, id);
-    const bool isWrong = m_attempt->head.wrongInstance;
+    const bool isOtherInstance = platform::isOfAnother(m_attempt->head, id);
+    const bool isMismatch = m_attempt->head.wrongInstance;
     // An engine that was taken to run other weights is well: it is sent what suits those that it
     // runs. Without this it turned every request away that a node had for it after each pause.
     const bool hasCorrectedWeights
-        = isWrong && !isGone && m_state.recordWeightMismatch(m_caller.requestId, *m_attempt);
+        = isMismatch && !isOtherInstance
+          && m_state.recordWeightMismatch(m_caller.requestId, *m_attempt);
     if (!hasCorrectedWeights)
-        m_state.health().refused(id, isGone ? kGoneUpstreamPause : kPushbackPause);
+        m_state.health().refused(id, isOtherInstance ? kGoneUpstreamPause : kPushbackPause);
     endAttempt(true);
-    if (isGone) {
+    if (isOtherInstance) {
         m_state.channels().closeIdle(id);
         m_plan.metAnother();
         handleFailure({RunState::NotRun, Reason::UpstreamGone, m_streamStarted});
         return;
     }
-    handleFailure({RunState::NotRun, isWrong ? Reason::VersionMismatch : Reason::UpstreamPushback,
+    handleFailure({RunState::NotRun,
+                   isMismatch ? Reason::VersionMismatch : Reason::UpstreamPushback,
                    m_streamStarted});
 }
 
@@ -519,7 +521,7 @@
         rejectWith(m_plan.verdict(retryAfter()));
         return;
     case AfterFailure::CutAnswer:
-        m_writer.cut();
+        m_writer.abort();
         finish("cut", 0);
         return;
     }
@@ -533,18 +535,18 @@
 
 void CallHandler::onDeadline()
 {
-    const bool sent = m_attempt && m_attempt->sent;
+    const bool wasSent = m_attempt && m_attempt->sent;
     recordUnanswered();
     endAttempt(false);
     if (m_streamStarted) {
-        m_writer.cut();
+        m_writer.abort();
         finish("cut-deadline", 0);
         return;
     }
-    m_plan.setReason(sent || m_plan.mayHaveRun() ? Reason::UpstreamTimeout
-                                                 : Reason::DeadlineTooNear);
+    m_plan.setReason(wasSent || m_plan.mayHaveRun() ? Reason::UpstreamTimeout
+                                                    : Reason::DeadlineTooNear);
     Verdict verdict = m_plan.verdict(kRetryAfter);
-    if (sent)
+    if (wasSent)
         verdict = Verdict::of(Reason::UpstreamTimeout);
     rejectWith(verdict);
 }
--- a/src/node/caller_session.cpp
+++ b/src/node/caller_session.cpp
@@ -278,7 +278,7 @@
     writeNext();
 }
 
-void CallerSession::cut()
+void CallerSession::abort()
 {
     releaseCall();
     close();
--- a/src/node/caller_session.hpp
+++ b/src/node/caller_session.hpp
@@ -37,7 +37,7 @@
     void beginStream(http::response_header<> head) override;
     bool sendChunk(std::string_view bytes) override;
     void endStream() override;
-    void cut() override;
+    void abort() override;
 
 private:
     // What reading one request needs; a resting connection has none.
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -167,12 +167,12 @@
 
 std::chrono::milliseconds NodeState::fetchDeadline() const
 {
-    if (m_engineClock.told.count() == 0)
+    if (m_engineClock.value.count() == 0)
         return std::chrono::milliseconds(0);
     // What was told is a little old by now, so that this errs to the early side.
-    return m_engineClock.told
+    return m_engineClock.value
            + std::chrono::duration_cast<std::chrono::milliseconds>(
-               m_clock.now() - m_engineClock.when + OldContext::kFetch);
+               m_clock.now() - m_engineClock.readAt + OldContext::kFetch);
 }
 
 void NodeState::apply(const ContextStoreSilent &update)
@@ -283,24 +283,24 @@
 {
     const std::string &id = attempt.upstream.instanceId;
     const std::uint64_t expected = attempt.engine.weightVersion;
-    const std::uint64_t told = attempt.head.weightVersion.value_or(0);
-    if (attempt.model.empty() || told == expected)
+    const std::uint64_t reported = attempt.head.weightVersion.value_or(0);
+    if (attempt.model.empty() || reported == expected)
         return false;
     // It was judged after it was sent: what has become known since then may be newer.
     const bool isNewer
-        = told > 0 ? m_upstreams.setWeightVersion(id, attempt.model, {told, attempt.sentAt})
-                   : m_upstreams.doubtWeights(id, attempt.model, {expected, attempt.sentAt});
+        = reported > 0 ? m_upstreams.setWeightVersion(id, attempt.model, {reported, attempt.sentAt})
+                       : m_upstreams.doubtWeights(id, attempt.model, {expected, attempt.sentAt});
     if (isNewer)
         adapters::logEvent(adapters::Event::OtherWeightsFound, {{"upstream", id},
                                                                 {"request", requestId},
                                                                 {"model", attempt.model},
                                                                 {"expected", expected},
-                                                                {"weights", told}});
+                                                                {"weights", reported}});
     const UpstreamRecord *record = m_upstreams.find(id);
     if (record == nullptr)
         return false;
-    const auto believed = record->weightVersions.find(attempt.model);
-    return believed == record->weightVersions.end() || believed->second != expected;
+    const auto assumed = record->weightVersions.find(attempt.model);
+    return assumed == record->weightVersions.end() || assumed->second != expected;
 }
 
 void NodeState::checkForStandstill()
@@ -364,7 +364,7 @@
 bool NodeState::isLoading(const std::string &instanceId) const
 {
     return std::any_of(m_loadingReports.begin(), m_loadingReports.end(), [&](const auto &it) {
-        return m_clock.now() - it.second.told < kLoadingReportLifetime
+        return m_clock.now() - it.second.receivedAt < kLoadingReportLifetime
                && it.second.instanceIds.contains(instanceId);
     });
 }
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -90,16 +90,16 @@
     // A request was sent that peers must know of before they choose an engine, or a limit has
     // changed.
     void requestLoadReport() { m_onLoadReportRequest(); }
-    void onLoadReportRequest(std::function<void()> told)
+    void onLoadReportRequest(std::function<void()> callback)
     {
-        m_onLoadReportRequest = std::move(told);
+        m_onLoadReportRequest = std::move(callback);
     }
 
     // What this node's peers should hear of limits, and what those should for whom it is a relay.
     LimitNews limitNews() const { return {m_gate.limits().ownWords(), m_gate.limits().allWords()}; }
 
     // An upstream broke off, or answered: peers may have to hear of it.
-    void onRequestNews(std::function<void()> told) { m_onRequestNews = std::move(told); }
+    void onRequestNews(std::function<void()> callback) { m_onRequestNews = std::move(callback); }
     void publishRequestNews() { m_onRequestNews(); }
 
     // What an answer says of its upstream's own state: whether it is draining, and whether it wants
@@ -201,7 +201,7 @@
     struct LoadingReport
     {
         std::set<std::string> instanceIds;
-        TimePoint told{};
+        TimePoint receivedAt{};
     };
     std::map<std::string, LoadingReport> m_loadingReports; // by the node that says so
     std::map<std::string, WindowBudget> m_retryBudgets; // by service
@@ -211,8 +211,8 @@
         m_shortPromptEngines; // by service, as of the last tick
     struct EngineClockReading
     {
-        std::chrono::milliseconds told{0};
-        TimePoint when{};
+        std::chrono::milliseconds value{0};
+        TimePoint readAt{};
     };
     EngineClockReading m_engineClock;
     StandstillWatch m_standstill;
--- a/tests/node/late_send_test.cpp
+++ b/tests/node/late_send_test.cpp
@@ -31,7 +31,7 @@
     void beginStream(http::response_header<>) override { }
     bool sendChunk(std::string_view) override { return true; }
     void endStream() override { }
-    void cut() override { }
+    void abort() override { }
 
     unsigned status() const { return m_status; }
 
@@ -68,7 +68,7 @@
     }
 
     // Breaks off without an answer.
-    void cut() { m_callers.clear(); }
+    void disconnect() { m_callers.clear(); }
 
 private:
     tcp::acceptor m_acceptor;
@@ -210,7 +210,7 @@
         SilentEngine next(fixture.context);
         fixture.add("next", next, 1);
         fixture.clock.advance(connectDelay);
-        fixture.older.cut();
+        fixture.older.disconnect();
         fixture.runUntilServed(next);
         CHECK(next.hasRequest() == (connectDelay < 2s));
         CHECK((fixture.caller.status() == 0) == (connectDelay < 2s));
--- a/tests/support/serving_thread.hpp
+++ b/tests/support/serving_thread.hpp
@@ -32,7 +32,7 @@
     void beginStream(http::response_header<> /*answer*/) override { }
     bool sendChunk(std::string_view /*bytes*/) override { return true; }
     void endStream() override { status = 200; }
-    void cut() override { status = 1; }
+    void abort() override { status = 1; }
 
     // Seconds; below zero: none.
     double retryAfter() const
