--- a/src/node/admitted_call.cpp
+++ b/src/node/admitted_call.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// How long a caller waits that does not say.
+// The timeout of requests that state none.
 constexpr std::chrono::milliseconds kDefaultTimeout{30'000};
 
 std::string_view toStringView(boost::beast::string_view text)
--- a/src/node/admitted_call.hpp
+++ b/src/node/admitted_call.hpp
@@ -18,22 +18,24 @@
 
 namespace http = boost::beast::http;
 
-// What the configuration in force says of a request.
+// The parts of the current configuration that apply to a request.
 struct AdmittedCall
 {
-    std::shared_ptr<const RouteTable> table; // the rest stands in it; null: no configuration yet
+    std::shared_ptr<const RouteTable>
+        table; // owns route, team and pool; null: no configuration yet
     const ServiceRoute *route = nullptr;
     const ServingTeam *team = nullptr; // null on a public route
     const ServicePool *pool = nullptr;
     CallTerms terms;
 };
 
-// Fills `call` as far as the request gets, and tells why it must be refused; nothing: it need not.
+// Fills `call` until a check fails. Returns the reason to refuse the request, or nothing if it is
+// admitted.
 std::optional<Reason> admitCall(const NodeState &state, const http::request_header<> &head,
                                 const platform::CallerHead &caller, TimePoint arrived,
                                 AdmittedCall &call);
 
-// The name of the request by its content.
+// The fingerprint of the request's content, which is the same each time the request is repeated.
 RequestFingerprint fingerprintOf(const http::request_header<> &head, const AdmittedCall &call,
                                  std::string_view body);
 
--- a/src/node/answer_writer.hpp
+++ b/src/node/answer_writer.hpp
@@ -10,27 +10,27 @@
 
 namespace fordwood::node {
 
-// Where the answer to one request goes: a caller's connection. After sendAnswer(), endStream() or
-// cut() the request is over and the port must not be used again for it.
+// Writes the answer to one request to the caller's connection. After sendAnswer(), endStream() or
+// abort() the request is finished, and nothing more may be written for it.
 class AnswerWriter
 {
 public:
     virtual ~AnswerWriter() = default;
 
-    // Sends an answer whose body is whole.
+    // Sends an answer with its complete body.
     virtual void sendAnswer(boost::beast::http::response_header<> head, std::string body) = 0;
 
-    // Begins an answer that comes in pieces.
+    // Starts an answer whose body follows in chunks.
     virtual void beginStream(boost::beast::http::response_header<> head) = 0;
 
-    // Sends a piece. False: the caller reads slowly; onCallerReady() of the call tells when it goes
-    // on.
+    // Sends a chunk of the body. Returns false if the caller reads too slowly; the writer then
+    // calls CallHandler::onCallerReady() when more can be sent.
     virtual bool sendChunk(std::string_view bytes) = 0;
 
-    // The answer is whole.
+    // Ends a streamed answer that is complete.
     virtual void endStream() = 0;
 
-    // The answer cannot be completed: the connection ends so that this is seen.
+    // Closes the connection, so that the caller sees that the answer is incomplete.
     virtual void abort() = 0;
 };
 
--- a/src/node/call_handler.cpp
+++ b/src/node/call_handler.cpp
@@ -10,33 +10,34 @@
 
 namespace {
 
-// Less than this is not worth sending: no upstream would finish.
+// With less time than this left, the request is not sent: no upstream could answer it in time.
 constexpr std::chrono::milliseconds kMinRemainingTime{5};
 
-// While no upstream may be used, this often one is looked for anew, for a quarter of the target
-// latency: after that an early refusal serves the caller better.
+// While no upstream is available, the node tries again at this interval, for up to a quarter of the
+// target latency. After that an early refusal is more useful to the caller.
 constexpr Duration kUpstreamRetryInterval = std::chrono::milliseconds(25);
 constexpr int kWaitDivisor = 4;
 
-// What a refused caller is told to wait.
+// The minimum Retry-After of a refusal.
 constexpr std::chrono::milliseconds kRetryAfter{250};
 
-// An evacuation lasts for seconds at least, and so does the start of upstreams.
+// Evacuations and starts of upstreams take seconds at least.
 constexpr std::chrono::milliseconds kNoneInServiceRetryAfter{1'000};
 
-// An upstream that has no room is passed over for a moment.
+// How long an upstream that rejected a request for lack of capacity is not used.
 constexpr Duration kPushbackPause = std::chrono::milliseconds(150);
 
-// An upstream at whose address another one answers has ended; its record is gone by then. Without
-// this pause, and with a caller's only send spent on it, 3,800 of 55,000 requests were refused
-// while a third of the engines crashed and came back three times (one play of such a day).
+// How long an upstream is not used after another instance has answered at its address. The upstream
+// has ended, and its record is removed within this time. Without the pause, and with such an
+// attempt counted as the only one of a request, 3,800 of 55,000 requests were refused in a
+// simulated day in which a third of the engines crashed and restarted three times.
 constexpr Duration kGoneUpstreamPause = std::chrono::seconds(4);
 
-// A prompt that keeps an engine busy for tens of milliseconds: longer than other nodes would
-// otherwise take to hear of it.
+// Prompts with this many tokens to compute are reported to peers immediately: they keep an engine
+// busy for tens of milliseconds, longer than peers would otherwise take to learn of them.
 constexpr std::size_t kHeavyPromptTokens = 1'500;
 
-// How long an upstream keeps a resting channel when it does not say.
+// How long an upstream keeps an idle connection open if it does not state it.
 constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
 
 bool isSuccess(unsigned status)
@@ -119,8 +120,8 @@
         });
 }
 
-// Whether upstreams have ended one after the other under this request. Also asked before it goes
-// to a further upstream and after it has waited, since any node may have learnt it meanwhile.
+// Whether the request is quarantined because several upstreams in a row ended while handling it.
+// Checked before each attempt and after each wait, since any node may have reported it meanwhile.
 bool CallHandler::isQuarantined() const
 {
     return !m_state.quarantine().isIdle() && m_state.quarantine().isHeld(fingerprint());
@@ -138,8 +139,8 @@
         std::chrono::ceil<std::chrono::milliseconds>(m_state.quarantine().heldFor(fingerprint()))));
 }
 
-// The upstream broke off under the request. Without counting that, a request that came again under
-// new ids ended 19 engines, in a fleet that has 18 at a time.
+// Counts that the upstream closed the connection while handling the request. Without this, a
+// request that was repeated under new ids ended 19 engines, in a fleet of 18 at a time.
 void CallHandler::recordDisconnect()
 {
     m_state.quarantine().brokeOff(fingerprint(), m_attempt->upstream.instanceId);
@@ -152,7 +153,7 @@
     m_state.publishRequestNews();
 }
 
-// The attempt ends without a word of the upstream, which may have ended.
+// Counts that the attempt ends without an answer of the upstream, which may have ended.
 void CallHandler::recordUnanswered()
 {
     if (!m_attempt || !m_attempt->isOpen || !m_attempt->sent)
@@ -223,7 +224,7 @@
 void CallHandler::onConnected(std::shared_ptr<HttpChannel> channel, const ErrorCode &ec)
 {
     if (m_isFinished || !m_attempt) {
-        // The caller left meanwhile, or the deadline passed: nothing has been sent.
+        // The caller has disconnected or the deadline has passed. Nothing has been sent.
         m_state.channels().discard(m_lastUpstream, channel);
         return;
     }
@@ -233,7 +234,7 @@
         return;
     }
     m_state.health().failed(m_attempt->upstream.instanceId);
-    // Nothing listens there: whatever comes back at the address has just started.
+    // No process listens at the address: an upstream that answers there later has just started.
     if (ec == net::error::connection_refused)
         m_state.gate().cold().suspectRestart(m_attempt->upstream.instanceId,
                                              m_call.pool->coldStart);
@@ -242,7 +243,7 @@
     handleFailure({RunState::NotRun, Reason::ConnectFailed, m_streamStarted});
 }
 
-// Whether the request would still begin in time on the weights of the engine that was chosen.
+// Whether the chosen engine would still start the request before its weights are too old.
 bool CallHandler::beginsInTime() const
 {
     if (!m_call.pool->engine || !m_caller.prompt)
@@ -254,17 +255,17 @@
 
 void CallHandler::sendRequest()
 {
-    // The upstream may have begun to leave while the connection came up, or its failure domain may
-    // have been evacuated.
+    // While the channel was connecting, the upstream may have started to drain, or its failure
+    // domain may have been evacuated.
     if (!m_state.upstreams().takesNewWork(m_attempt->upstream.instanceId)) {
         m_plan.notSent();
         endAttempt(true);
         handleFailure({RunState::NotRun, Reason::UpstreamLeaving, m_streamStarted});
         return;
     }
-    // What the upstream takes may be used up meanwhile, or it may have turned cold or named a
-    // limit, or its weights have been replaced for too long, as when this process stood still.
-    // Nothing has happened to the request or the upstream: another one is chosen.
+    // In the same time the upstream's rate limit may have been used up, it may have become cold or
+    // announced a limit, or, if this process was suspended, its weights may have become too old.
+    // The attempt does not count as a failure: another upstream is chosen.
     if (!m_state.gate().maySend(m_attempt->upstream.instanceId, m_call.pool->coldRequestsPerSecond)
         || !beginsInTime()) {
         m_plan.turnedDown(m_attempt->upstream.instanceId);
@@ -289,7 +290,7 @@
     m_attempt->head = platform::readAnswerHead(head.result_int(), head);
     m_attempt->answer = head;
     m_state.recordUpstreamState(m_caller.requestId, *m_attempt);
-    // An answer to another request stands in the place of ours, which may have run.
+    // The answer belongs to another request. Ours may have run.
     if (m_attempt->head.requestId != m_caller.requestId) {
         m_state.health().answeredFailure(m_attempt->upstream.instanceId);
         endAttempt(false);
@@ -332,7 +333,7 @@
     return m_writer.sendChunk(events);
 }
 
-// The prompt has been computed, and what was to be fetched has arrived.
+// Counts the prompt as computed and the context to fetch as received.
 void CallHandler::recordPromptComputed()
 {
     if (m_attempt->promptComputed)
@@ -348,7 +349,7 @@
     m_streamStarted = true;
     m_firstEventAt = m_state.clock().now();
     const EngineChoice &engine = m_attempt->engine;
-    // Short ones go before what lies at the engine, and so tell nothing of its pace.
+    // Short prompts overtake the engine's queue, so their latency does not show its pace.
     if (!engine.isShort)
         m_state.pace(m_call.pool->name)
             .observe(engine.found.tokensToCompute + engine.load.tokensToCompute,
@@ -400,7 +401,7 @@
         if (m_firstEventAt)
             m_state.pace(m_call.pool->name).observeAnswer(m_state.clock().now() - *m_firstEventAt);
         if (!m_streamStarted)
-            beginStream(); // a stream without an event
+            beginStream(); // a stream without events
         m_writer.endStream();
         finish("answered", status);
         return;
@@ -410,7 +411,7 @@
         health.succeeded(id);
     else
         health.answeredFailure(id);
-    if (m_streamStarted) { // the stream was to go on here, and does not
+    if (m_streamStarted) { // the stream was not resumed
         endAttempt(true);
         handleFailure({RunState::MayHaveRun, Reason::UpstreamBroke, true});
         return;
@@ -421,7 +422,8 @@
         forwardAnswer();
         return;
     }
-    // A failure of the upstream's own: another may do better; if none may be asked, it stands.
+    // The upstream failed: another one is tried if a retry is allowed, else this answer is
+    // forwarded.
     const auto nextStep
         = m_plan.afterFailure({RunState::Ran, Reason::UpstreamBroke, false}, m_state.clock().now(),
                               [this] { return m_state.takeRetry(m_call.pool->name); });
@@ -434,14 +436,16 @@
     startAttempt();
 }
 
-// The upstream, or another one at its address, says that it has not run the request.
+// Handles an answer which states that the request has not run. It comes from the upstream or from
+// another instance at its address.
 void CallHandler::handleRejection()
 {
     const std::string id = m_attempt->upstream.instanceId;
     const bool isOtherInstance = platform::isOfAnother(m_attempt->head, id);
     const bool isMismatch = m_attempt->head.wrongInstance;
-    // An engine that was taken to run other weights is well: it is sent what suits those that it
-    // runs. Without this it turned every request away that a node had for it after each pause.
+    // An engine that rejects a request only because the node assumed other weights is healthy and
+    // needs no pause: from now on it gets the requests for the weights that it runs. Without this
+    // correction the engine rejected every request that the node sent it after each pause.
     const bool hasCorrectedWeights
         = isMismatch && !isOtherInstance
           && m_state.recordWeightMismatch(m_caller.requestId, *m_attempt);
@@ -473,7 +477,7 @@
 {
     const auto self = shared_from_this();
     m_state.health().failed(m_attempt->upstream.instanceId);
-    // What rests there has probably broken as well.
+    // The idle channels to this upstream have probably failed as well.
     m_state.channels().closeIdle(m_attempt->upstream.instanceId);
     logAttemptFailure({m_caller.requestId, m_attempt->upstream.instanceId, cause.message(),
                        m_eventSplitter.lastId().value_or(0),
@@ -527,7 +531,7 @@
     }
 }
 
-// What a caller is told whose request has failed and is not sent again.
+// The retry time for a caller whose request has failed and is not repeated by the node.
 std::chrono::milliseconds CallHandler::retryAfter()
 {
     return std::max(kRetryAfter, retryAfterUnavailable(m_state, m_call).value_or(kRetryAfter));
--- a/src/node/call_handler.hpp
+++ b/src/node/call_handler.hpp
@@ -22,13 +22,14 @@
 
 namespace fordwood::node {
 
-// One request of a caller from its arrival to its last byte: finds the route and the team, has an
-// upstream chosen, sends, passes the answer on, and follows CallPlan when an attempt fails.
+// Handles one request of a caller from its arrival to the last byte of its answer: finds the route
+// and the team, selects an upstream, sends the request, forwards the answer, and retries as
+// CallPlan decides when an attempt fails.
 class CallHandler : public AnswerHandler, public std::enable_shared_from_this<CallHandler>
 {
 public:
-    // `arrived`: when the request began to arrive. `port` must live until the run has ended it or
-    // onCallerDisconnect() was called.
+    // `arrived`: when the first bytes of the request arrived. `writer` must outlive the answer, or
+    // the call to onCallerDisconnect().
     CallHandler(NodeState &state, AnswerWriter &writer, http::request_header<> head,
                 std::string body, TimePoint arrived);
 
@@ -37,7 +38,7 @@
     // The caller has closed its connection.
     void onCallerDisconnect();
 
-    // The caller takes more of the stream.
+    // The caller has caught up with the stream and can receive more.
     void onCallerReady();
 
     // From AnswerHandler:
@@ -86,14 +87,14 @@
     CallPlan m_plan{CallTerms{}};
     std::optional<UpstreamAttempt> m_attempt;
     DeadlineTimer m_deadlineTimer;
-    net::steady_timer m_retryTimer; // while no upstream may be used
+    net::steady_timer m_retryTimer; // runs while no upstream is available
     EventSplitter m_eventSplitter;
-    bool m_streamStarted = false; // a part of the answer has gone to the caller
+    bool m_streamStarted = false; // the caller has received a part of the answer
     bool m_isFinished = false;
     std::optional<TimePoint> m_firstEventAt;
-    std::string m_lastUpstream; // for the log
-    std::optional<Unavailability> m_unavailable; // why no upstream takes the request now
-    std::optional<EngineChoice> m_busyEngine; // every engine has too much to do, this one least
+    std::string m_lastUpstream; // instance id, for the log
+    std::optional<Unavailability> m_unavailable; // why no upstream accepts the request
+    std::optional<EngineChoice> m_busyEngine; // the least loaded engine, if all are overloaded
 };
 
 } // namespace fordwood::node
--- a/src/node/call_log.hpp
+++ b/src/node/call_log.hpp
@@ -13,40 +13,40 @@
 
 namespace fordwood::node {
 
-// How a request ended, and what decided it.
+// The result of a request and what led to it, for the log.
 struct CallSummary
 {
-    std::string request; // its id
-    std::string route; // empty: none was found
+    std::string request; // request id
+    std::string route; // empty: no route matched
     std::string team;
-    std::uint64_t configuration = 0; // version in force
-    std::string upstream; // the last one
+    std::uint64_t configuration = 0; // version of the configuration
+    std::string upstream; // of the last attempt
     std::size_t sends = 0;
     std::string_view outcome;
-    unsigned status = 0; // zero: the answer was cut, or the caller left
+    unsigned status = 0; // zero: the answer was aborted, or the caller disconnected
     Duration duration{};
-    std::optional<Duration> firstEvent; // of a stream, after the arrival
-    const EngineChoice *engine = nullptr; // chosen last; null: no engine was looked for
-    // What the last answer of the upstream says of its own state.
+    std::optional<Duration> firstEvent; // of a stream, time since the request arrived
+    const EngineChoice *engine = nullptr; // of the last choice; null: none was made
+    // The upstream's state according to its last answer.
     bool isUpstreamDraining = false;
     std::optional<Duration> backoff;
 };
 
-// An upstream broke off while a request was there.
+// An upstream closed the connection, or it failed, while the upstream was handling a request.
 struct AttemptFailure
 {
-    std::string request; // its id, which is new with each try of a caller
+    std::string request; // request id, which changes when the caller repeats the request
     std::string upstream;
     std::string cause;
-    std::uint64_t eventsPassed = 0; // the id of the last one
+    std::uint64_t eventsPassed = 0; // id of the last event that was passed on
     Duration elapsed{}; // since the upstream was chosen
-    RequestFingerprint fingerprint; // the same for the same request
+    RequestFingerprint fingerprint; // stays the same when the caller repeats the request
 };
 
-// Writes the line about it.
+// Logs the event AttemptFailed.
 void logAttemptFailure(const AttemptFailure &failure);
 
-// Writes the line about the end of a request.
+// Logs the event RequestEnded.
 void logCallSummary(const CallSummary &end);
 
 } // namespace fordwood::node
--- a/src/node/caller_session.cpp
+++ b/src/node/caller_session.cpp
@@ -17,17 +17,17 @@
 using adapters::Event;
 using adapters::logEvent;
 
-// A body that does not arrive within this is given up; the largest are some MB.
+// Time limit for reading a request body. The largest bodies have a few MB.
 constexpr Duration kBodyTimeout = std::chrono::seconds(10);
 
-// Bytes of a stream that wait for a slow caller before its upstream is no longer read.
+// With more unsent bytes of a stream than this, reading from the upstream is paused.
 constexpr std::size_t kMaxOutgoingBytes = 65'536;
 
-// Callers that do not confirm bytes for so long are gone.
+// A caller that does not acknowledge sent bytes for this long is considered gone.
 constexpr Duration kUnacknowledgedTimeout = std::chrono::seconds(5);
 
-// After an answer that ends the connection early, what the caller still sends is read for so long,
-// so that the answer is not lost by a reset.
+// Before the connection is closed, input of the caller is read and discarded for up to this time:
+// closing with unread input would reset the connection, and the caller could lose the answer.
 constexpr Duration kLingerTimeout = std::chrono::milliseconds(500);
 
 std::string serializeHead(const http::response_header<> &head)
@@ -37,7 +37,7 @@
     return out.str();
 }
 
-// A piece of an answer that has no length.
+// Encodes a chunk of an answer that is sent without a Content-Length.
 std::string encodeChunk(std::string_view bytes)
 {
     std::ostringstream out;
@@ -85,7 +85,7 @@
     m_unparsed.shrink_to_fit();
     startTimer(callerLimits().idleTimeout, &CallerSession::close);
     m_socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const ErrorCode &ec) {
-        // What crosses the close is not taken: its answer could not be sent any more.
+        // A request that arrives during the close is not read: its answer could not be sent.
         if (!ec && !self->m_isClosed && !self->m_isClosing)
             self->readHead();
     });
@@ -170,7 +170,7 @@
         char byte = 0;
         const auto n
             = ::recv(self->m_socket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-        // Bytes are the next request: it is read after the answer, and the close seen then.
+        // The bytes belong to the next request. They are read after the answer, and so is a close.
         if (n > 0)
             return;
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
@@ -202,7 +202,7 @@
         reject(Reason::BodyTooLarge, http::status::payload_too_large);
     else if (ec == http::error::end_of_stream || ec == http::error::partial_message
              || ec.category() != http::make_error_code(http::error::end_of_stream).category())
-        close(); // the caller has gone
+        close(); // the caller has disconnected
     else
         reject(Reason::MalformedRequest, http::status::bad_request);
 }
@@ -286,7 +286,7 @@
 
 void CallerSession::releaseCall()
 {
-    // The run itself is the caller of this function and goes on for a moment.
+    // This function is called by the CallHandler itself, so it must not be destroyed yet.
     net::post(m_socket.get_executor(), [call = std::move(m_call)] {});
     m_call.reset();
 }
@@ -335,7 +335,7 @@
 {
     m_closesWhenIdle = true;
     const bool isIdle = !m_call && !m_incoming && m_outgoing.empty();
-    // A request that has arrived already is answered first.
+    // A request that has already arrived is answered first.
     if (isIdle && isOpenAndIdle(m_socket))
         lingeringClose();
 }
@@ -345,7 +345,7 @@
     if (m_isClosed || m_isClosing)
         return;
     m_isClosing = true;
-    ErrorCode ec; // a caller that is gone already is fine
+    ErrorCode ec; // fails if the caller has already disconnected
     m_socket.shutdown(tcp::socket::shutdown_send, ec);
     if (ec) {
         close();
@@ -377,12 +377,12 @@
         return;
     m_isClosed = true;
     m_timer.cancel();
-    // A run writes to this session as long as nobody tells it otherwise.
+    // The CallHandler would otherwise keep writing to this session.
     if (const auto call = std::exchange(m_call, nullptr))
         call->onCallerDisconnect();
-    ErrorCode ec; // a socket that is closed already is fine
+    ErrorCode ec; // closing a closed socket is harmless
     m_socket.close(ec);
-    // Not at once: callers of this function may still use the session.
+    // Posted, since callers of this function may still use the session.
     net::post(m_socket.get_executor(),
               [self = shared_from_this()] { self->m_onClosed(self.get()); });
 }
--- a/src/node/caller_session.hpp
+++ b/src/node/caller_session.hpp
@@ -18,8 +18,8 @@
 
 namespace fordwood::node {
 
-// One connection of a caller: a request, its answer, the next request. While it rests it holds no
-// buffer, only its socket and a timer.
+// One connection of a caller, which carries one request and answer after the other. An idle
+// connection holds no buffer, only its socket and a timer.
 class CallerSession : public AnswerWriter, public std::enable_shared_from_this<CallerSession>
 {
 public:
@@ -29,7 +29,8 @@
 
     void start();
 
-    // The planned stop: closes the connection if it rests, else after its answer.
+    // For a planned stop: closes the connection at once if it is idle, else after the current
+    // answer.
     void closeWhenIdle();
 
     // From AnswerWriter:
@@ -40,7 +41,7 @@
     void abort() override;
 
 private:
-    // What reading one request needs; a resting connection has none.
+    // The state of a request that is being read; an idle connection has none.
     struct IncomingRequest
     {
         explicit IncomingRequest(boost::beast::flat_buffer bytes) : buffer(std::move(bytes)) { }
@@ -74,17 +75,18 @@
     tcp::socket m_socket;
     net::steady_timer m_timer;
     OnClosed m_onClosed;
-    std::shared_ptr<IncomingRequest> m_incoming; // kept by a read until its handler has run
-    boost::beast::flat_buffer m_unparsed; // bytes of the next request
+    std::shared_ptr<IncomingRequest>
+        m_incoming; // a pending read shares it until its handler has run
+    boost::beast::flat_buffer m_unparsed; // bytes received beyond the last request
     std::shared_ptr<CallHandler> m_call;
     std::deque<std::string> m_outgoing;
     std::size_t m_outgoingBytes = 0;
     bool m_isWriting = false;
-    bool m_isAnswerComplete = false; // nothing follows what is outgoing
-    bool m_isCallerSlow = false; // the run was told that the caller reads slowly
+    bool m_isAnswerComplete = false; // m_outgoing holds the rest of the answer
+    bool m_isCallerSlow = false; // sendChunk() has returned false
     bool m_keepAlive = true;
     bool m_closesWhenIdle = false;
-    bool m_isClosing = false; // nothing more is sent, nor taken
+    bool m_isClosing = false; // no more requests are read and nothing is sent
     bool m_isClosed = false;
 };
 
--- a/src/node/channel_pool.cpp
+++ b/src/node/channel_pool.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-// Upstreams are a few milliseconds away; a dead one must not hold a request that another could
-// take.
+// Upstreams are a few milliseconds away. A dead one must not delay a request that another one could
+// answer.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(300);
 
-// Bytes that an upstream does not confirm for so long mean that it, or the way there, is gone.
+// An upstream that does not acknowledge sent bytes for this long is considered unreachable.
 constexpr Duration kUnacknowledgedTimeout = std::chrono::milliseconds(1'000);
 
-// Before the end of what an upstream grants, so that a request and its close do not cross.
+// An idle channel is closed this long before the upstream's keep-alive time ends, so that no
+// request is sent while the upstream closes the connection.
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
 
 } // namespace
@@ -57,7 +58,7 @@
         return;
     }
     const auto it = m_channels.find(instanceId);
-    if (it == m_channels.end()) { // the upstream is gone by now
+    if (it == m_channels.end()) { // the upstream has been removed
         channel->close();
         return;
     }
--- a/src/node/channel_pool.hpp
+++ b/src/node/channel_pool.hpp
@@ -14,9 +14,9 @@
 
 namespace fordwood::node {
 
-// Channels to upstreams, by instance: an address that is given to another upstream later shares
-// nothing with the one before. New channels cost the upstream time, so resting ones are used first,
-// the one used last before the others.
+// Pools the channels to upstreams by instance, so that an upstream that takes over the address of
+// another one does not inherit its channels. Opening a channel costs the upstream time, so idle
+// channels are reused first, the most recently used one before the others.
 class ChannelPool
 {
 public:
@@ -25,28 +25,29 @@
     ChannelPool(net::io_context &context, const Clock &clock) : m_context(context), m_clock(clock)
     { }
 
-    // Whether another channel may be used; `maxChannels`: this node's part of what the upstream
-    // takes from all callers.
+    // Whether another channel may be used. `maxChannels`: this node's share of the connections that
+    // the upstream accepts from all nodes.
     bool hasCapacity(const std::string &instanceId, std::size_t maxChannels) const;
 
-    // Gives a channel that can take a request, or tells why none came up. It is in use until it is
-    // given back or dropped.
+    // Passes a connected channel, or the reason why there is none, to `onReady`. In both cases the
+    // channel counts as in use until it is released or discarded.
     void acquire(const UpstreamRecord &upstream, OnReady onReady);
 
-    // A whole answer was read on the channel. `keepAlive`: how long the upstream keeps it.
+    // Returns a channel on which an answer was read completely. `keepAlive`: how long the upstream
+    // keeps the connection open.
     void release(const std::string &instanceId, std::shared_ptr<HttpChannel> channel,
                  Duration keepAlive);
 
-    // The channel is of no more use.
+    // Closes a channel that cannot be reused.
     void discard(const std::string &instanceId, const std::shared_ptr<HttpChannel> &channel);
 
-    // Closes the resting channels of an upstream that may be gone.
+    // Closes the idle channels to an upstream that may be gone.
     void closeIdle(const std::string &instanceId);
 
-    // The upstream is gone.
+    // Removes an upstream that is gone.
     void forget(const std::string &instanceId);
 
-    // Closes channels that have rested too long.
+    // Closes channels that have been idle too long.
     void tick();
 
     std::size_t openChannels() const;
@@ -59,7 +60,7 @@
     };
     struct Channels
     {
-        std::deque<IdleChannel> idle; // the one used last at the back
+        std::deque<IdleChannel> idle; // most recently used at the back
         std::size_t inUse = 0;
     };
 
--- a/src/node/refusal.cpp
+++ b/src/node/refusal.cpp
@@ -22,7 +22,7 @@
     return status == kServiceUnavailable ? kBadGateway : status;
 }
 
-// Seconds with a fraction, as callers read them.
+// Retry-After in seconds with a fraction, which callers accept.
 std::string secondsText(std::chrono::milliseconds time)
 {
     std::array<char, 32> text{};
--- a/src/node/refusal.hpp
+++ b/src/node/refusal.hpp
@@ -10,15 +10,15 @@
 
 namespace fordwood::node {
 
-// An answer that the node gives itself.
+// An error answer that the node itself generates.
 struct Refusal
 {
     boost::beast::http::response_header<> head;
     std::string body; // JSON with the reason
 };
 
-// Puts a verdict into an answer. A status of 503 is a promise that the request has not run, so it
-// stands only where that is so, and then with a time to come back.
+// Makes the answer for a verdict. Status 503 guarantees that the request has not run, so it is used
+// only in that case, with a Retry-After if the verdict has a retry time.
 Refusal makeRefusal(const Verdict &verdict);
 
 } // namespace fordwood::node
--- a/src/node/upstream_attempt.hpp
+++ b/src/node/upstream_attempt.hpp
@@ -16,23 +16,23 @@
 
 namespace fordwood::node {
 
-// What one request has under way at one upstream, or had last.
+// One attempt to have a request answered by an upstream: the current one, or the last one.
 struct UpstreamAttempt
 {
     UpstreamRecord upstream;
     RequestLoad load;
-    EngineChoice engine; // of requests to engines
-    std::string model; // likewise
-    std::chrono::milliseconds fetchDeadline{0}; // by the engines' clock
+    EngineChoice engine; // only for requests to engines
+    std::string model; // only for requests to engines
+    std::chrono::milliseconds fetchDeadline{0}; // on the engines' clock
     std::shared_ptr<HttpChannel> channel;
     TimePoint startedAt{};
-    TimePoint sentAt{}; // when the request was handed to the connection
+    TimePoint sentAt{}; // when the request was written to the channel
     bool isOpen = true;
     bool sent = false;
-    bool promptComputed = false; // the answer has begun
+    bool promptComputed = false; // the first part of the answer has arrived
     platform::AnswerHead head;
     std::optional<http::response_header<>> answer;
-    std::string body; // of an answer that is passed on whole
+    std::string body; // of an answer that is not streamed
 };
 
 } // namespace fordwood::node
--- a/src/node/upstream_choice.cpp
+++ b/src/node/upstream_choice.cpp
@@ -14,10 +14,12 @@
 
 namespace {
 
-// The wait at an engine, in target latencies, from which a long prompt is refused at once.
+// Maximum expected wait at an engine, in target latencies. With a longer one, a long prompt is
+// refused at once.
 constexpr double kMaxWait = 0.7;
 
-// Context of a prompt that is bound to regions is saved in no other.
+// Removes stores outside the regions that the request is restricted to: its context must not be
+// saved there.
 void dropForbiddenSaveTargets(const AdmittedCall &call, const DomainRegions &regions,
                               EngineChoice &choice)
 {
@@ -31,8 +33,8 @@
     }
 }
 
-// Whether the answer would be late anyway: work for it would make others late as well, while a
-// caller that is told so at once can come again.
+// Whether the expected wait is so long that the answer would be late anyway. Serving the request
+// would delay others as well, while a caller that is refused at once can retry.
 bool exceedsMaxWait(NodeState &state, const AdmittedCall &call, const EngineChoice &choice)
 {
     if (!state.settings().mechanisms.earlyRefusals)
@@ -68,7 +70,7 @@
                             bool answerStarted,
                             const std::vector<const UpstreamRecord *> &candidates)
 {
-    // Short prompts are computed sooner than asked about.
+    // Short prompts do not wait for news of kept context: computing them takes less time.
     if (!isShortPrompt(*caller.prompt, *call.pool->engine) && state.isResuming())
         return {};
     auto choice = bestEngine(state, call, caller, plan, candidates);
@@ -88,12 +90,11 @@
     return chosen;
 }
 
-// Long prompts wait for short ones, which take next to no time; the urgency of the team, or of the
-// route, decides within each kind.
+// The engine runs short prompts, which take very little time, before long ones. Within each kind
+// the priority of the team decides, or else that of the route.
 int enginePriority(const AdmittedCall &call, const EngineChoice &engine, bool shortFirst)
 {
-    constexpr int kPrioritiesPerKind
-        = 5; // of the ten priorities that an engine knows, for either kind
+    constexpr int kPrioritiesPerKind = 5; // engines have ten priorities, half of them for each kind
     const auto teamPriority = call.team != nullptr ? call.team->priority : std::nullopt;
     const int urgency
         = std::clamp(teamPriority.value_or(call.route->priority), 0, kPrioritiesPerKind - 1);
@@ -127,15 +128,16 @@
     };
 }
 
-// Where nothing but limits and backoffs stands in the way, it is known now that the request cannot
-// be served. `tried`: upstreams that it does not go to again, though its caller may come back to
-// them.
+// Finds out whether only rate limits and backoffs prevent the request from being sent, in which
+// case it is already known that it cannot be served. `tried`: upstreams to which this request is
+// not sent again. They do not count as available, though they may accept a later request of the
+// caller.
 std::optional<Unavailability> findUnavailability(NodeState &state, const AdmittedCall &call,
                                                  const UpstreamFilter &isAllowed,
                                                  const std::set<std::string> &tried)
 {
     Unavailability found;
-    std::optional<Duration> backoff; // until the first one ends
+    std::optional<Duration> backoff; // time until the first one ends
     for (const UpstreamRecord *it : state.upstreams().usable(call.pool->name)) {
         if (!isAllowed(*it))
             continue;
--- a/src/node/upstream_choice.hpp
+++ b/src/node/upstream_choice.hpp
@@ -10,40 +10,42 @@
 
 namespace fordwood::node {
 
-// Why no upstream takes a request now, although there are some.
+// Why no upstream accepts a request at the moment, although some are in service.
 struct Unavailability
 {
     Reason reason = Reason::NoUpstream;
-    std::string upstream; // one of them
-    std::chrono::milliseconds retryAfter{0}; // when one will, by what they say
+    std::string upstream; // one of those that do not accept it
+    std::chrono::milliseconds retryAfter{0}; // until one is expected to accept requests
 };
 
-// Which upstream takes a request next.
+// The result of choosing an upstream for a request.
 struct UpstreamChoice
 {
-    std::optional<UpstreamAttempt> attempt; // nothing: none may be used now
-    std::optional<EngineChoice> busyEngine; // the best engine, which has too much to do
-    // Where limits that are used up and backoffs alone stand in the way.
+    std::optional<UpstreamAttempt> attempt; // nothing: no upstream is available
+    std::optional<EngineChoice> busyEngine; // the best engine, if even this one is overloaded
+    // Set if only exhausted rate limits and backoffs prevent the request from being sent.
     std::optional<Unavailability> unavailable;
 };
 
-// `answerStarted`: a part of the answer has gone to the caller, so that it cannot be refused.
+// `answerStarted`: the caller has received a part of the answer, so the request cannot be refused.
 UpstreamChoice chooseUpstream(NodeState &state, const AdmittedCall &call,
                               const platform::CallerHead &caller, const CallPlan &plan,
                               bool answerStarted);
 
-// When a caller may come again who is refused although upstreams are in service; nothing: at any
-// time, as one of them may take the request.
+// The time after which a refused caller may retry, if every upstream in service is rate limited or
+// backing off; nothing if one of them may accept the request now.
 std::optional<std::chrono::milliseconds> retryAfterUnavailable(NodeState &state,
                                                                const AdmittedCall &call);
 
-// The head with which the request goes to the upstream of an attempt.
+// Options for the head of a request to an upstream.
 struct UpstreamHeadOptions
 {
-    std::chrono::milliseconds remainingTime{0}; // that the caller has left
-    std::optional<std::uint64_t> resumeFrom; // the last event of the stream that the caller has
+    std::chrono::milliseconds remainingTime{0}; // until the caller's deadline
+    std::optional<std::uint64_t> resumeFrom; // id of the last event that the caller received
     bool shortFirst = true; // see Mechanisms
 };
+
+// The head of the request as it is sent to the upstream of an attempt.
 http::request_header<> upstreamHead(const http::request_header<> &head, const AdmittedCall &call,
                                     const UpstreamAttempt &attempt,
                                     const UpstreamHeadOptions &options);
