--- a/src/node/accept_loop.cpp
+++ b/src/node/accept_loop.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-// After a failed accept: at once it would fail again. Our choice.
+// Pause after a failed accept, which would fail again at once.
 constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
 
 } // namespace
@@ -21,7 +21,7 @@
 
 void AcceptLoop::close()
 {
-    ErrorCode ec; // it is closed in any case
+    ErrorCode ec; // ignored: the acceptor is closed in any case
     m_acceptor.close(ec);
     m_retryTimer.cancel();
 }
--- a/src/node/accept_loop.hpp
+++ b/src/node/accept_loop.hpp
@@ -23,11 +23,11 @@
           m_onAccepted(std::move(onAccepted))
     { }
 
-    // Called when an accept has failed, which is for want of descriptors most of the time. The loop
-    // pauses by itself.
+    // `onFailed` is called when an accept has failed, usually for lack of file descriptors. The
+    // loop then pauses and tries again.
     void onFailure(std::function<void()> onFailed) { m_onFailure = std::move(onFailed); }
 
-    // False when the address cannot be used; `ec` tells why.
+    // Returns false and sets `ec` if the address cannot be used.
     bool listen(const std::string &address, ErrorCode &ec);
 
     void close();
--- a/src/node/cbor.hpp
+++ b/src/node/cbor.hpp
@@ -10,7 +10,7 @@
 
 namespace fordwood::node {
 
-// The encoding of messages between nodes.
+// Encodes a message between nodes as CBOR.
 inline std::string encodeCbor(const nlohmann::json &object)
 {
     std::string bytes;
@@ -18,7 +18,7 @@
     return bytes;
 }
 
-// Reads bytes with `read`; nothing when they are no message of ours.
+// Decodes bytes and converts them with `read`; nothing if they are not a valid message.
 template <typename T, typename Read>
 std::optional<T> decodeCbor(std::string_view bytes, Read read)
 {
--- a/src/node/context_messages.cpp
+++ b/src/node/context_messages.cpp
@@ -16,7 +16,8 @@
 constexpr char kNumberEnd = '.';
 constexpr char kPositionEnd = ',';
 
-// Takes a number and the sign after it from the front of the text; nothing when there is none.
+// Removes a number and the delimiter `end` from the front of the text; nothing if they are not
+// there.
 std::optional<std::uint64_t> takeNumber(std::string_view &text, char end)
 {
     std::uint64_t number = 0;
@@ -27,14 +28,14 @@
     return number;
 }
 
-// Changes by salt, of which there are few: each stands once.
+// Groups consecutive changes by salt. There are few salts, so each is encoded only once per group.
 Json changesBySalt(const std::vector<StorePartChange> &changes)
 {
     Json runs = Json::array();
     for (const StorePartChange &it : changes) {
         if (runs.empty() || runs.back().at(0) != it.salt)
             runs.push_back({it.salt, Json::array()});
-        // No tokens: the store has dropped the part.
+        // Zero tokens mean that the store no longer holds the part.
         runs.back().at(1).push_back({it.partId, it.held ? it.tokens : 0});
     }
     return runs;
@@ -86,7 +87,7 @@
 {
     Json stores = Json::array();
     for (const StoreNews &it : news) {
-        // An array: most stores have nothing new, and names of fields would be most of the message.
+        // An array, since most stores have no changes and field names would dominate the message.
         stores.push_back({it.store, it.epoch, it.next, it.clock.count(), it.age.count(),
                           it.restated, changesBySalt(it.changes)});
     }
--- a/src/node/context_messages.hpp
+++ b/src/node/context_messages.hpp
@@ -11,14 +11,14 @@
 
 namespace fordwood::node {
 
-// The question of a node to a relay, as the target of a GET request: where it stands in the events
-// of each store of kept context.
+// Encodes a node's request to a relay as the target of a GET request: the node's position in the
+// events of each context store.
 std::string contextNewsTarget(const std::vector<StorePosition> &positions);
 
-// Nothing when the target is another one, or no question of ours.
+// Nothing if the target is a different one or malformed.
 std::optional<std::vector<StorePosition>> parseContextNewsTarget(std::string_view target);
 
-// The relay's answer, in CBOR.
+// The relay's answer, encoded as CBOR.
 std::string encodeContextNews(const std::vector<StoreNews> &news);
 std::optional<std::vector<StoreNews>> decodeContextNews(std::string_view bytes);
 
--- a/src/node/context_relay_reader.cpp
+++ b/src/node/context_relay_reader.cpp
@@ -12,11 +12,11 @@
 using adapters::Event;
 using adapters::logEvent;
 
-// About as often as a relay itself hears of changes that come together.
+// About the interval at which a relay itself reads batches of changes.
 constexpr Duration kRequestInterval = std::chrono::milliseconds(150);
 
-// A relay answers within milliseconds, or is in trouble; the stores' word, which holds for 1.5 s,
-// leaves time to ask another.
+// A working relay answers within milliseconds. News from the stores is valid for 1.5 s, which
+// leaves time to ask another relay.
 constexpr Duration kRequestTimeout = std::chrono::milliseconds(400);
 
 } // namespace
@@ -40,7 +40,7 @@
     if (isEnabled == m_isEnabled)
         return;
     m_isEnabled = isEnabled;
-    m_positions.clear(); // this node followed the stores itself meanwhile
+    m_positions.clear(); // outdated: in between this node has read the stores directly
     if (m_isEnabled && !m_isRequestPending)
         requestNews();
 }
@@ -100,7 +100,7 @@
 
 void ContextRelayReader::handle(StoreNews news, TimePoint sentAt)
 {
-    // As old as it was for the relay, and on its way since, at the most.
+    // An upper bound: the age at the relay plus the whole duration of the request.
     const TimePoint now = m_clock.now();
     news.age += std::chrono::duration_cast<std::chrono::milliseconds>(now - sentAt);
     m_positions[news.store] = {stableHash(news.store), news.epoch, news.next};
--- a/src/node/context_relay_reader.hpp
+++ b/src/node/context_relay_reader.hpp
@@ -17,19 +17,19 @@
 
 namespace fordwood::node {
 
-// Reads from a relay what the stores of kept context hold, a few times a second; see RelayRole.
+// Reads changes in the context stores from a relay, a few times a second; see RelayRole.
 class ContextRelayReader
 {
 public:
     using Publish = std::function<void(FleetUpdate)>;
-    // The address of a relay, other than the one that has just failed if there is another; nothing:
-    // no relay is heard.
+    // Returns the address of a relay, if possible not the one that has just failed; nothing if no
+    // relay is known.
     using ChooseRelay = std::function<std::optional<std::string>(const std::string &failed)>;
 
     ContextRelayReader(net::io_context &context, HttpClient &client, const Clock &clock,
                        ChooseRelay chooseRelay, Publish publish);
 
-    // The stores of the configuration in force: a relay's word of others is passed over.
+    // Sets the stores of the current configuration. News of other stores is ignored.
     void setStores(const std::vector<ContextStore> &stores);
 
     void setEnabled(bool isEnabled);
@@ -47,8 +47,8 @@
     net::steady_timer m_timer;
     std::set<std::string> m_stores; // names
     std::map<std::string, StorePosition> m_positions; // by name of the store
-    std::string m_relay; // asked last
-    std::string m_failedRelay; // the relay that did not answer last
+    std::string m_relay; // last one that was asked
+    std::string m_failedRelay; // last one that did not answer; empty: none
     bool m_isEnabled = false;
     bool m_isRequestPending = false;
 };
--- a/src/node/context_store_manager.cpp
+++ b/src/node/context_store_manager.cpp
@@ -11,7 +11,7 @@
 using adapters::Event;
 using adapters::logEvent;
 
-// A store answers within milliseconds, or is in trouble.
+// A working store answers within milliseconds.
 constexpr Duration kFreeTimeout = std::chrono::milliseconds(700);
 
 } // namespace
@@ -71,7 +71,8 @@
         m_keeper.freed(action, false);
         return;
     }
-    // Not carried out after this node's lease, however late the call arrives.
+    // The store must not free parts after this node's lease has ended, however late the call
+    // arrives.
     const auto until = m_engineClock
                        + std::chrono::duration_cast<std::chrono::milliseconds>(
                            holding.actUntil - m_engineClockReadAt);
--- a/src/node/context_store_manager.hpp
+++ b/src/node/context_store_manager.hpp
@@ -19,8 +19,8 @@
 
 namespace fordwood::node {
 
-// What a node has to do with the stores of kept context beside its requests: it follows what they
-// hold, and while it holds the lock it has context of old weights freed.
+// Manages a node's view of the context stores: follows their contents, either directly or through a
+// relay, and frees the context of old weights while the node holds the lock for that.
 class ContextStoreManager
 {
 public:
@@ -29,13 +29,14 @@
     ContextStoreManager(net::io_context &context, HttpClient &client, const Clock &clock,
                         ContextRelayReader::ChooseRelay chooseRelay, Publish publish);
 
-    // The stores of the configuration in force.
+    // Sets the stores of the current configuration.
     void setStores(const std::vector<ContextStore> &stores);
 
-    // Whether this node asks the stores itself; else it asks the relay that `source` names.
+    // Whether this node reads the stores directly, or else through the relay that `chooseRelay`
+    // names.
     void setReadsStores(bool readsStores);
 
-    // What a peer lacks that stands at these positions.
+    // The changes that a peer at these positions has not received yet.
     std::vector<StoreNews> newsSince(const std::vector<StorePosition> &positions) const
     {
         return m_log.since(positions);
@@ -57,10 +58,10 @@
     Publish m_publish;
     ContextStoreWatcher m_watcher;
     ContextRelayReader m_relayReader;
-    StoreNewsLog m_log; // for peers, while this node follows the stores
+    StoreNewsLog m_log; // for peers, while this node reads the stores
     StoreKeeper m_keeper;
     std::map<std::string, ContextStore> m_stores; // by name
-    std::chrono::milliseconds m_engineClock{0}; // as told last
+    std::chrono::milliseconds m_engineClock{0}; // last reported value
     TimePoint m_engineClockReadAt{};
 };
 
--- a/src/node/context_store_watcher.cpp
+++ b/src/node/context_store_watcher.cpp
@@ -12,15 +12,15 @@
 using adapters::Event;
 using adapters::logEvent;
 
-// How long a store holds a call that has nothing to tell. Shorter than the time for which its word
-// holds (ContextDirectory::Limits::storeWord), longer than what counts as a probe.
+// How long a store keeps a long poll open while it has no events. Shorter than the time for which
+// its answer is valid (ContextDirectory::Limits::storeWord), longer than what counts as a probe.
 constexpr std::chrono::milliseconds kPollWait{900};
-constexpr Duration kResponseGrace = std::chrono::milliseconds(500); // beyond the wait
+constexpr Duration kResponseGrace = std::chrono::milliseconds(500); // added to the wait
 
-// Events that come together are read by one call.
+// Pause before the next poll, so that one call reads several events.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(120);
 
-// A call that ends so much later than its time limit was not read in time.
+// An answer that is handled this long after the call's time limit was not read in time.
 constexpr Duration kMaxReadDelay = std::chrono::milliseconds(200);
 
 constexpr Duration kRetryDelay = std::chrono::milliseconds(400);
@@ -42,7 +42,7 @@
     if (m_isEnabled)
         updateWatches();
     else
-        m_stores.clear(); // answers of calls under way are dropped
+        m_stores.clear(); // answers to pending calls are ignored
 }
 
 void ContextStoreWatcher::updateWatches()
@@ -87,7 +87,7 @@
                   });
 }
 
-// What lay unread while this VM stood still says nothing of now.
+// An answer that was left unread while this VM was suspended does not show the current state.
 bool ContextStoreWatcher::isStale(const WatchedStore &store) const
 {
     return m_clock.now() - store.sentAt > kPollWait + kResponseGrace + kMaxReadDelay;
@@ -96,7 +96,7 @@
 void ContextStoreWatcher::handleEvents(const std::shared_ptr<WatchedStore> &store,
                                        const HttpResult &result)
 {
-    if (isStale(*store)) { // ask, and have the answer at once
+    if (isStale(*store)) { // poll again without a wait, to get an answer at once
         poll(store, std::chrono::milliseconds(0));
         return;
     }
@@ -107,7 +107,7 @@
     }
     const bool hasNewEpoch = store->cursor.next != 0 && events->cursor.epoch != store->cursor.epoch;
     if (hasNewEpoch) {
-        // It has lost everything; what it has told since its start is read from the beginning.
+        // The store has restarted empty. Its events since the restart are read from the first one.
         store->cursor = {events->cursor.epoch, 0};
         reportUnreachable(store);
         return;
@@ -132,7 +132,8 @@
 void ContextStoreWatcher::handleList(const std::shared_ptr<WatchedStore> &store,
                                      const HttpResult &result)
 {
-    // Parts in an old list may have been freed since, and would be fetched.
+    // Parts in an old list may have been freed meanwhile, and requests would still try to fetch
+    // them.
     if (isStale(*store)) {
         requestList(store);
         return;
--- a/src/node/context_store_watcher.hpp
+++ b/src/node/context_store_watcher.hpp
@@ -16,7 +16,7 @@
 
 namespace fordwood::node {
 
-// Follows what the stores of kept context hold, by their events. One waiting call for each store.
+// Follows the contents of the context stores through their events, with one long poll per store.
 class ContextStoreWatcher
 {
 public:
@@ -27,10 +27,10 @@
         : m_context(context), m_client(client), m_clock(clock), m_publish(std::move(publish))
     { }
 
-    // The stores of the configuration in force.
+    // Sets the stores of the current configuration.
     void setStores(const std::vector<ContextStore> &stores);
 
-    // Whether this node asks the stores at all; if not, it reads what relays tell.
+    // Whether this node polls the stores; otherwise it reads their changes from a relay.
     void setEnabled(bool isEnabled);
 
 private:
@@ -41,7 +41,7 @@
         ContextStore config;
         platform::EventCursor cursor;
         bool isReachable = false;
-        TimePoint sentAt{}; // when the call under way was sent
+        TimePoint sentAt{}; // when the pending call was sent
         net::steady_timer timer;
     };
 
@@ -61,7 +61,7 @@
     const Clock &m_clock;
     Publish m_publish;
     std::vector<ContextStore> m_configuredStores; // of the configuration in force
-    std::map<std::string, std::shared_ptr<WatchedStore>> m_stores; // by name; empty: not following
+    std::map<std::string, std::shared_ptr<WatchedStore>> m_stores; // by name; empty while disabled
     bool m_isEnabled = true;
 };
 
--- a/src/node/deadline_timer.hpp
+++ b/src/node/deadline_timer.hpp
@@ -8,9 +8,9 @@
 
 namespace fordwood::node {
 
-// A timer for a moment that does not wait for a VM that is suspended: on waking it goes off as soon
-// as the thread's next regular work is due. A steady timer would hold a request as long after its
-// deadline as the VM was suspended.
+// A timer whose clock continues while the VM is suspended. If the deadline has passed when the VM
+// resumes, the timer expires by the time of the thread's next periodic work. A steady timer would
+// expire later by the whole length of the suspension.
 using DeadlineTimer = boost::asio::basic_waitable_timer<adapters::BootClock>;
 
 } // namespace fordwood::node
--- a/src/node/http_call.hpp
+++ b/src/node/http_call.hpp
@@ -10,7 +10,7 @@
 
 namespace fordwood::node {
 
-// One call of the node's own: to the platform, a peer, an engine or a store.
+// A request that the node itself makes: to the platform, a peer, an engine or a store.
 struct HttpCall
 {
     std::string address; // IP:port
@@ -24,15 +24,15 @@
 {
     unsigned status = 0;
     std::string body;
-    std::vector<std::pair<std::string, std::string>> fields = {}; // of the head
+    std::vector<std::pair<std::string, std::string>> fields = {}; // header fields
 
     bool operator==(const HttpReply &) const = default;
 };
 
-// Why a call brought no reply.
+// Why a call received no reply.
 enum class HttpFailure {
-    NotSent, // no connection came up
-    NoAnswer, // it was sent and may have been carried out
+    NotSent, // no connection was established
+    NoAnswer, // the call was sent, so it may have been executed
 };
 
 using HttpResult = tl::expected<HttpReply, HttpFailure>;
--- a/src/node/http_channel.cpp
+++ b/src/node/http_channel.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Heads of answers are small; a longer one is no answer of an upstream.
+// Heads of answers are small; a longer one does not come from an upstream.
 constexpr std::uint32_t kMaxHeadBytes = 32'768;
 
 } // namespace
@@ -50,12 +50,12 @@
     current.body = std::move(body);
     current.request.body()
         = boost::beast::span<const char>(current.body->data(), current.body->size());
-    // A length, also of an empty body where the method usually has one.
+    // An empty body has a Content-Length too, if the method usually has a body.
     if (!current.body->empty() || current.request.method() != http::verb::get)
         current.request.content_length(current.body->size());
     current.serializer.emplace(current.request);
     current.parser.header_limit(kMaxHeadBytes);
-    // Boost 1.74 takes "no limit" for a limit of zero.
+    // Boost 1.74 treats boost::none as a limit of zero.
     current.parser.body_limit(std::numeric_limits<std::uint64_t>::max());
     if (isHeadRequest)
         current.parser.skip(true);
@@ -145,7 +145,7 @@
 {
     const std::shared_ptr<Exchange> current = std::move(m_exchange);
     m_exchange.reset();
-    // Bytes behind the answer belong to no request: the channel is of no more use.
+    // Bytes after the answer belong to no request, so the channel cannot be reused.
     m_isReusable
         = current->isWritten && current->parser.keep_alive() && current->buffer.size() == 0;
     if (!m_isReusable)
@@ -167,7 +167,7 @@
     m_isReusable = false;
     if (m_connectTimer)
         m_connectTimer->cancel();
-    ErrorCode ec; // a socket that is closed already is fine
+    ErrorCode ec; // closing a closed socket is harmless
     m_socket.close(ec);
 }
 
--- a/src/node/http_channel.hpp
+++ b/src/node/http_channel.hpp
@@ -20,8 +20,9 @@
 
 namespace http = boost::beast::http;
 
-// Takes what a channel reads. Calls come in the order head, body pieces, end; failed() may come in
-// place of any of them and is then the last.
+// Receives an answer as a channel reads it. The calls come in the order onHead(), onBody() any
+// number of times, onAnswerEnd(). onChannelFailure() may replace any of them, and is then the last
+// call.
 class AnswerHandler
 {
 public:
@@ -29,17 +30,17 @@
 
     virtual void onHead(const http::response_header<> &head) = 0;
 
-    // False: the reader has enough for now, and will call resumeReading().
+    // Returns false to pause reading until HttpChannel::resumeReading() is called.
     virtual bool onBody(std::string_view bytes) = 0;
 
-    // The answer is whole.
+    // The answer is complete.
     virtual void onAnswerEnd() = 0;
 
     virtual void onChannelFailure(const ErrorCode &cause) = 0;
 };
 
-// One HTTP/1.1 connection to an upstream, a peer or the platform: one exchange at a time, and never
-// a request sent twice. Resting channels hold no buffer. Used on the thread of its io_context.
+// One HTTP/1.1 connection to an upstream, a peer or the platform. Runs one exchange at a time and
+// never repeats a request. An idle channel holds no buffer. Used on the thread of its io_context.
 class HttpChannel : public std::enable_shared_from_this<HttpChannel>
 {
 public:
@@ -49,7 +50,8 @@
     void connect(const tcp::endpoint &endpoint, Duration timeout, Duration unacknowledgedTimeout,
                  const std::function<void(const ErrorCode &)> &onConnected);
 
-    // Sends a request and reads its answer. The reader must outlive the exchange or cancel it.
+    // Sends a request and reads its answer. The handler must outlive the exchange, or close() must
+    // be called before.
     void exchange(http::request_header<> head, std::shared_ptr<const std::string> body,
                   AnswerHandler &handler);
 
@@ -58,7 +60,7 @@
     // Closes the channel; its reader hears nothing more.
     void close();
 
-    // Whether the channel can take another request after a whole answer.
+    // Whether the channel can carry another request, after a complete answer.
     bool isReusable();
 
 private:
@@ -71,7 +73,7 @@
 
     static constexpr std::size_t kChunkBytes = 8'192;
 
-    // What one exchange needs; a resting channel has none.
+    // The state of one exchange; an idle channel has none.
     struct Exchange
     {
         http::request<http::span_body<const char>> request;
@@ -82,11 +84,11 @@
         std::array<char, kChunkBytes> chunk{};
         AnswerHandler *handler = nullptr;
         bool isWritten = false;
-        bool isReadingPaused = false; // the reader has enough
+        bool isReadingPaused = false; // onBody() has returned false
     };
 
     tcp::socket m_socket;
-    std::unique_ptr<net::steady_timer> m_connectTimer; // only while it connects
+    std::unique_ptr<net::steady_timer> m_connectTimer; // only while connecting
     std::shared_ptr<Exchange> m_exchange;
     bool m_isReusable = true;
 };
--- a/src/node/http_client.cpp
+++ b/src/node/http_client.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-// A reply that is longer is not one of ours: the largest configuration is 1 MB as base64.
+// Longer replies are invalid: the largest configuration has 1 MB in base64.
 constexpr std::size_t kMaxReplyBytes = 16 << 20;
 
-// Channels that rest for each address.
+// Idle channels that are kept for each address.
 constexpr std::size_t kMaxIdleChannels = 2;
 
-// Servers close resting channels after a time that they need not tell; below this it is unlikely.
+// Servers close idle connections after a time that they need not announce. Within this time it is
+// unlikely.
 constexpr Duration kMaxIdleTime = std::chrono::milliseconds(1'500);
 
 constexpr Duration kMaxConnectTime = std::chrono::milliseconds(1'000);
@@ -34,7 +35,7 @@
 
 } // namespace
 
-// One call from its send to its reply. Keeps itself alive until `done` was called.
+// One call and its reply. Keeps itself alive until it has called `done`.
 class HttpClient::Call : public AnswerHandler, public std::enable_shared_from_this<Call>
 {
 public:
--- a/src/node/http_client.hpp
+++ b/src/node/http_client.hpp
@@ -12,9 +12,9 @@
 
 namespace fordwood::node {
 
-// Makes the node's own calls, each with a time limit, and keeps a channel or two for each address.
-// A call is sent once and never again; a channel on which an answer was lost is closed. Used on the
-// thread of its io_context.
+// Makes the node's own calls, each with a time limit, and keeps up to two idle channels per
+// address. A call is never repeated, and a channel on which an answer was lost is closed. Used on
+// the thread of its io_context.
 class HttpClient
 {
 public:
--- a/src/node/internal_server.cpp
+++ b/src/node/internal_server.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-// A connection that asks nothing is closed after this; the platform asks every second.
+// A connection without requests is closed after this time; the platform sends one every second.
 constexpr Duration kMaxIdleTime = std::chrono::seconds(15);
 constexpr Duration kUnacknowledgedTimeout = std::chrono::seconds(2);
 constexpr std::uint32_t kMaxHeadBytes = 4'096;
 
 } // namespace
 
-// One connection: a request, its reply, the next request.
+// One connection, which carries one request and reply after the other.
 class InternalServer::Connection : public std::enable_shared_from_this<Connection>
 {
 public:
@@ -80,7 +80,7 @@
     void close()
     {
         m_timer.cancel();
-        ErrorCode ec; // a socket that is closed already is fine
+        ErrorCode ec; // closing a closed socket is harmless
         m_socket.close(ec);
     }
 
--- a/src/node/internal_server.hpp
+++ b/src/node/internal_server.hpp
@@ -12,17 +12,17 @@
 
 namespace fordwood::node {
 
-// Answers short GET requests of the platform, of peers and of monitoring: readiness, the copy of
-// the store, metrics. Used on the thread of its io_context.
+// Answers short GET requests of the platform, of peers and of monitoring, such as readiness checks,
+// requests for the replica of the store, and metrics. Used on the thread of its io_context.
 class InternalServer
 {
 public:
-    // Gives the reply for a target such as "/metrics".
+    // Returns the reply for a target such as "/metrics".
     using Answer = std::function<HttpReply(std::string_view target)>;
 
     InternalServer(net::io_context &context, Answer answer);
 
-    // False when the address cannot be used; `ec` tells why.
+    // Returns false and sets `ec` if the address cannot be used.
     bool listen(const std::string &address, ErrorCode &ec);
 
 private:
--- a/src/node/net.cpp
+++ b/src/node/net.cpp
@@ -14,7 +14,7 @@
 
 void setTcpOption(tcp::socket &socket, int option, int value)
 {
-    // A kernel that lacks the option leaves the connection to its own, longer time limits.
+    // A kernel without this option uses its own, longer time limits.
     std::ignore = ::setsockopt(socket.native_handle(), IPPROTO_TCP, option, &value, sizeof(value));
 }
 
@@ -22,10 +22,10 @@
 
 void enableDeadPeerDetection(tcp::socket &socket, Duration unacknowledgedTimeout)
 {
-    constexpr int kProbeIntervalSeconds = 1; // the shortest that the kernel takes
+    constexpr int kProbeIntervalSeconds = 1; // the kernel's minimum
     constexpr int kProbeCount = 3;
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(unacknowledgedTimeout);
-    ErrorCode ec; // the options only make failures show sooner
+    ErrorCode ec; // ignored: the options only help to detect failures sooner
     socket.set_option(tcp::no_delay(true), ec);
     socket.set_option(net::socket_base::keep_alive(true), ec);
     setTcpOption(socket, TCP_KEEPIDLE, kProbeIntervalSeconds);
--- a/src/node/net.hpp
+++ b/src/node/net.hpp
@@ -17,7 +17,7 @@
 using udp = boost::asio::ip::udp;
 using ErrorCode = boost::system::error_code;
 
-// The endpoint of a text such as "10.1.0.37:8564"; nothing when it is not one.
+// Parses an endpoint such as "10.1.0.37:8564"; nothing if the text is not valid.
 template <typename Protocol>
 std::optional<typename Protocol::endpoint> parseEndpoint(const std::string &text)
 {
@@ -36,14 +36,15 @@
     return typename Protocol::endpoint(ip, static_cast<unsigned short>(port));
 }
 
-// Makes a connection notice a peer that is gone without a word: bytes that are not confirmed within
-// `silence` break it, and so do probes while it rests.
+// Makes the connection fail when the peer vanishes without closing it: if sent bytes are not
+// acknowledged within `unacknowledgedTimeout`, or if keep-alive probes on the idle connection are
+// not answered.
 void enableDeadPeerDetection(tcp::socket &socket, Duration unacknowledgedTimeout);
 
-// Whether an idle connection can take a request: it is open, and no byte has arrived on it.
+// Whether a connection is open and has no unread input, so that a request can be sent on it.
 bool isOpenAndIdle(tcp::socket &socket);
 
-// An acceptor that listens at the address; `ec` tells why not.
+// Returns an acceptor that listens at the address; sets `ec` on failure.
 tcp::acceptor openAcceptor(net::io_context &context, const std::string &address, ErrorCode &ec);
 
 } // namespace fordwood::node
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -12,23 +12,24 @@
 
 namespace {
 
-// The part of an upstream's connections that all nodes together use: a node that starts again does
-// not know of those that its last life left open.
+// The share of an upstream's connections that all nodes together use. The rest is a reserve for
+// connections that a restarted node left open, which it no longer knows of.
 constexpr double kUsableConnectionShare = 0.9;
 
-// A node says several times a second which engines load by its order; one that fell silent may be
-// gone, and its word with it.
+// Each node reports several times a second which engines are loading weights at its order. The
+// report of a node that has stopped reporting expires after this time, as the node may be gone.
 constexpr Duration kLoadingReportLifetime = std::chrono::seconds(1);
 
-// The stores of context answer within this, or are themselves away.
+// After a suspension, context stores that are reachable answer within this time.
 constexpr Duration kResumePeriod = std::chrono::milliseconds(150);
 
-// Requests that may take longer than what is left of a planned stop are refused from here on: the
-// platform forgives those that were sent in its first 3 s, less the way of the signal to a busy
-// process.
+// From this time after the start of a planned stop, requests that may take longer than the rest of
+// it are refused. The platform tolerates it if requests from the first 3 s of the stop do not
+// finish; the difference allows for the delay until a busy process receives the signal.
 constexpr Duration kAcceptAllPeriod = std::chrono::milliseconds(2'800);
 
-// The last part of the time that the platform gives a stop, kept for what follows the requests.
+// The end of the time that the platform allows for a stop, reserved for the work after the last
+// request.
 constexpr Duration kStopReserve = std::chrono::milliseconds(600);
 
 EngineChooser::Limits chooserLimits(const config::OneProcessSettings &settings)
@@ -154,7 +155,7 @@
 
 void NodeState::apply(const ContextStoreTold &update)
 {
-    // It may have waited between the threads, as long as the node stood still.
+    // The update may have waited in the mailbox for as long as the process was suspended.
     m_contexts.storeAnswered(update.news, m_clock.now() - update.heard);
     if (update.news.clock.count() > 0)
         m_engineClock = {update.news.clock, update.heard - update.news.age};
@@ -169,7 +170,7 @@
 {
     if (m_engineClock.value.count() == 0)
         return std::chrono::milliseconds(0);
-    // What was told is a little old by now, so that this errs to the early side.
+    // The clock reading is slightly old when it arrives, so the result errs on the early side.
     return m_engineClock.value
            + std::chrono::duration_cast<std::chrono::milliseconds>(
                m_clock.now() - m_engineClock.readAt + OldContext::kFetch);
@@ -266,7 +267,7 @@
         return;
     if (head.limit.isUnreadable)
         m_limitLog.unreadable(id, requestId);
-    // A failure that something on the way has made up names no limit, and lifts none.
+    // An answer that an intermediary generated neither sets nor lifts a limit.
     const bool isAuthoritative
         = head.limit.perSecond || (head.isSealed && !head.limit.isUnreadable);
     if (!isAuthoritative)
@@ -286,7 +287,7 @@
     const std::uint64_t reported = attempt.head.weightVersion.value_or(0);
     if (attempt.model.empty() || reported == expected)
         return false;
-    // It was judged after it was sent: what has become known since then may be newer.
+    // The report is as old as the request, so what was learned since then may be newer.
     const bool isNewer
         = reported > 0 ? m_upstreams.setWeightVersion(id, attempt.model, {reported, attempt.sentAt})
                        : m_upstreams.doubtWeights(id, attempt.model, {expected, attempt.sentAt});
@@ -397,7 +398,8 @@
     m_limitLog.changed(change, source, m_gate.limits().ownPart(change.instanceId));
 }
 
-// Each node's callers return as often as its part of what all these upstreams take bears out.
+// Spreads the retry times so that this node's callers return at the rate of its share of the limits
+// of all these upstreams.
 std::chrono::milliseconds NodeState::retryAfterLimit(const ServicePool &pool)
 {
     double perSecond = 0.0;
@@ -407,8 +409,9 @@
     return times->second.next(perSecond / static_cast<double>(m_liveNodes));
 }
 
-// At the end of their backoffs upstreams take about as many requests as they have slots, and as
-// many again each second. Callers that all came back then would be rejected once more.
+// After their backoffs upstreams accept about as many requests per second as they have slots. If
+// all callers returned at that moment, most would be rejected again, so their retry times are
+// spread.
 std::chrono::milliseconds NodeState::retryAfterBackoff(const ServicePool &pool, Duration backoff)
 {
     std::size_t slots = 0;
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -33,111 +33,114 @@
 
 namespace fordwood::node {
 
-// What all requests of this node share: the configuration in force, what is known of the upstreams,
-// the channels to them. Used on the thread that serves requests.
+// The state that all requests of this node share: the current configuration, the known state of the
+// upstreams, and the channels to them. Used only on the serving thread.
 class NodeState
 {
 public:
     NodeState(net::io_context &context, const Clock &clock,
               const config::OneProcessSettings &settings, adapters::Metrics &metrics);
 
-    // Takes what the control thread tells.
+    // Applies an update from the control thread.
     void handle(const FleetUpdate &update);
 
-    // Regular work: several times a second.
+    // Periodic work; called several times a second.
     void tick();
 
-    // Whether this process stood still until a moment ago and knows of no store of context yet:
-    // what it knows of the fleet is old, and right in a few milliseconds.
+    // Whether this process has just resumed from a suspension and no context store has answered
+    // yet. Its view of the fleet is outdated, and will be current within milliseconds.
     bool isResuming();
 
-    // The upstreams of a service that this request may be sent to now.
+    // The upstreams of a service to which a request may be sent now.
     std::vector<const UpstreamRecord *> candidates(const ServicePool &pool);
 
-    // Those of the candidates that take only so many requests: this node is one of the few that may
-    // send to them.
+    // The candidates that accept only a limited number of requests. Only a few nodes, this one
+    // included, may send to them.
     std::set<std::string>
     boundedCandidates(const std::vector<const UpstreamRecord *> &candidates) const;
 
-    // When a caller may come again who is refused because all upstreams of the service that could
-    // serve it take only so many requests.
+    // The retry time for a caller that is refused because all suitable upstreams of the service
+    // have used up their rate limits.
     std::chrono::milliseconds retryAfterLimit(const ServicePool &pool);
 
-    // Likewise where all of them want none for now, for so long at least.
+    // The retry time if all of them are backing off, for at least `backoff`.
     std::chrono::milliseconds retryAfterBackoff(const ServicePool &pool, Duration backoff);
 
-    // Whether the service has upstreams, and all of them stand in evacuated failure domains.
+    // Whether the service has upstreams and all of them are in evacuated failure domains.
     bool isEvacuated(const ServicePool &pool) const;
 
-    // Whether the service has upstreams, and all of them are draining.
+    // Whether the service has upstreams and all of them are draining.
     bool isFullyDraining(const ServicePool &pool) const;
 
-    // The engines of the service that are set apart for short prompts.
+    // The engines of the service that are reserved for short prompts.
     const std::set<std::string> &shortPromptEngines(const ServicePool &pool);
 
-    // The part of the engines that a request considers.
+    // The fraction of the engines that are considered for each request.
     double candidateFraction() const;
 
-    // Counts a prompt, for what the engines must keep.
+    // Counts a short prompt toward the context that the engines for short prompts must keep.
     void countPrompt(const Prompt &prompt, const EngineTraits &traits);
 
-    // Tokens of context that this node's short prompts share.
+    // The size in tokens of the contexts that the short prompts of this node use.
     std::size_t shortContextTokens() { return m_shortDemand.own(); }
 
-    // The weight versions that were named for the model.
+    // The weight versions that were announced for the model.
     const WeightHistory &weights(const std::string &model) { return m_weights[model]; }
 
-    // A request was sent that peers must know of before they choose an engine, or a limit has
-    // changed.
+    // Requests an immediate load report to peers: a request was sent that they must know of before
+    // they choose an engine, or a limit or an upstream's draining state has changed.
     void requestLoadReport() { m_onLoadReportRequest(); }
     void onLoadReportRequest(std::function<void()> callback)
     {
         m_onLoadReportRequest = std::move(callback);
     }
 
-    // What this node's peers should hear of limits, and what those should for whom it is a relay.
+    // The rate limits to report to peers: the ones that this node has learned itself, and all known
+    // ones, which it reports where it is a relay.
     LimitNews limitNews() const { return {m_gate.limits().ownWords(), m_gate.limits().allWords()}; }
 
-    // An upstream broke off, or answered: peers may have to hear of it.
+    // An upstream closed a connection during a request, or answered: there may be news for peers.
     void onRequestNews(std::function<void()> callback) { m_onRequestNews = std::move(callback); }
     void publishRequestNews() { m_onRequestNews(); }
 
-    // What an answer says of its upstream's own state: whether it is draining, and whether it wants
-    // nothing from this node for now. Holds for each answer that the upstream has sent, also in the
-    // place of another one.
+    // Records the upstream's state from the head of an answer: whether it is draining, and whether
+    // it asks this node to back off. Applies to each answer of the upstream, even if it belongs to
+    // another request.
     void recordUpstreamState(const std::string &requestId, const UpstreamAttempt &attempt);
 
-    // What the answer to a request says of the upstream's limit; peers hear of a change at once.
+    // Records the upstream's rate limit from the answer to a request. A change is reported to peers
+    // at once.
     void recordLimit(const std::string &requestId, const UpstreamAttempt &attempt);
 
-    // The engine has turned the request away, perhaps since it runs other weights than believed.
-    // Whether these are no longer believed.
+    // Handles a rejection by an engine that may run other weights than this node assumed. Returns
+    // whether the node no longer assumes those weights.
     bool recordWeightMismatch(const std::string &requestId, const UpstreamAttempt &attempt);
 
-    // Until when a fetch that is asked for now may run, on the engines' clock; zero: not known.
+    // The time until which a context fetch that starts now may run, on the engines' clock; zero:
+    // not known.
     std::chrono::milliseconds fetchDeadline() const;
 
-    // How fast the engines of a service compute prompts.
+    // The measured speed at which the engines of a service compute prompts.
     PrefillPace &pace(const std::string &service) { return m_paces[service]; }
 
-    // Counts a request to the service, for the budget of repeated sends.
+    // Counts a request to the service toward its retry budget.
     void countRequest(const std::string &service);
 
-    // Takes one repeated send to the service out of this node's part of the budget.
+    // Takes one retry from this node's share of the service's retry budget; false if none is left.
     bool takeRetry(const std::string &service);
 
     const std::shared_ptr<const RouteTable> &table() const { return m_table; }
     bool isStopping() const { return m_stopStartedAt.has_value(); }
 
-    // Whether a request that arrives now and is answered by then at the latest will be finished
-    // before a planned stop ends. The first seconds of the stop take every request: a caller that
-    // does not know of it yet counts on that.
+    // Whether a request with this deadline may be accepted during a planned stop. In the first
+    // seconds of the stop every request is accepted, since callers do not know of it yet; after
+    // that only those that are answered before it ends.
     bool canFinishBeforeStop(TimePoint answerBy) const;
 
-    // How long ago a planned stop began; zero: none has.
+    // The time since a planned stop started; zero: none has.
     Duration timeSinceStop() const;
 
-    // When a planned stop that has begun ends at the latest.
+    // The latest end of the planned stop that has started.
     TimePoint stopDeadline() const;
     const config::OneProcessSettings &settings() const { return m_settings; }
     const Clock &clock() const { return m_clock; }
@@ -203,7 +206,7 @@
         std::set<std::string> instanceIds;
         TimePoint receivedAt{};
     };
-    std::map<std::string, LoadingReport> m_loadingReports; // by the node that says so
+    std::map<std::string, LoadingReport> m_loadingReports; // by the node that reported it
     std::map<std::string, WindowBudget> m_retryBudgets; // by service
     std::map<std::string, PrefillPace> m_paces; // by service
     ShortContextDemand m_shortDemand;
--- a/src/node/serving_loop.cpp
+++ b/src/node/serving_loop.cpp
@@ -13,8 +13,8 @@
 constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 constexpr std::size_t kMailboxCapacity = 4'096;
 
-// The platform sends no new connections after two questions a second apart found the node unready;
-// resting connections are served until then, and closed after it.
+// The platform stops routing new connections to the node after two readiness checks, a second
+// apart, have failed. Idle connections are kept until then, and closed afterwards.
 constexpr Duration kOutOfRotationAfter = std::chrono::milliseconds(3'200);
 
 } // namespace
--- a/src/node/serving_loop.hpp
+++ b/src/node/serving_loop.hpp
@@ -16,25 +16,25 @@
 
 namespace fordwood::node {
 
-// Serves the callers: accepts their connections and runs their requests, on a thread of its own.
+// Accepts the callers' connections and serves their requests, on a thread of its own.
 class ServingLoop
 {
 public:
     using PublishLoads = std::function<void(OwnLoads)>;
-    // False when the receiver is full for the moment.
+    // Returns false if the receiver's queue is full at the moment.
     using PublishRequestNews = std::function<bool(std::vector<RequestNews>)>;
 
     ServingLoop(const config::OneProcessSettings &settings, const Clock &clock,
                 adapters::Metrics &metrics, PublishLoads publishLoads,
                 PublishRequestNews publishRequestNews);
 
-    // Opens the callers' address; false when that fails, which has been logged.
+    // Listens at the callers' address. Logs a failure and returns false.
     bool open();
 
     // Runs until a planned stop is complete.
     void run() { m_context.run(); }
 
-    // Where the control thread puts what it tells.
+    // The queue for updates from the control thread.
     Mailbox<FleetUpdate> &mailbox() { return m_mailbox; }
 
 private:
@@ -49,7 +49,7 @@
     adapters::Metrics &m_metrics;
     PublishLoads m_publishLoads;
     PublishRequestNews m_publishRequestNews;
-    std::vector<RequestNews> m_unpublishedNews; // news that did not fit yet
+    std::vector<RequestNews> m_unpublishedNews; // kept until the receiver has room
     net::io_context m_context;
     NodeState m_state;
     Mailbox<FleetUpdate> m_mailbox;
