--- a/tests/node/caller_session_test.cpp
+++ b/tests/node/caller_session_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The close of a resting connection, and a request that comes at the same moment.
+// Closing an idle caller connection, also when a request arrives at the same moment.
 #include <doctest/doctest.h>
 
 #include <cstring>
@@ -18,7 +18,7 @@
 
 constexpr const char *kRequest = "GET /a HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r\r\n\r\n";
 
-// A session at rest, and its caller at the other end of the connection.
+// An idle session, and its caller at the other end of the connection.
 struct SessionFixture
 {
     SessionFixture() : state(context, clock, settings, metrics), caller(context)
@@ -33,7 +33,8 @@
 
     void sendRequest() { net::write(caller, net::buffer(kRequest, std::strlen(kRequest))); }
 
-    // All that the caller gets until the other side closes; the session's work goes on meanwhile.
+    // Returns all that the caller receives until the session closes the connection. Runs the
+    // session meanwhile.
     std::string readUntilClosed()
     {
         std::string bytes;
@@ -62,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("caller session: a request that has arrived before the close is answered [session]")
+TEST_CASE("caller session: a request that arrived before the close is answered [session]")
 {
     SessionFixture fixture;
     fixture.sendRequest();
@@ -73,12 +74,12 @@
     CHECK(fixture.wasRequestHandled());
 }
 
-TEST_CASE("caller session: a request that crosses the close is not taken [session]")
+TEST_CASE("caller session: a request that arrives during the close is not handled [session]")
 {
     SessionFixture fixture;
     fixture.session->closeWhenIdle();
     fixture.sendRequest();
-    fixture.context.poll(); // whatever would read it has its turn before the caller closes
+    fixture.context.poll(); // any pending read runs before the caller closes
     CHECK(fixture.readUntilClosed().empty());
     CHECK_FALSE(fixture.wasRequestHandled());
     ErrorCode ec;
@@ -88,7 +89,7 @@
     CHECK_FALSE(fixture.wasRequestHandled());
 }
 
-TEST_CASE("caller session: one that rests is closed at once, and ends once [session]")
+TEST_CASE("caller session: an idle session is closed at once and reports its end once [session]")
 {
     SessionFixture fixture;
     fixture.session->closeWhenIdle();
@@ -102,7 +103,8 @@
     CHECK(fixture.closedSessions == 1);
 }
 
-TEST_CASE("planned stop: from some seconds on, what may outlast it is not taken [stop]")
+TEST_CASE(
+    "planned stop: after a few seconds, requests that may outlast the stop are refused [stop]")
 {
     SessionFixture fixture;
     NodeState &state = fixture.state;
@@ -111,7 +113,8 @@
     state.handle(StopBegins{});
     const TimePoint end = state.stopDeadline();
     CHECK(end > clock.now() + 7s);
-    CHECK(state.canFinishBeforeStop(clock.now() + 12s)); // its caller could not know yet
+    CHECK(
+        state.canFinishBeforeStop(clock.now() + 12s)); // its caller could not know of the stop yet
     clock.advance(2'900ms);
     CHECK_FALSE(state.canFinishBeforeStop(clock.now() + 12s));
     CHECK(state.canFinishBeforeStop(clock.now() + 3s));
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A node that hears of the stores of kept context from relays.
+// Reading the contents of the context stores from relays.
 #include "node/context_relay_reader.hpp"
 
 #include <atomic>
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A relay that tells of one store, or fails.
+// A relay that serves the news of one store, or fails.
 class Relay
 {
 public:
@@ -76,7 +76,7 @@
     return store;
 }
 
-// A reader, and what it has told.
+// A reader and the news that it has published.
 struct ReaderFixture
 {
     ReaderFixture(const Clock &clock, ContextRelayReader::ChooseRelay chooseRelay)
@@ -103,8 +103,8 @@
 
 } // namespace
 
-TEST_CASE("relay reader: all at first, then what has changed, as old as the store's word "
-          "[relays][stores]")
+TEST_CASE("relay reader: publishes all contents first, then changes, with the age of the store's "
+          "answer [relays][stores]")
 {
     ManualClock clock;
     Relay relay(clock, 1);
@@ -123,7 +123,7 @@
     fixture.reader.setEnabled(false);
 }
 
-TEST_CASE("relay reader: one that fails is named, so that another is asked [relays][stores]")
+TEST_CASE("relay reader: after a failure another relay is asked [relays][stores]")
 {
     ManualClock clock;
     Relay first(clock, 1);
@@ -139,7 +139,7 @@
     fixture.reader.setEnabled(false);
 }
 
-TEST_CASE("relay reader: a store that is in no configuration is passed over [relays][stores]")
+TEST_CASE("relay reader: news of a store that is not configured is ignored [relays][stores]")
 {
     ManualClock clock;
     Relay relay(clock, 1);
--- a/tests/node/late_send_test.cpp
+++ b/tests/node/late_send_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// A request was sent to an engine whose weights had been replaced for longer than is allowed, and
-// began there. The engine was chosen in time; then the process stood still while the connection
-// came up, and the request was handed to it without another look at the weights: 11 s after newer
-// ones were named, where 10 s are allowed.
+// Guards against a request that starts on weights that were replaced too long ago. The engine is
+// chosen in time, but the process is suspended while the channel connects, and the weights are not
+// checked again before the request is sent. This started a request 11 s after newer weights were
+// announced, with a limit of 10 s.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 namespace {
 
-// A caller that is told nothing in these tests but how its request ends.
+// Records only the status of a complete answer.
 class RecordingWriter : public AnswerWriter
 {
 public:
@@ -39,7 +39,7 @@
     unsigned m_status = 0; // none yet
 };
 
-// Takes connections and answers nothing.
+// Accepts connections and never answers.
 class SilentEngine
 {
 public:
@@ -67,7 +67,7 @@
                            [](const tcp::socket &it) { return it.available() > 0; });
     }
 
-    // Breaks off without an answer.
+    // Closes all connections without an answer.
     void disconnect() { m_callers.clear(); }
 
 private:
@@ -75,13 +75,14 @@
     std::vector<tcp::socket> m_callers;
 };
 
-// The serving thread's state: a service with one engine, whose weights are replaced at the start.
+// The state of a node that serves one service with one engine, whose weights are replaced at the
+// start.
 struct ServingFixture
 {
     ServingFixture()
         : state(context, clock, makeSettings(), metrics), older(context), newer(context)
     {
-        // Deadlines go by the machine's clock.
+        // Deadlines are measured on the machine's clock.
         clock.advance(std::max<Duration>(0s, adapters::BootClock::now() - clock.now()) + 1h);
         ServingConfig config;
         ServicePool pool;
@@ -122,7 +123,8 @@
         state.handle(UpstreamWritten{record});
     }
 
-    // The engine is chosen; its connection is known to be up only when the context runs again.
+    // Starts a request. The engine is chosen at once, but its channel is connected only when the
+    // context runs again.
     void startCall()
     {
         http::request_header<> head;
@@ -137,11 +139,11 @@
         call->start();
     }
 
-    // Until an engine has the request, or the caller an answer.
+    // Runs until an engine has received the request or the caller an answer.
     void runUntilServed() { runUntilServed(newer); }
     void runUntilServed(SilentEngine &alternative)
     {
-        // By the wall's clock: only a fault makes it take this long.
+        // A real-time limit, which is reached only if the test fails.
         const auto until = std::chrono::steady_clock::now() + 5s;
         while (!older.hasRequest() && !alternative.hasRequest() && caller.status() == 0
                && std::chrono::steady_clock::now() < until)
@@ -162,7 +164,7 @@
 
 } // namespace
 
-TEST_CASE("late send: weights are looked at again when the connection is up [weights]")
+TEST_CASE("late send: weights are checked again once the channel is connected [weights]")
 {
     ServingFixture fixture;
     fixture.clock.advance(8s);
@@ -174,8 +176,8 @@
     CHECK(fixture.newer.hasRequest());
 }
 
-// The other side: engines with replaced weights are of use while they may be.
-TEST_CASE("late send: a connection that comes up a little late is used [weights]")
+// The opposite case: engines with replaced weights are used as long as that is allowed.
+TEST_CASE("late send: a channel that connects slightly late is used [weights]")
 {
     ServingFixture fixture;
     fixture.clock.advance(8s);
@@ -186,7 +188,7 @@
     CHECK(fixture.older.hasRequest());
 }
 
-TEST_CASE("late send: nothing is sent where the only engine's weights were replaced meanwhile "
+TEST_CASE("late send: nothing is sent if the weights of the only engine have become too old "
           "[weights]")
 {
     ServingFixture fixture;
@@ -198,7 +200,7 @@
     CHECK(fixture.caller.status() == 503);
 }
 
-TEST_CASE("late send: a stream that broke off goes on at replaced weights only before the bound "
+TEST_CASE("late send: a broken stream is resumed on replaced weights only within the limit "
           "[weights]")
 {
     for (const Duration connectDelay : {Duration(500ms), Duration(3s)}) {
--- a/tests/node/upstream_state_test.cpp
+++ b/tests/node/upstream_state_test.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// A node's serving thread before two upstreams of a plain service. Nothing is heard of the
-// platform's store.
+// The serving thread of a node with two upstreams of a service without engines. The node receives
+// no updates from the platform's store.
 class ServingFixture
 {
 public:
@@ -23,7 +23,7 @@
         write("i-2", 51);
     }
 
-    // `life`: which one of those under the id.
+    // `life`: counts the restarts of the upstream under the same id.
     void write(const std::string &id, int host, int life = 1)
     {
         UpstreamRecord record;
@@ -36,7 +36,7 @@
 
     CallerAnswer sendRequest() { return m_thread.send(); }
 
-    // Requests, so long apart. Gives how many were answered well.
+    // Sends requests at the given interval. Returns how many were answered with 200.
     int sendRequest(int requests, Duration apart)
     {
         int answered = 0;
@@ -47,7 +47,7 @@
         return answered;
     }
 
-    // Until the upstream has been asked once more. False: it gets no request.
+    // Sends requests until the upstream receives one. Returns false if it receives none.
     bool sendUntilReached(process::UpstreamStandin &upstream)
     {
         constexpr int kMaxTries = 50;
@@ -82,8 +82,8 @@
 
 } // namespace
 
-TEST_CASE("upstream state: an upstream that says in an answer that it is draining gets no request "
-          "after it [drain]")
+TEST_CASE("upstream state: an upstream whose answer reports draining gets no further requests "
+          "[drain]")
 {
     ServingFixture fixture;
     fixture.first.setDraining(true);
@@ -92,13 +92,13 @@
     CHECK(fixture.first.arrivals().size() == 1);
 }
 
-TEST_CASE("upstream state: draining that an answer reported holds until the upstream's next life "
+TEST_CASE("upstream state: draining reported by an answer lasts until the upstream restarts "
           "[drain][lives]")
 {
     ServingFixture fixture;
     fixture.first.setDraining(true);
     REQUIRE(fixture.sendUntilReached(fixture.first));
-    fixture.write("i-1", 50); // an older record of the same life, read late
+    fixture.write("i-1", 50); // an outdated record from before the report
     CHECK(fixture.sendRequest(40, 100ms) == 40);
     CHECK(fixture.first.arrivals().size() == 1);
     fixture.first.setDraining(false);
@@ -107,8 +107,8 @@
     CHECK(fixture.sendUntilReached(fixture.first));
 }
 
-// Also a rejection, an answer to another request, and one without a seal tell of the upstream.
-TEST_CASE("upstream state: each answer counts that the upstream itself has sent [drain]")
+// A rejection, an answer to another request and an answer without a seal count as well.
+TEST_CASE("upstream state: every answer that the upstream itself sent can report draining [drain]")
 {
     using Fault = process::UpstreamStandin::Fault;
     for (const Fault it : {Fault::TurnAway, Fault::OtherRequestId, Fault::NoSeal}) {
@@ -122,7 +122,7 @@
     }
 }
 
-TEST_CASE("upstream state: where all upstreams are draining, requests are rejected at once [drain]")
+TEST_CASE("upstream state: if all upstreams are draining, requests are rejected at once [drain]")
 {
     ServingFixture fixture;
     fixture.first.setDraining(true);
@@ -135,7 +135,7 @@
     CHECK(answer.retryAfter() == 1.0);
 }
 
-TEST_CASE("upstream state: an upstream gets no request within the backoff that it asked for "
+TEST_CASE("upstream state: an upstream gets no requests during the backoff that it requested "
           "[backoff]")
 {
     ServingFixture fixture;
@@ -145,7 +145,7 @@
     CHECK(fixture.first.arrivals().size() == 1);
 }
 
-TEST_CASE("upstream state: an upstream gets requests again when its backoff is over, or its life "
+TEST_CASE("upstream state: an upstream gets requests again after its backoff or a restart "
           "[backoff][lives]")
 {
     ServingFixture fixture;
@@ -154,26 +154,27 @@
     fixture.first.rejectWithBackoff(std::nullopt);
     fixture.advance(2900ms);
     CHECK_FALSE(fixture.sendUntilReached(fixture.first));
-    SUBCASE("the time is over")
+    SUBCASE("the backoff has expired")
     {
         fixture.advance(200ms);
     }
-    SUBCASE("it has started again")
+    SUBCASE("the upstream has restarted")
     {
         fixture.write("i-1", 50, 2);
     }
     CHECK(fixture.sendUntilReached(fixture.first));
 }
 
-TEST_CASE("upstream state: where all upstreams back off, callers are rejected at once and told to "
-          "return one after the other when the first one takes requests [backoff]")
+TEST_CASE(
+    "upstream state: if all upstreams back off, callers are rejected at once with retry times "
+    "spread from the end of the first backoff [backoff]")
 {
     ServingFixture fixture;
     fixture.first.rejectWithBackoff("4");
     REQUIRE(fixture.sendUntilReached(fixture.first));
     fixture.advance(500ms);
     fixture.second.rejectWithBackoff("2.5");
-    // The one that learns it has been sent, and is told the same.
+    // The request that learns of the second backoff has been sent. It gets the same kind of answer.
     double last = fixture.sendRequest().retryAfter();
     CHECK(last >= 2.5);
     const std::size_t arrived = fixture.first.arrivals().size() + fixture.second.arrivals().size();
@@ -184,23 +185,22 @@
         CHECK(answer.retryAfter() > last);
         last = answer.retryAfter();
     }
-    CHECK(last < 8.5); // two upstreams of a slot each
+    CHECK(last < 8.5); // two upstreams with one slot each
     CHECK(fixture.first.arrivals().size() + fixture.second.arrivals().size() == arrived);
     fixture.second.rejectWithBackoff(std::nullopt);
     fixture.advance(2600ms);
     CHECK(fixture.sendRequest().status == 200);
 }
 
-TEST_CASE(
-    "upstream state: what asks for no backoff that can be kept to, and which of several holds "
-    "[backoff][bad-input]")
+TEST_CASE("upstream state: invalid and extreme backoffs, and which of several applies "
+          "[backoff][bad-input]")
 {
     ServingFixture fixture;
     for (const char *it : {"0", "-3", "soon", ""}) {
         CAPTURE(it);
         fixture.first.rejectWithBackoff(it);
         REQUIRE(fixture.sendUntilReached(fixture.first));
-        fixture.advance(200ms); // an upstream that is full is passed over for less
+        fixture.advance(200ms); // longer than a full upstream is avoided
         CHECK(fixture.sendUntilReached(fixture.first));
         fixture.advance(200ms);
     }
