--- a/src/node/admitted_call.cpp
+++ b/src/node/admitted_call.cpp
@@ -15,7 +15,7 @@
     return {text.data(), text.size()};
 }
 
-CallTerms termsOf(const ServiceRoute &route, const platform::CallerHead &caller, TimePoint arrived)
+CallTerms policyOf(const ServiceRoute &route, const platform::CallerHead &caller, TimePoint arrived)
 {
     std::chrono::milliseconds timeout = caller.patience.value_or(kDefaultTimeout);
     if (route.timeout.count() > 0)
@@ -50,7 +50,7 @@
     call.pool = call.table->findService(RouteTable::targetOf(*call.route, caller.requestId));
     if (call.pool == nullptr)
         return Reason::NoUpstream;
-    call.terms = termsOf(*call.route, caller, arrived);
+    call.terms = policyOf(*call.route, caller, arrived);
     if (!state.canFinishBeforeStop(call.terms.answerBy))
         return Reason::Stopping;
     return std::nullopt;
--- a/src/node/call_handler.cpp
+++ b/src/node/call_handler.cpp
@@ -144,13 +144,13 @@
 void CallHandler::recordDisconnect()
 {
     m_state.quarantine().brokeOff(fingerprint(), m_attempt->upstream.instanceId);
-    m_state.publishRequestNews();
+    m_state.publishQuarantineUpdates();
 }
 
 void CallHandler::recordAnswered()
 {
     m_state.quarantine().answered(fingerprint());
-    m_state.publishRequestNews();
+    m_state.publishQuarantineUpdates();
 }
 
 // Counts that the attempt ends without an answer of the upstream, which may have ended.
@@ -159,7 +159,7 @@
     if (!m_attempt || !m_attempt->isOpen || !m_attempt->sent)
         return;
     m_state.quarantine().leftUnanswered(fingerprint(), m_attempt->upstream.instanceId);
-    m_state.publishRequestNews();
+    m_state.publishQuarantineUpdates();
 }
 
 bool CallHandler::selectUpstream()
--- a/src/node/context_messages.cpp
+++ b/src/node/context_messages.cpp
@@ -56,7 +56,7 @@
 
 } // namespace
 
-std::string contextNewsTarget(const std::vector<StorePosition> &positions)
+std::string contextUpdatesTarget(const std::vector<StorePosition> &positions)
 {
     std::string target(kTarget);
     for (const StorePosition &it : positions) {
@@ -66,7 +66,7 @@
     return target;
 }
 
-std::optional<std::vector<StorePosition>> parseContextNewsTarget(std::string_view target)
+std::optional<std::vector<StorePosition>> parseContextUpdatesTarget(std::string_view target)
 {
     if (!target.starts_with(kTarget))
         return std::nullopt;
@@ -83,10 +83,10 @@
     return positions;
 }
 
-std::string encodeContextNews(const std::vector<StoreNews> &news)
+std::string encodeContextUpdates(const std::vector<StoreNews> &updates)
 {
     Json stores = Json::array();
-    for (const StoreNews &it : news) {
+    for (const StoreNews &it : updates) {
         // An array, since most stores have no changes and field names would dominate the message.
         stores.push_back({it.store, it.epoch, it.next, it.clock.count(), it.age.count(),
                           it.restated, changesBySalt(it.changes)});
@@ -94,23 +94,23 @@
     return encodeCbor(stores);
 }
 
-std::optional<std::vector<StoreNews>> decodeContextNews(std::string_view bytes)
+std::optional<std::vector<StoreNews>> decodeContextUpdates(std::string_view bytes)
 {
     return decodeCbor<std::vector<StoreNews>>(bytes, [](const Json &stores) {
-        std::vector<StoreNews> news;
+        std::vector<StoreNews> updates;
         for (const Json &it : stores) {
-            StoreNews told;
+            StoreNews update;
             std::size_t field = 0;
-            it.at(field++).get_to(told.store);
-            it.at(field++).get_to(told.epoch);
-            it.at(field++).get_to(told.next);
-            told.clock = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
-            told.age = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
-            it.at(field++).get_to(told.restated);
-            told.changes = readChanges(it.at(field++));
-            news.push_back(std::move(told));
+            it.at(field++).get_to(update.store);
+            it.at(field++).get_to(update.epoch);
+            it.at(field++).get_to(update.next);
+            update.clock = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
+            update.age = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
+            it.at(field++).get_to(update.restated);
+            update.changes = readChanges(it.at(field++));
+            updates.push_back(std::move(update));
         }
-        return news;
+        return updates;
     });
 }
 
--- a/src/node/context_messages.hpp
+++ b/src/node/context_messages.hpp
@@ -13,14 +13,14 @@
 
 // Encodes a node's request to a relay as the target of a GET request: the node's position in the
 // events of each context store.
-std::string contextNewsTarget(const std::vector<StorePosition> &positions);
+std::string contextUpdatesTarget(const std::vector<StorePosition> &positions);
 
 // Nothing if the target is a different one or malformed.
-std::optional<std::vector<StorePosition>> parseContextNewsTarget(std::string_view target);
+std::optional<std::vector<StorePosition>> parseContextUpdatesTarget(std::string_view target);
 
 // The relay's answer, encoded as CBOR.
-std::string encodeContextNews(const std::vector<StoreNews> &news);
-std::optional<std::vector<StoreNews>> decodeContextNews(std::string_view bytes);
+std::string encodeContextUpdates(const std::vector<StoreNews> &updates);
+std::optional<std::vector<StoreNews>> decodeContextUpdates(std::string_view bytes);
 
 } // namespace fordwood::node
 
--- a/src/node/context_relay_reader.cpp
+++ b/src/node/context_relay_reader.cpp
@@ -42,25 +42,25 @@
     m_isEnabled = isEnabled;
     m_positions.clear(); // outdated: in between this node has read the stores directly
     if (m_isEnabled && !m_isRequestPending)
-        requestNews();
+        requestUpdates();
 }
 
-void ContextRelayReader::requestNewsAfter(Duration delay)
+void ContextRelayReader::requestUpdatesAfter(Duration delay)
 {
     m_timer.expires_after(delay);
     m_timer.async_wait([this](const ErrorCode &ec) {
         if (!ec && !m_isRequestPending)
-            requestNews();
+            requestUpdates();
     });
 }
 
-void ContextRelayReader::requestNews()
+void ContextRelayReader::requestUpdates()
 {
     if (!m_isEnabled)
         return;
     const auto relay = m_chooseRelay(m_failedRelay);
     if (!relay) {
-        requestNewsAfter(kRequestInterval);
+        requestUpdatesAfter(kRequestInterval);
         return;
     }
     m_relay = *relay;
@@ -70,41 +70,42 @@
     HttpCall call;
     call.address = m_relay;
     call.method = "GET";
-    call.target = contextNewsTarget(positions);
+    call.target = contextUpdatesTarget(positions);
     m_isRequestPending = true;
     m_client.send(call, kRequestTimeout, [this, sentAt = m_clock.now()](const HttpResult &result) {
         m_isRequestPending = false;
         if (!m_isEnabled)
             return;
         handle(result, sentAt);
-        requestNewsAfter(kRequestInterval);
+        requestUpdatesAfter(kRequestInterval);
     });
 }
 
 void ContextRelayReader::handle(const HttpResult &result, TimePoint sentAt)
 {
     constexpr unsigned kOk = 200;
-    auto news = result && result->status == kOk ? decodeContextNews(result->body) : std::nullopt;
-    if (!news) {
+    auto updates
+        = result && result->status == kOk ? decodeContextUpdates(result->body) : std::nullopt;
+    if (!updates) {
         logEvent(Event::ContextRelayFailed,
                  {{"relay", m_relay}, {"status", result ? result->status : 0}});
         m_failedRelay = m_relay;
         return;
     }
     m_failedRelay.clear();
-    for (StoreNews &it : *news) {
+    for (StoreNews &it : *updates) {
         if (m_stores.contains(it.store))
             handle(std::move(it), sentAt);
     }
 }
 
-void ContextRelayReader::handle(StoreNews news, TimePoint sentAt)
+void ContextRelayReader::handle(StoreNews update, TimePoint sentAt)
 {
     // An upper bound: the age at the relay plus the whole duration of the request.
     const TimePoint now = m_clock.now();
-    news.age += std::chrono::duration_cast<std::chrono::milliseconds>(now - sentAt);
-    m_positions[news.store] = {stableHash(news.store), news.epoch, news.next};
-    m_publish(ContextStoreTold{std::move(news), now});
+    update.age += std::chrono::duration_cast<std::chrono::milliseconds>(now - sentAt);
+    m_positions[update.store] = {stableHash(update.store), update.epoch, update.next};
+    m_publish(ContextStoreTold{std::move(update), now});
 }
 
 } // namespace fordwood::node
--- a/src/node/context_relay_reader.hpp
+++ b/src/node/context_relay_reader.hpp
@@ -35,10 +35,10 @@
     void setEnabled(bool isEnabled);
 
 private:
-    void requestNews();
-    void requestNewsAfter(Duration delay);
+    void requestUpdates();
+    void requestUpdatesAfter(Duration delay);
     void handle(const HttpResult &result, TimePoint sentAt);
-    void handle(StoreNews news, TimePoint sentAt);
+    void handle(StoreNews update, TimePoint sentAt);
 
     HttpClient &m_client;
     const Clock &m_clock;
--- a/src/node/context_store_manager.cpp
+++ b/src/node/context_store_manager.cpp
@@ -24,7 +24,7 @@
       m_watcher(context, client, clock, [this](FleetUpdate it) { handle(std::move(it)); }),
       m_relayReader(context, client, clock, std::move(chooseRelay),
                     [this](FleetUpdate it) { handle(std::move(it)); }),
-      m_log(clock), m_keeper(clock)
+      m_log(clock), m_cleaner(clock)
 { }
 
 void ContextStoreManager::setReadsStores(bool readsStores)
@@ -44,15 +44,15 @@
 
 void ContextStoreManager::handle(FleetUpdate update)
 {
-    if (const auto *answered = std::get_if<ContextStoreTold>(&update)) {
-        m_keeper.storeAnswered(answered->news);
-        m_log.told(answered->news);
-        if (answered->news.clock.count() > 0) {
-            m_engineClock = answered->news.clock;
-            m_engineClockReadAt = m_clock.now() - answered->news.age;
+    if (const auto *answer = std::get_if<ContextStoreTold>(&update)) {
+        m_cleaner.storeAnswered(answer->news);
+        m_log.told(answer->news);
+        if (answer->news.clock.count() > 0) {
+            m_engineClock = answer->news.clock;
+            m_engineClockReadAt = m_clock.now() - answer->news.age;
         }
     } else if (const auto *unreachable = std::get_if<ContextStoreSilent>(&update)) {
-        m_keeper.storeSilent(unreachable->store);
+        m_cleaner.storeSilent(unreachable->store);
         m_log.silent(unreachable->store);
     }
     m_publish(std::move(update));
@@ -60,7 +60,7 @@
 
 void ContextStoreManager::tick(const std::optional<FencedLock::Holding> &holding)
 {
-    for (const FreeParts &it : m_keeper.tick(holding))
+    for (const FreeParts &it : m_cleaner.tick(holding))
         sendFree(it, *holding);
 }
 
@@ -68,7 +68,7 @@
 {
     const auto store = m_stores.find(action.store);
     if (store == m_stores.end()) {
-        m_keeper.freed(action, false);
+        m_cleaner.freed(action, false);
         return;
     }
     // The store must not free parts after this node's lease has ended, however late the call
@@ -82,7 +82,7 @@
                                                      {"epoch", action.epoch},
                                                      {"parts", action.parts.size()},
                                                      {"status", result ? result->status : 0}});
-                      m_keeper.freed(action, platform::readFree(result));
+                      m_cleaner.freed(action, platform::readFree(result));
                   });
 }
 
--- a/src/node/context_store_manager.hpp
+++ b/src/node/context_store_manager.hpp
@@ -37,14 +37,14 @@
     void setReadsStores(bool readsStores);
 
     // The changes that a peer at these positions has not received yet.
-    std::vector<StoreNews> newsSince(const std::vector<StorePosition> &positions) const
+    std::vector<StoreNews> updatesSince(const std::vector<StorePosition> &positions) const
     {
         return m_log.since(positions);
     }
 
     void setWeights(const std::string &model, const WeightHistory &history)
     {
-        m_keeper.setWeights(model, history);
+        m_cleaner.setWeights(model, history);
     }
 
     void tick(const std::optional<FencedLock::Holding> &holding);
@@ -59,7 +59,7 @@
     ContextStoreWatcher m_watcher;
     ContextRelayReader m_relayReader;
     StoreNewsLog m_log; // for peers, while this node reads the stores
-    StoreKeeper m_keeper;
+    StoreKeeper m_cleaner;
     std::map<std::string, ContextStore> m_stores; // by name
     std::chrono::milliseconds m_engineClock{0}; // last reported value
     TimePoint m_engineClockReadAt{};
--- a/src/node/control_duty.cpp
+++ b/src/node/control_duty.cpp
@@ -187,12 +187,12 @@
 {
     if (target.starts_with(ReplicaFetcher::kTarget))
         return replicaReply(target);
-    const auto positions = parseContextNewsTarget(target);
+    const auto positions = parseContextUpdatesTarget(target);
     if (!positions)
         return {404, ""};
     if (!m_role.followsContext())
         return {503, ""};
-    return {200, encodeContextNews(m_contexts.newsSince(*positions))};
+    return {200, encodeContextUpdates(m_contexts.updatesSince(*positions))};
 }
 
 HttpReply ControlDuty::replicaReply(std::string_view target) const
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -21,7 +21,7 @@
 constexpr Duration kLoadingReportLifetime = std::chrono::seconds(1);
 
 // After a suspension, context stores that are reachable answer within this time.
-constexpr Duration kResumePeriod = std::chrono::milliseconds(150);
+constexpr Duration kStallRecoveryTime = std::chrono::milliseconds(150);
 
 // From this time after the start of a planned stop, requests that may take longer than the rest of
 // it are refused. The platform tolerates it if requests from the first 3 s of the stop do not
@@ -57,7 +57,7 @@
       m_gate(clock, coldLimits(settings), settings.node.name,
              stableHash(makeNodeLife(settings.node.name))),
       m_quarantine(clock), m_contexts(clock), m_engines(clock, chooserLimits(settings)),
-      m_channels(context, clock), m_shortDemand(clock), m_standstill(clock)
+      m_channels(context, clock), m_shortDemand(clock), m_stallDetector(clock)
 { }
 
 void NodeState::handle(const FleetUpdate &update)
@@ -95,7 +95,7 @@
 void NodeState::recordUpstreamEnd(const std::string &instanceId)
 {
     m_quarantine.upstreamEnded(instanceId);
-    m_onRequestNews();
+    m_onQuarantineUpdates();
 }
 
 void NodeState::apply(const DomainEvacuated &update)
@@ -184,7 +184,7 @@
 void NodeState::apply(const RequestsHeard &update)
 {
     m_quarantine.heard(update.news);
-    m_onRequestNews();
+    m_onQuarantineUpdates();
 }
 
 void NodeState::apply(const LimitsHeard &update)
@@ -304,21 +304,22 @@
     return assumed == record->weightVersions.end() || assumed->second != expected;
 }
 
-void NodeState::checkForStandstill()
+void NodeState::checkForStall()
 {
-    if (m_standstill.turn() > Duration::zero())
-        m_resumedAt = m_clock.now();
+    if (m_stallDetector.turn() > Duration::zero())
+        m_stallEndedAt = m_clock.now();
 }
 
-bool NodeState::isResuming()
+bool NodeState::isRecoveringFromStall()
 {
-    checkForStandstill();
-    return m_resumedAt && m_clock.now() - *m_resumedAt < kResumePeriod && !m_contexts.hasWord();
+    checkForStall();
+    return m_stallEndedAt && m_clock.now() - *m_stallEndedAt < kStallRecoveryTime
+           && !m_contexts.hasWord();
 }
 
 void NodeState::tick()
 {
-    checkForStandstill();
+    checkForStall();
     for (const std::string &it : m_upstreams.tick()) {
         recordUpstreamEnd(it);
         forget(it);
@@ -351,7 +352,7 @@
     return m_shortPromptEngines[pool.name];
 }
 
-double NodeState::candidateFraction() const
+double NodeState::consideredShare() const
 {
     return m_settings.mechanisms.fewCandidates ? partToConsider(m_liveNodes) : 1.0;
 }
@@ -423,7 +424,7 @@
 }
 
 std::set<std::string>
-NodeState::boundedCandidates(const std::vector<const UpstreamRecord *> &candidates) const
+NodeState::rateLimitedCandidates(const std::vector<const UpstreamRecord *> &candidates) const
 {
     std::set<std::string> bounded;
     for (const UpstreamRecord *it : candidates) {
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -49,7 +49,7 @@
 
     // Whether this process has just resumed from a suspension and no context store has answered
     // yet. Its view of the fleet is outdated, and will be current within milliseconds.
-    bool isResuming();
+    bool isRecoveringFromStall();
 
     // The upstreams of a service to which a request may be sent now.
     std::vector<const UpstreamRecord *> candidates(const ServicePool &pool);
@@ -57,7 +57,7 @@
     // The candidates that accept only a limited number of requests. Only a few nodes, this one
     // included, may send to them.
     std::set<std::string>
-    boundedCandidates(const std::vector<const UpstreamRecord *> &candidates) const;
+    rateLimitedCandidates(const std::vector<const UpstreamRecord *> &candidates) const;
 
     // The retry time for a caller that is refused because all suitable upstreams of the service
     // have used up their rate limits.
@@ -76,7 +76,7 @@
     const std::set<std::string> &shortPromptEngines(const ServicePool &pool);
 
     // The fraction of the engines that are considered for each request.
-    double candidateFraction() const;
+    double consideredShare() const;
 
     // Counts a short prompt toward the context that the engines for short prompts must keep.
     void countPrompt(const Prompt &prompt, const EngineTraits &traits);
@@ -100,8 +100,11 @@
     LimitNews limitNews() const { return {m_gate.limits().ownWords(), m_gate.limits().allWords()}; }
 
     // An upstream closed a connection during a request, or answered: there may be news for peers.
-    void onRequestNews(std::function<void()> callback) { m_onRequestNews = std::move(callback); }
-    void publishRequestNews() { m_onRequestNews(); }
+    void onQuarantineUpdates(std::function<void()> callback)
+    {
+        m_onQuarantineUpdates = std::move(callback);
+    }
+    void publishQuarantineUpdates() { m_onQuarantineUpdates(); }
 
     // Records the upstream's state from the head of an answer: whether it is draining, and whether
     // it asks this node to back off. Applies to each answer of the upstream, even if it belongs to
@@ -176,7 +179,7 @@
     void apply(const DrainingReported &update);
     void apply(const StopBegins &update);
 
-    void checkForStandstill();
+    void checkForStall();
     void recordUpstreamEnd(const std::string &instanceId);
     WindowBudget &retryBudget(const std::string &service);
     bool isLoading(const std::string &instanceId) const;
@@ -218,12 +221,12 @@
         TimePoint readAt{};
     };
     EngineClockReading m_engineClock;
-    StandstillWatch m_standstill;
-    std::optional<TimePoint> m_resumedAt;
+    StandstillWatch m_stallDetector;
+    std::optional<TimePoint> m_stallEndedAt;
     std::size_t m_liveNodes = 1;
     std::optional<TimePoint> m_stopStartedAt;
     std::function<void()> m_onLoadReportRequest;
-    std::function<void()> m_onRequestNews = [] {};
+    std::function<void()> m_onQuarantineUpdates = [] {};
 };
 
 } // namespace fordwood::node
--- a/src/node/serving_loop.cpp
+++ b/src/node/serving_loop.cpp
@@ -21,17 +21,18 @@
 
 ServingLoop::ServingLoop(const config::OneProcessSettings &settings, const Clock &clock,
                          adapters::Metrics &metrics, PublishLoads publishLoads,
-                         PublishRequestNews publishRequestNews)
+                         PublishQuarantineUpdates publishQuarantineUpdates)
     : m_clock(clock), m_settings(settings), m_metrics(metrics),
-      m_publishLoads(std::move(publishLoads)), m_publishRequestNews(std::move(publishRequestNews)),
-      m_context(1), m_state(m_context, clock, settings, metrics),
+      m_publishLoads(std::move(publishLoads)),
+      m_publishQuarantineUpdates(std::move(publishQuarantineUpdates)), m_context(1),
+      m_state(m_context, clock, settings, metrics),
       m_mailbox(m_context, kMailboxCapacity, [this](const FleetUpdate &it) { m_state.handle(it); }),
       m_acceptor(m_context, [this](tcp::socket it) { onAccepted(std::move(it)); }),
       m_tickTimer(m_context)
 {
     m_acceptor.onFailure([this] { m_metrics.count("fordwood_accept_failures_total"); });
     m_state.onLoadReportRequest([this] { reportLoads(true); });
-    m_state.onRequestNews([this] { reportRequestNews(); });
+    m_state.onQuarantineUpdates([this] { reportQuarantineUpdates(); });
 }
 
 bool ServingLoop::open()
@@ -67,7 +68,7 @@
     });
     m_state.tick();
     reportLoads(false);
-    reportRequestNews();
+    reportQuarantineUpdates();
     m_metrics.setGauge("fordwood_caller_connections", static_cast<double>(m_sessions.size()));
     m_metrics.setGauge("fordwood_upstream_channels",
                        static_cast<double>(m_state.channels().openChannels()));
@@ -82,12 +83,12 @@
                     m_state.upstreams().reportedDraining(), isUrgent});
 }
 
-void ServingLoop::reportRequestNews()
+void ServingLoop::reportQuarantineUpdates()
 {
-    const std::vector<RequestNews> news = m_state.quarantine().takeNews();
-    m_unpublishedNews.insert(m_unpublishedNews.end(), news.begin(), news.end());
-    if (!m_unpublishedNews.empty() && m_publishRequestNews(m_unpublishedNews))
-        m_unpublishedNews.clear();
+    const std::vector<RequestNews> updates = m_state.quarantine().takeNews();
+    m_unpublishedUpdates.insert(m_unpublishedUpdates.end(), updates.begin(), updates.end());
+    if (!m_unpublishedUpdates.empty() && m_publishQuarantineUpdates(m_unpublishedUpdates))
+        m_unpublishedUpdates.clear();
 }
 
 void ServingLoop::continueStop()
--- a/src/node/serving_loop.hpp
+++ b/src/node/serving_loop.hpp
@@ -22,11 +22,11 @@
 public:
     using PublishLoads = std::function<void(OwnLoads)>;
     // Returns false if the receiver's queue is full at the moment.
-    using PublishRequestNews = std::function<bool(std::vector<RequestNews>)>;
+    using PublishQuarantineUpdates = std::function<bool(std::vector<RequestNews>)>;
 
     ServingLoop(const config::OneProcessSettings &settings, const Clock &clock,
                 adapters::Metrics &metrics, PublishLoads publishLoads,
-                PublishRequestNews publishRequestNews);
+                PublishQuarantineUpdates publishQuarantineUpdates);
 
     // Listens at the callers' address. Logs a failure and returns false.
     bool open();
@@ -42,14 +42,14 @@
     void tick();
     void continueStop();
     void reportLoads(bool isUrgent);
-    void reportRequestNews();
+    void reportQuarantineUpdates();
 
     const Clock &m_clock;
     const config::OneProcessSettings m_settings;
     adapters::Metrics &m_metrics;
     PublishLoads m_publishLoads;
-    PublishRequestNews m_publishRequestNews;
-    std::vector<RequestNews> m_unpublishedNews; // kept until the receiver has room
+    PublishQuarantineUpdates m_publishQuarantineUpdates;
+    std::vector<RequestNews> m_unpublishedUpdates; // kept until the receiver has room
     net::io_context m_context;
     NodeState m_state;
     Mailbox<FleetUpdate> m_mailbox;
--- a/src/node/upstream_choice.cpp
+++ b/src/node/upstream_choice.cpp
@@ -57,9 +57,9 @@
                                            *call.pool->engine,
                                            plan.tried(),
                                            state.shortPromptEngines(*call.pool),
-                                           state.candidateFraction(),
+                                           state.consideredShare(),
                                            stableHash(caller.requestId, plan.sends()),
-                                           state.boundedCandidates(candidates),
+                                           state.rateLimitedCandidates(candidates),
                                            state.pace(call.pool->name)};
     return state.engines().choose(question, candidates, state.loads(), state.health(),
                                   state.contexts());
@@ -71,7 +71,7 @@
                             const std::vector<const UpstreamRecord *> &candidates)
 {
     // Short prompts do not wait for news of kept context: computing them takes less time.
-    if (!isShortPrompt(*caller.prompt, *call.pool->engine) && state.isResuming())
+    if (!isShortPrompt(*caller.prompt, *call.pool->engine) && state.isRecoveringFromStall())
         return {};
     auto choice = bestEngine(state, call, caller, plan, candidates);
     if (!choice)
--- a/tests/node/belief_ages_test.cpp
+++ b/tests/node/belief_ages_test.cpp
@@ -512,10 +512,10 @@
     const FleetUpdate waiting = serving.storeTold();
     serving.clock.advance(3s);
     serving.traffic.handle(waiting);
-    CHECK(serving.traffic.isResuming());
+    CHECK(serving.traffic.isRecoveringFromStall());
     // The other side: the next word ends the wait.
     serving.traffic.handle(serving.storeTold());
-    CHECK_FALSE(serving.traffic.isResuming());
+    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
 }
 
 TEST_CASE("ages: words of a store that wait together are as old as the last [stores]")
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -31,10 +31,10 @@
         REQUIRE(m_server.listening());
     }
 
-    void publish(const StoreNews &news)
+    void publish(const StoreNews &update)
     {
         const std::lock_guard lock(m_mutex);
-        m_log.told(news);
+        m_log.told(update);
     }
 
     const std::string address;
@@ -46,11 +46,11 @@
     {
         ++calls;
         const std::lock_guard lock(m_mutex);
-        const auto positions = parseContextNewsTarget(request.path + "?" + request.query);
+        const auto positions = parseContextUpdatesTarget(request.path + "?" + request.query);
         standins::Answer made;
         made.status = fails || !positions ? 503 : 200;
         if (made.status == 200)
-            made.body = encodeContextNews(m_log.since(*positions));
+            made.body = encodeContextUpdates(m_log.since(*positions));
         return made;
     }
 
@@ -59,14 +59,14 @@
     standins::BlockingServer m_server;
 };
 
-StoreNews news(std::uint64_t next, std::vector<StorePartChange> changes)
+StoreNews makeUpdate(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    StoreNews published;
-    published.store = "s";
-    published.epoch = 3;
-    published.next = next;
-    published.changes = std::move(changes);
-    return published;
+    StoreNews update;
+    update.store = "s";
+    update.epoch = 3;
+    update.next = next;
+    update.changes = std::move(changes);
+    return update;
 }
 
 ContextStore storeNamed(const std::string &name)
@@ -108,14 +108,14 @@
 {
     ManualClock clock;
     Relay relay(clock, 1);
-    relay.publish(news(5, {{"salt", "a", true, 10}}));
+    relay.publish(makeUpdate(5, {{"salt", "a", true, 10}}));
     clock.advance(400ms);
     ReaderFixture fixture(clock, [&](const std::string &) { return relay.address; });
     fixture.runUntilPublished(1);
     CHECK(fixture.published[0].restated);
     CHECK(fixture.published[0].changes.size() == 1);
     CHECK(fixture.published[0].age == 400ms);
-    relay.publish(news(6, {{"salt", "b", true, 10}}));
+    relay.publish(makeUpdate(6, {{"salt", "b", true, 10}}));
     while (fixture.published.back().changes.empty() || fixture.published.back().restated)
         fixture.runUntilPublished(fixture.published.size() + 1);
     CHECK(fixture.published.back().changes.size() == 1);
@@ -129,7 +129,7 @@
     Relay first(clock, 1);
     Relay second(clock, 2);
     first.fails = true;
-    second.publish(news(5, {}));
+    second.publish(makeUpdate(5, {}));
     ReaderFixture fixture(clock, [&](const std::string &failed) {
         return failed == first.address ? second.address : first.address;
     });
@@ -143,10 +143,10 @@
 {
     ManualClock clock;
     Relay relay(clock, 1);
-    StoreNews other = news(5, {});
+    StoreNews other = makeUpdate(5, {});
     other.store = "unknown";
     relay.publish(other);
-    relay.publish(news(5, {}));
+    relay.publish(makeUpdate(5, {}));
     ReaderFixture fixture(clock, [&](const std::string &) { return relay.address; });
     fixture.runUntilPublished(2);
     for (const StoreNews &it : fixture.published)
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -533,16 +533,16 @@
 TEST_CASE("peers: what relays tell survives its encoding; other bytes are none [relays][bad-input]")
 {
     const std::vector<StorePosition> positions{{1, 2, 3}, {0xffffffffffffffffULL, 0, 0}};
-    const auto asked = node::parseContextNewsTarget(node::contextNewsTarget(positions));
+    const auto asked = node::parseContextUpdatesTarget(node::contextUpdatesTarget(positions));
     REQUIRE(asked);
     REQUIRE(asked->size() == 2);
     CHECK((*asked)[0].epoch == 2);
     CHECK((*asked)[0].next == 3);
     CHECK((*asked)[1].store == 0xffffffffffffffffULL);
-    CHECK(node::parseContextNewsTarget(node::contextNewsTarget({}))->empty());
+    CHECK(node::parseContextUpdatesTarget(node::contextUpdatesTarget({}))->empty());
     for (const char *bad : {"/", "/replica?since=1", "/contexts?since=1", "/contexts?since=1.2.3",
                             "/contexts?since=1.2.x,", "/contexts?since=-1.2.3,"})
-        CHECK_FALSE(node::parseContextNewsTarget(bad));
+        CHECK_FALSE(node::parseContextUpdatesTarget(bad));
 
     StoreNews news;
     news.store = "s";
@@ -552,8 +552,8 @@
     news.clock = 77ms;
     news.restated = true;
     news.changes = {{"salt", "a", true, 100}, {"salt", "b", false, 0}, {"other", "a", true, 1}};
-    const std::string bytes = node::encodeContextNews({news});
-    const auto read = node::decodeContextNews(bytes);
+    const std::string bytes = node::encodeContextUpdates({news});
+    const auto read = node::decodeContextUpdates(bytes);
     REQUIRE(read);
     REQUIRE(read->size() == 1);
     CHECK(read->front().next == 9);
@@ -564,5 +564,5 @@
     CHECK_FALSE(read->front().changes[1].held);
     CHECK(read->front().changes[2].salt == "other");
     for (std::size_t n = 0; n < bytes.size(); ++n)
-        CHECK_FALSE(node::decodeContextNews(bytes.substr(0, n)));
+        CHECK_FALSE(node::decodeContextUpdates(bytes.substr(0, n)));
 }
--- a/tests/node/standstill_test.cpp
+++ b/tests/node/standstill_test.cpp
@@ -59,11 +59,11 @@
 {
     Serving serving;
     serving.tellStore();
-    CHECK_FALSE(serving.traffic.isResuming());
+    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
     serving.clock.advance(3s);
-    CHECK(serving.traffic.isResuming());
+    CHECK(serving.traffic.isRecoveringFromStall());
     serving.tellStore();
-    CHECK_FALSE(serving.traffic.isResuming());
+    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
 }
 
 TEST_CASE("standstill: stores that stay silent hold nobody up for long [standstill]")
@@ -71,9 +71,9 @@
     Serving serving;
     serving.tellStore();
     serving.clock.advance(3s);
-    CHECK(serving.traffic.isResuming());
+    CHECK(serving.traffic.isRecoveringFromStall());
     serving.clock.advance(150ms);
-    CHECK_FALSE(serving.traffic.isResuming());
+    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
 }
 
 TEST_CASE("standstill: stores that are silent while the node runs are not waited for [standstill]")
@@ -83,7 +83,7 @@
         serving.clock.advance(100ms);
         serving.traffic.tick();
     }
-    CHECK_FALSE(serving.traffic.isResuming());
+    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
 }
 
 TEST_CASE("standstill: an answer that lay unread is asked for anew, at once [standstill][stores]")
--- a/tests/support/serving_thread.hpp
+++ b/tests/support/serving_thread.hpp
@@ -65,7 +65,7 @@
         config.routes = {route};
         config.services = {std::move(pool)};
         m_traffic.onLoadReportRequest([] {});
-        m_traffic.onRequestNews([] {});
+        m_traffic.onQuarantineUpdates([] {});
         m_traffic.handle(ConfigInForce{std::make_shared<RouteTable>(std::move(config))});
     }
 
