--- a/src/node/context_relay_reader.cpp
+++ b/src/node/context_relay_reader.cpp
@@ -15,7 +15,7 @@
 // About the interval at which a relay itself reads batches of changes.
 constexpr Duration kRequestInterval = std::chrono::milliseconds(150);
 
-// A working relay answers within milliseconds. News from the stores is valid for 1.5 s, which
+// A working relay answers within milliseconds. Updates from the stores are valid for 1.5 s, which
 // leaves time to ask another relay.
 constexpr Duration kRequestTimeout = std::chrono::milliseconds(400);
 
--- a/src/node/context_relay_reader.hpp
+++ b/src/node/context_relay_reader.hpp
@@ -29,7 +29,7 @@
     ContextRelayReader(net::io_context &context, HttpClient &client, const Clock &clock,
                        ChooseRelay chooseRelay, Publish publish);
 
-    // Sets the stores of the current configuration. News of other stores is ignored.
+    // Sets the stores of the current configuration. Updates of other stores are ignored.
     void setStores(const std::vector<ContextStore> &stores);
 
     void setEnabled(bool isEnabled);
--- a/src/node/http_channel.hpp
+++ b/src/node/http_channel.hpp
@@ -46,7 +46,8 @@
 public:
     explicit HttpChannel(net::io_context &context);
 
-    // Connects within `patience`; `done` is told whether it came up.
+    // Connects within `timeout` and passes the result to `onConnected`. `unacknowledgedTimeout`:
+    // see enableDeadPeerDetection().
     void connect(const tcp::endpoint &endpoint, Duration timeout, Duration unacknowledgedTimeout,
                  const std::function<void(const ErrorCode &)> &onConnected);
 
@@ -57,7 +58,7 @@
 
     void resumeReading();
 
-    // Closes the channel; its reader hears nothing more.
+    // Closes the channel. The handler gets no further calls.
     void close();
 
     // Whether the channel can carry another request, after a complete answer.
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -20,7 +20,7 @@
 // report of a node that has stopped reporting expires after this time, as the node may be gone.
 constexpr Duration kLoadingReportLifetime = std::chrono::seconds(1);
 
-// After a suspension, context stores that are reachable answer within this time.
+// After a stall, context stores that are reachable answer within this time.
 constexpr Duration kStallRecoveryTime = std::chrono::milliseconds(150);
 
 // From this time after the start of a planned stop, requests that may take longer than the rest of
@@ -155,7 +155,7 @@
 
 void NodeState::apply(const ContextStoreTold &update)
 {
-    // The update may have waited in the mailbox for as long as the process was suspended.
+    // The update may have waited in the mailbox while the process was stalled.
     m_contexts.storeAnswered(update.news, m_clock.now() - update.heard);
     if (update.news.clock.count() > 0)
         m_engineClock = {update.news.clock, update.heard - update.news.age};
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -47,8 +47,9 @@
     // Periodic work; called several times a second.
     void tick();
 
-    // Whether this process has just resumed from a suspension and no context store has answered
-    // yet. Its view of the fleet is outdated, and will be current within milliseconds.
+    // Whether this process has just recovered from a stall, such as a suspension of its VM, and no
+    // context store has answered yet. Its view of the fleet is outdated, and will be current within
+    // milliseconds.
     bool isRecoveringFromStall();
 
     // The upstreams of a service to which a request may be sent now.
@@ -99,7 +100,8 @@
     // ones, which it reports where it is a relay.
     LimitNews limitNews() const { return {m_gate.limits().ownWords(), m_gate.limits().allWords()}; }
 
-    // An upstream closed a connection during a request, or answered: there may be news for peers.
+    // An upstream closed a connection during a request, or answered: the quarantine may have
+    // updates for peers.
     void onQuarantineUpdates(std::function<void()> callback)
     {
         m_onQuarantineUpdates = std::move(callback);
--- a/src/node/upstream_choice.cpp
+++ b/src/node/upstream_choice.cpp
@@ -70,7 +70,7 @@
                             bool answerStarted,
                             const std::vector<const UpstreamRecord *> &candidates)
 {
-    // Short prompts do not wait for news of kept context: computing them takes less time.
+    // Short prompts do not wait until a context store answers: computing them takes less time.
     if (!isShortPrompt(*caller.prompt, *call.pool->engine) && state.isRecoveringFromStall())
         return {};
     auto choice = bestEngine(state, call, caller, plan, candidates);
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A relay that serves the news of one store, or fails.
+// A relay that serves the updates of one store, or fails.
 class Relay
 {
 public:
@@ -76,7 +76,7 @@
     return store;
 }
 
-// A reader and the news that it has published.
+// A reader and the updates that it has published.
 struct ReaderFixture
 {
     ReaderFixture(const Clock &clock, ContextRelayReader::ChooseRelay chooseRelay)
@@ -139,7 +139,7 @@
     fixture.reader.setEnabled(false);
 }
 
-TEST_CASE("relay reader: news of a store that is not configured is ignored [relays][stores]")
+TEST_CASE("relay reader: updates of a store that is not configured are ignored [relays][stores]")
 {
     ManualClock clock;
     Relay relay(clock, 1);
