--- a/src/node/call_handler.cpp
+++ b/src/node/call_handler.cpp
@@ -29,8 +29,8 @@
 
 // How long an upstream is not used after another instance has answered at its address. The upstream
 // has ended, and its record is removed within this time. Without the pause, and with such an
-// attempt counted as the only one of a request, 3,800 of 55,000 requests were refused in a
-// simulated day in which a third of the engines crashed and restarted three times.
+// attempt counted as the only one of a request, 3,800 of 55,000 requests were refused in one
+// trial run of a day in which a third of the engines crashed and restarted three times.
 constexpr Duration kGoneUpstreamPause = std::chrono::seconds(4);
 
 // Prompts with this many tokens to compute are reported to peers immediately: they keep an engine
@@ -140,7 +140,7 @@
 }
 
 // Counts that the upstream closed the connection while handling the request. Without this, a
-// request that was repeated under new ids ended 19 engines, in a fleet of 18 at a time.
+// request that was repeated under new ids ended 19 engines, in a fleet that has 18 at a time.
 void CallHandler::recordDisconnect()
 {
     m_state.quarantine().brokeOff(fingerprint(), m_attempt->upstream.instanceId);
@@ -263,7 +263,7 @@
         handleFailure({RunState::NotRun, Reason::UpstreamLeaving, m_streamStarted});
         return;
     }
-    // In the same time the upstream's rate limit may have been used up, it may have become cold or
+    // During that time the upstream's rate limit may have been used up, it may have become cold or
     // announced a limit, or, if this process was suspended, its weights may have become too old.
     // The attempt does not count as a failure: another upstream is chosen.
     if (!m_state.gate().maySend(m_attempt->upstream.instanceId, m_call.pool->coldRequestsPerSecond)
--- a/src/node/caller_session.cpp
+++ b/src/node/caller_session.cpp
@@ -170,7 +170,8 @@
         char byte = 0;
         const auto n
             = ::recv(self->m_socket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-        // The bytes belong to the next request. They are read after the answer, and so is a close.
+        // The bytes belong to the next request and are read after the answer. If the caller has
+        // closed the connection behind them, that is detected then.
         if (n > 0)
             return;
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -410,9 +410,9 @@
     return times->second.next(perSecond / static_cast<double>(m_liveNodes));
 }
 
-// After their backoffs upstreams accept about as many requests per second as they have slots. If
-// all callers returned at that moment, most would be rejected again, so their retry times are
-// spread.
+// At the end of their backoffs, upstreams accept about as many requests at once as they have slots,
+// and as many again each second. If all callers returned at that moment, most would be rejected
+// again, so their retry times are spread.
 std::chrono::milliseconds NodeState::retryAfterBackoff(const ServicePool &pool, Duration backoff)
 {
     std::size_t slots = 0;
