--- /dev/null
+++ b/src/node/call_handler.hpp
@@ -0,0 +1,102 @@
+// SPDX-License-Identifier: MIT
+#ifndef FORDWOOD_NODE_CALL_HANDLER_HPP_INCLUDED
+#define FORDWOOD_NODE_CALL_HANDLER_HPP_INCLUDED
+
+#include <memory>
+#include <optional>
+#include <string>
+
+#include <boost/asio/steady_timer.hpp>
+
+#include "fordwood/call_plan.hpp"
+#include "fordwood/event_splitter.hpp"
+#include "fordwood/request_fingerprint.hpp"
+#include "node/admitted_call.hpp"
+#include "node/answer_writer.hpp"
+#include "node/deadline_timer.hpp"
+#include "node/http_channel.hpp"
+#include "node/node_state.hpp"
+#include "node/upstream_attempt.hpp"
+#include "node/upstream_choice.hpp"
+#include "platform/caller_messages.hpp"
+
+namespace fordwood::node {
+
+// Handles one request of a caller from its arrival to the last byte of its answer: finds the route
+// and the team, selects an upstream, sends the request, forwards the answer, and retries as
+// CallPlan decides when an attempt fails.
+class CallHandler : public AnswerHandler, public std::enable_shared_from_this<CallHandler>
+{
+public:
+    // `arrived`: when the first bytes of the request arrived. `writer` must outlive the answer, or
+    // the call to onCallerDisconnect().
+    CallHandler(NodeState &state, AnswerWriter &writer, http::request_header<> head,
+                std::string body, TimePoint arrived);
+
+    void start();
+
+    // The caller has closed its connection.
+    void onCallerDisconnect();
+
+    // The caller has caught up with the stream and can receive more.
+    void onCallerReady();
+
+    // From AnswerHandler:
+    void onHead(const http::response_header<> &head) override;
+    bool onBody(std::string_view bytes) override;
+    void onAnswerEnd() override;
+    void onChannelFailure(const ErrorCode &cause) override;
+
+private:
+    void startAttempt();
+    bool isQuarantined() const;
+    void rejectQuarantined();
+    void recordDisconnect();
+    void recordAnswered();
+    void recordUnanswered();
+    bool selectUpstream();
+    void handleNoUpstream();
+    void onConnected(std::shared_ptr<HttpChannel> channel, const ErrorCode &ec);
+    bool beginsInTime() const;
+    void sendRequest();
+    void handleFailure(const FailedAttempt &failure);
+    void handleAnswer();
+    void handleRejection();
+    bool forwardEvents(std::string_view bytes);
+    void recordPromptComputed();
+    void beginStream();
+    http::response_header<> answerHead() const;
+    void endAttempt(bool reusable);
+    void onDeadline();
+    void rejectWith(const Verdict &verdict);
+    void forwardAnswer();
+    void finish(std::string_view outcome, unsigned status);
+    void startDeadlineTimer();
+    std::chrono::milliseconds remainingTime() const;
+    std::chrono::milliseconds retryAfter();
+    RequestFingerprint fingerprint() const;
+    bool isStreamed() const;
+
+    NodeState &m_state;
+    AnswerWriter &m_writer;
+    http::request_header<> m_head;
+    std::shared_ptr<const std::string> m_body;
+    const TimePoint m_arrived;
+    platform::CallerHead m_caller;
+    AdmittedCall m_call;
+    CallPlan m_plan{CallPolicy{}};
+    std::optional<UpstreamAttempt> m_attempt;
+    DeadlineTimer m_deadlineTimer;
+    net::steady_timer m_retryTimer; // runs while no upstream is available
+    EventSplitter m_eventSplitter;
+    bool m_streamStarted = false; // the caller has received a part of the answer
+    bool m_isFinished = false;
+    std::optional<TimePoint> m_firstEventAt;
+    std::string m_lastUpstream; // instance id, for the log
+    std::optional<Unavailability> m_unavailable; // why no upstream accepts the request
+    std::optional<EngineChoice> m_busyEngine; // the least loaded engine, if all are overloaded
+};
+
+} // namespace fordwood::node
+
+#endif // FORDWOOD_NODE_CALL_HANDLER_HPP_INCLUDED
--- a/src/node/context_messages.cpp
+++ b/src/node/context_messages.cpp
@@ -16,7 +16,8 @@
 constexpr char kNumberEnd = '.';
 constexpr char kPositionEnd = ',';
 
-// Takes a number and the sign after it from the front of the text; nothing when there is none.
+// Removes a number and the delimiter `end` from the front of the text; nothing if they are not
+// there.
 std::optional<std::uint64_t> takeNumber(std::string_view &text, char end)
 {
     std::uint64_t number = 0;
@@ -27,14 +28,14 @@
     return number;
 }
 
-// Changes by salt, of which there are few: each stands once.
+// Groups consecutive changes by salt. There are few salts, so each is encoded only once per group.
 Json changesBySalt(const std::vector<StorePartChange> &changes)
 {
     Json runs = Json::array();
     for (const StorePartChange &it : changes) {
         if (runs.empty() || runs.back().at(0) != it.salt)
             runs.push_back({it.salt, Json::array()});
-        // No tokens: the store has dropped the part.
+        // Zero tokens mean that the store no longer holds the part.
         runs.back().at(1).push_back({it.partId, it.held ? it.tokens : 0});
     }
     return runs;
@@ -55,7 +56,7 @@
 
 } // namespace
 
-std::string contextNewsTarget(const std::vector<StorePosition> &positions)
+std::string contextUpdatesTarget(const std::vector<StorePosition> &positions)
 {
     std::string target(kTarget);
     for (const StorePosition &it : positions) {
@@ -65,7 +66,7 @@
     return target;
 }
 
-std::optional<std::vector<StorePosition>> readContextNewsTarget(std::string_view target)
+std::optional<std::vector<StorePosition>> parseContextUpdatesTarget(std::string_view target)
 {
     if (!target.starts_with(kTarget))
         return std::nullopt;
@@ -82,34 +83,34 @@
     return positions;
 }
 
-std::string encodeContextNews(const std::vector<ContextStoreUpdate> &news)
+std::string encodeContextUpdates(const std::vector<ContextStoreUpdate> &updates)
 {
     Json stores = Json::array();
-    for (const ContextStoreUpdate &it : news) {
-        // An array: most stores have nothing new, and names of fields would be most of the message.
+    for (const ContextStoreUpdate &it : updates) {
+        // An array, since most stores have no changes and field names would dominate the message.
         stores.push_back({it.store, it.epoch, it.next, it.clock.count(), it.age.count(),
                           it.isSnapshot, changesBySalt(it.changes)});
     }
     return encodeCbor(stores);
 }
 
-std::optional<std::vector<ContextStoreUpdate>> decodeContextNews(std::string_view bytes)
+std::optional<std::vector<ContextStoreUpdate>> decodeContextUpdates(std::string_view bytes)
 {
     return decodeCbor<std::vector<ContextStoreUpdate>>(bytes, [](const Json &stores) {
-        std::vector<ContextStoreUpdate> news;
+        std::vector<ContextStoreUpdate> updates;
         for (const Json &it : stores) {
-            ContextStoreUpdate told;
+            ContextStoreUpdate update;
             std::size_t field = 0;
-            it.at(field++).get_to(told.store);
-            it.at(field++).get_to(told.epoch);
-            it.at(field++).get_to(told.next);
-            told.clock = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
-            told.age = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
-            it.at(field++).get_to(told.isSnapshot);
-            told.changes = readChanges(it.at(field++));
-            news.push_back(std::move(told));
+            it.at(field++).get_to(update.store);
+            it.at(field++).get_to(update.epoch);
+            it.at(field++).get_to(update.next);
+            update.clock = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
+            update.age = std::chrono::milliseconds(it.at(field++).get<std::int64_t>());
+            it.at(field++).get_to(update.isSnapshot);
+            update.changes = readChanges(it.at(field++));
+            updates.push_back(std::move(update));
         }
-        return news;
+        return updates;
     });
 }
 
--- a/src/node/context_messages.hpp
+++ b/src/node/context_messages.hpp
@@ -11,16 +11,16 @@
 
 namespace fordwood::node {
 
-// The question of a node to a relay, as the target of a GET request: where it stands in the events
-// of each store of kept context.
-std::string contextNewsTarget(const std::vector<StorePosition> &positions);
+// Encodes a node's request to a relay as the target of a GET request: the node's position in the
+// events of each context store.
+std::string contextUpdatesTarget(const std::vector<StorePosition> &positions);
 
-// Nothing when the target is another one, or no question of ours.
-std::optional<std::vector<StorePosition>> readContextNewsTarget(std::string_view target);
+// Nothing if the target is a different one or malformed.
+std::optional<std::vector<StorePosition>> parseContextUpdatesTarget(std::string_view target);
 
-// The relay's answer, in CBOR.
-std::string encodeContextNews(const std::vector<ContextStoreUpdate> &news);
-std::optional<std::vector<ContextStoreUpdate>> decodeContextNews(std::string_view bytes);
+// The relay's answer, encoded as CBOR.
+std::string encodeContextUpdates(const std::vector<ContextStoreUpdate> &updates);
+std::optional<std::vector<ContextStoreUpdate>> decodeContextUpdates(std::string_view bytes);
 
 } // namespace fordwood::node
 
--- /dev/null
+++ b/src/node/serving_loop.hpp
@@ -0,0 +1,64 @@
+// SPDX-License-Identifier: MIT
+#ifndef FORDWOOD_NODE_SERVING_LOOP_HPP_INCLUDED
+#define FORDWOOD_NODE_SERVING_LOOP_HPP_INCLUDED
+
+#include <functional>
+#include <unordered_map>
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+
+#include "config/node_settings.hpp"
+#include "node/accept_loop.hpp"
+#include "node/caller_session.hpp"
+#include "node/mailbox.hpp"
+#include "node/node_state.hpp"
+
+namespace fordwood::node {
+
+// Accepts the callers' connections and serves their requests, on a thread of its own.
+class ServingLoop
+{
+public:
+    using PublishLoads = std::function<void(OwnLoads)>;
+    // Returns false if the receiver's queue is full at the moment.
+    using PublishQuarantineUpdates = std::function<bool(std::vector<QuarantineUpdate>)>;
+
+    ServingLoop(const config::OneProcessSettings &settings, const Clock &clock,
+                adapters::Metrics &metrics, PublishLoads publishLoads,
+                PublishQuarantineUpdates publishQuarantineUpdates);
+
+    // Listens at the callers' address. Logs a failure and returns false.
+    bool open();
+
+    // Runs until a planned stop is complete.
+    void run() { m_context.run(); }
+
+    // The queue for updates from the control thread.
+    Mailbox<FleetUpdate> &mailbox() { return m_mailbox; }
+
+private:
+    void onAccepted(tcp::socket socket);
+    void tick();
+    void continueStop();
+    void reportLoads(bool isUrgent);
+    void reportQuarantineUpdates();
+
+    const Clock &m_clock;
+    const config::OneProcessSettings m_settings;
+    adapters::Metrics &m_metrics;
+    PublishLoads m_publishLoads;
+    PublishQuarantineUpdates m_publishQuarantineUpdates;
+    std::vector<QuarantineUpdate> m_unpublishedUpdates; // kept until the receiver has room
+    net::io_context m_context;
+    NodeState m_state;
+    Mailbox<FleetUpdate> m_mailbox;
+    AcceptLoop m_acceptor;
+    net::steady_timer m_tickTimer;
+    std::unordered_map<CallerSession *, std::shared_ptr<CallerSession>> m_sessions;
+    bool m_idleSessionsClosed = false;
+};
+
+} // namespace fordwood::node
+
+#endif // FORDWOOD_NODE_SERVING_LOOP_HPP_INCLUDED
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A node that hears of the stores of kept context from relays.
+// Reading the contents of the context stores from relays.
 #include "node/context_relay_reader.hpp"
 
 #include <atomic>
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A relay that tells of one store, or fails.
+// A relay that serves the updates of one store, or fails.
 class Relay
 {
 public:
@@ -31,10 +31,10 @@
         REQUIRE(m_server.listening());
     }
 
-    void tell(const ContextStoreUpdate &news)
+    void publish(const ContextStoreUpdate &update)
     {
         const std::lock_guard lock(m_mutex);
-        m_log.told(news);
+        m_log.told(update);
     }
 
     const std::string address;
@@ -46,11 +46,11 @@
     {
         ++calls;
         const std::lock_guard lock(m_mutex);
-        const auto positions = readContextNewsTarget(request.path + "?" + request.query);
+        const auto positions = parseContextUpdatesTarget(request.path + "?" + request.query);
         standins::Answer made;
         made.status = fails || !positions ? 503 : 200;
         if (made.status == 200)
-            made.body = encodeContextNews(m_log.since(*positions));
+            made.body = encodeContextUpdates(m_log.since(*positions));
         return made;
     }
 
@@ -59,14 +59,14 @@
     standins::BlockingServer m_server;
 };
 
-ContextStoreUpdate news(std::uint64_t next, std::vector<StorePartChange> changes)
+ContextStoreUpdate makeUpdate(std::uint64_t next, std::vector<StorePartChange> changes)
 {
-    ContextStoreUpdate told;
-    told.store = "s";
-    told.epoch = 3;
-    told.next = next;
-    told.changes = std::move(changes);
-    return told;
+    ContextStoreUpdate update;
+    update.store = "s";
+    update.epoch = 3;
+    update.next = next;
+    update.changes = std::move(changes);
+    return update;
 }
 
 ContextStore storeNamed(const std::string &name)
@@ -76,80 +76,80 @@
     return store;
 }
 
-// A reader, and what it has told.
-struct Reading
+// A reader and the updates that it has published.
+struct ReaderFixture
 {
-    Reading(const Clock &clock, ContextRelayReader::Source source)
-        : caller(context, clock),
-          reader(context, caller, clock, std::move(source), [this](const FleetUpdate &it) {
-              told.push_back(std::get<ContextStoreTold>(it).news);
+    ReaderFixture(const Clock &clock, ContextRelayReader::ChooseRelay chooseRelay)
+        : client(context, clock),
+          reader(context, client, clock, std::move(chooseRelay), [this](const FleetUpdate &it) {
+              published.push_back(std::get<ContextStoreTold>(it).news);
           })
     {
         reader.setStores({storeNamed("s")});
-        reader.setReading(true);
+        reader.setEnabled(true);
     }
 
-    void untilTold(std::size_t n)
+    void runUntilPublished(std::size_t n)
     {
-        while (told.size() < n)
+        while (published.size() < n)
             context.run_one_for(10ms);
     }
 
     boost::asio::io_context context;
-    HttpCaller caller;
-    std::vector<ContextStoreUpdate> told;
+    HttpClient client;
+    std::vector<ContextStoreUpdate> published;
     ContextRelayReader reader;
 };
 
 } // namespace
 
-TEST_CASE("relay reader: all at first, then what has changed, as old as the store's word "
-          "[relays][stores]")
+TEST_CASE("relay reader: publishes all contents first, then changes, with the age of the store's "
+          "answer [relays][stores]")
 {
     ManualClock clock;
     Relay relay(clock, 1);
-    relay.tell(news(5, {{"salt", "a", true, 10}}));
+    relay.publish(makeUpdate(5, {{"salt", "a", true, 10}}));
     clock.advance(400ms);
-    Reading reading(clock, [&](const std::string &) { return relay.address; });
-    reading.untilTold(1);
-    CHECK(reading.told[0].isSnapshot);
-    CHECK(reading.told[0].changes.size() == 1);
-    CHECK(reading.told[0].age == 400ms);
-    relay.tell(news(6, {{"salt", "b", true, 10}}));
-    while (reading.told.back().changes.empty() || reading.told.back().isSnapshot)
-        reading.untilTold(reading.told.size() + 1);
-    CHECK(reading.told.back().changes.size() == 1);
-    CHECK(reading.told.back().changes[0].partId == "b");
-    reading.reader.setReading(false);
+    ReaderFixture fixture(clock, [&](const std::string &) { return relay.address; });
+    fixture.runUntilPublished(1);
+    CHECK(fixture.published[0].isSnapshot);
+    CHECK(fixture.published[0].changes.size() == 1);
+    CHECK(fixture.published[0].age == 400ms);
+    relay.publish(makeUpdate(6, {{"salt", "b", true, 10}}));
+    while (fixture.published.back().changes.empty() || fixture.published.back().isSnapshot)
+        fixture.runUntilPublished(fixture.published.size() + 1);
+    CHECK(fixture.published.back().changes.size() == 1);
+    CHECK(fixture.published.back().changes[0].partId == "b");
+    fixture.reader.setEnabled(false);
 }
 
-TEST_CASE("relay reader: one that fails is named, so that another is asked [relays][stores]")
+TEST_CASE("relay reader: after a failure another relay is asked [relays][stores]")
 {
     ManualClock clock;
     Relay first(clock, 1);
     Relay second(clock, 2);
     first.fails = true;
-    second.tell(news(5, {}));
-    Reading reading(clock, [&](const std::string &failed) {
+    second.publish(makeUpdate(5, {}));
+    ReaderFixture fixture(clock, [&](const std::string &failed) {
         return failed == first.address ? second.address : first.address;
     });
-    reading.untilTold(1);
+    fixture.runUntilPublished(1);
     CHECK(first.calls == 1);
     CHECK(second.calls == 1);
-    reading.reader.setReading(false);
+    fixture.reader.setEnabled(false);
 }
 
-TEST_CASE("relay reader: a store that is in no configuration is passed over [relays][stores]")
+TEST_CASE("relay reader: updates of a store that is not configured are ignored [relays][stores]")
 {
     ManualClock clock;
     Relay relay(clock, 1);
-    ContextStoreUpdate other = news(5, {});
+    ContextStoreUpdate other = makeUpdate(5, {});
     other.store = "unknown";
-    relay.tell(other);
-    relay.tell(news(5, {}));
-    Reading reading(clock, [&](const std::string &) { return relay.address; });
-    reading.untilTold(2);
-    for (const ContextStoreUpdate &it : reading.told)
+    relay.publish(other);
+    relay.publish(makeUpdate(5, {}));
+    ReaderFixture fixture(clock, [&](const std::string &) { return relay.address; });
+    fixture.runUntilPublished(2);
+    for (const ContextStoreUpdate &it : fixture.published)
         CHECK(it.store == "s");
-    reading.reader.setReading(false);
+    fixture.reader.setEnabled(false);
 }
