--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -514,8 +514,8 @@
 {
     if (call.requestId == 0)
         return;
-    m_actions.emplace_back(
-        WithdrawPermitRequest{call.requestId, call.requestedOwner, call.candidates.current()->name});
+    m_actions.emplace_back(WithdrawPermitRequest{call.requestId, call.requestedOwner,
+                                                 call.candidates.current()->name});
     m_permitRequests.erase(call.requestId);
     call.requestId = 0;
 }
--- a/src/core/permits_in_use.cpp
+++ b/src/core/permits_in_use.cpp
@@ -105,9 +105,8 @@
             ReleasePermit{permit.owner, permit.permitId, permit.upstream, 0.0, false});
     permit.owner = owner.name;
     permit.permitId = kTransferredPermitBit | call;
-    m_actions.emplace_back(
-        AdoptPermit{owner.name, owner.controlAddress, permit.permitId,
-                                      permit.upstream, permit.team});
+    m_actions.emplace_back(AdoptPermit{owner.name, owner.controlAddress, permit.permitId,
+                                       permit.upstream, permit.team});
 }
 
 void PermitsInUse::releaseLocalSlot(const std::string &upstream)
--- a/src/node/admitted_call.cpp
+++ b/src/node/admitted_call.cpp
@@ -15,7 +15,8 @@
     return {text.data(), text.size()};
 }
 
-CallPolicy policyOf(const ServiceRoute &route, const platform::CallerHead &caller, TimePoint arrived)
+CallPolicy policyOf(const ServiceRoute &route, const platform::CallerHead &caller,
+                    TimePoint arrived)
 {
     std::chrono::milliseconds timeout = caller.patience.value_or(kDefaultTimeout);
     if (route.timeout.count() > 0)
--- a/src/node/call_handler.cpp
+++ b/src/node/call_handler.cpp
@@ -237,7 +237,7 @@
     // No process listens at the address: an upstream that answers there later has just started.
     if (ec == net::error::connection_refused)
         m_state.gate().coldGate().suspectRestart(m_attempt->upstream.instanceId,
-                                             m_call.pool->coldStart);
+                                                 m_call.pool->coldStart);
     m_plan.connectionFailed();
     endAttempt(false);
     handleFailure({RunState::NotRun, Reason::ConnectFailed, m_streamStarted});
--- a/src/node/upstream_choice.cpp
+++ b/src/node/upstream_choice.cpp
@@ -52,15 +52,15 @@
     const std::string isolatedTeam
         = call.team != nullptr && call.team->isolated ? call.team->name : "";
     const EngineChooser::Query question{*caller.prompt,
-                                           isolatedTeam,
-                                           state.weights(caller.prompt->model),
+                                        isolatedTeam,
+                                        state.weights(caller.prompt->model),
                                         *call.pool->engine,
                                         plan.tried(),
-                                           state.shortPromptEngines(*call.pool),
-                                           state.consideredShare(),
+                                        state.shortPromptEngines(*call.pool),
+                                        state.consideredShare(),
                                         stableHash(caller.requestId, plan.sends()),
-                                           state.rateLimitedCandidates(candidates),
-                                           state.pace(call.pool->name)};
+                                        state.rateLimitedCandidates(candidates),
+                                        state.pace(call.pool->name)};
     return state.engines().choose(question, candidates, state.loads(), state.health(),
                                   state.contexts());
 }
