--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -138,7 +138,7 @@
             return std::make_unique<FixedShares>(clock, name, areAllSending);
         };
     };
-    const Policy kPolicies[]{{"all nodes", fixed(true)},
+    const Policy kPolicies[]{{"even", fixed(true)},
                              {"few of all nodes", fixed(false)},
                              {"few with requests", LimitFleet::gatePolicy}};
     std::cout << std::fixed << std::setprecision(2) << "| pattern | nodes | limit a second | "
