--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -13,10 +13,10 @@
 #include "fordwood/dispatcher.hpp"
 #include "fordwood/fleet_view.hpp"
 #include "fordwood/key_registry.hpp"
-#include "fordwood/load_planner.hpp"
 #include "fordwood/manual_clock.hpp"
+#include "fordwood/old_context_cleaner.hpp"
 #include "fordwood/permit_book.hpp"
-#include "fordwood/store_keeper.hpp"
+#include "fordwood/weight_load_planner.hpp"
 
 namespace {
 
@@ -265,7 +265,7 @@
 void planLoads(benchmark::State &state)
 {
     ManualClock clock;
-    LoadPlanner planner("n", 1, clock, {}, 1);
+    WeightLoadPlanner planner("n", 1, clock, {}, 1);
     std::vector<LoadTarget> targets;
     targets.reserve(static_cast<std::size_t>(state.range(0)));
     for (int it = 0; it < state.range(0); ++it)
@@ -286,9 +286,9 @@
 {
     constexpr int kStores = 17;
     ManualClock clock;
-    StoreKeeper keeper(clock);
+    OldContextCleaner keeper(clock);
     WeightHistory history;
-    history.note(1, {EventTime::at(clock.now()), 0});
+    history.record(1, {EventTime::at(clock.now()), 0});
     keeper.setWeights("m", history);
     const std::string salt = contextSalt("m", 1, "");
     for (int store = 0; store < kStores; ++store) {
--- a/include/fordwood/store_news_log.hpp
+++ b/include/fordwood/context_store_log.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_STORE_NEWS_LOG_HPP_INCLUDED
-#define FORDWOOD_STORE_NEWS_LOG_HPP_INCLUDED
+#ifndef FORDWOOD_CONTEXT_STORE_LOG_HPP_INCLUDED
+#define FORDWOOD_CONTEXT_STORE_LOG_HPP_INCLUDED
 
 #include <cstdint>
 #include <deque>
@@ -16,7 +16,7 @@
 namespace fordwood {
 
 // How far a reader has come in what a store of kept context tells.
-struct StorePosition
+struct ContextStorePosition
 {
     std::uint64_t store = 0; // hash of its name
     std::uint64_t epoch = 0;
@@ -25,7 +25,7 @@
 
 // What a relay has heard of the stores of kept context, for nodes that do not ask them themselves.
 // It keeps what each store holds, and the newest changes one by one.
-class StoreNewsLog
+class ContextStoreLog
 {
 public:
     struct Limits
@@ -33,14 +33,14 @@
         std::size_t recentChanges = 2'000; // kept for each store; older ones are told as a whole
     };
 
-    explicit StoreNewsLog(const Clock &clock) : StoreNewsLog(clock, Limits{}) { }
-    StoreNewsLog(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
+    explicit ContextStoreLog(const Clock &clock) : ContextStoreLog(clock, Limits{}) { }
+    ContextStoreLog(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    void told(const StoreNews &news);
-    void silent(const std::string &store);
+    void storeAnswered(const StoreNews &news);
+    void storeFailed(const std::string &store);
 
     // What the reader lacks, for each store that answers this node.
-    std::vector<StoreNews> since(const std::vector<StorePosition> &positions) const;
+    std::vector<StoreNews> updatesSince(const std::vector<ContextStorePosition> &positions) const;
 
 private:
     struct Batch
@@ -60,9 +60,9 @@
         std::map<std::pair<std::string, std::string>, std::size_t> parts; // by salt and id
     };
 
-    void remember(Store &store, const StoreNews &news) const;
-    StoreNews newsFor(const std::string &name, const Store &store,
-                      const StorePosition &position) const;
+    void appendRecent(Store &store, const StoreNews &news) const;
+    StoreNews updateFor(const std::string &name, const Store &store,
+                        const ContextStorePosition &position) const;
 
     const Clock &m_clock;
     const Limits m_limits;
--- a/include/fordwood/engine_chooser.hpp
+++ b/include/fordwood/engine_chooser.hpp
@@ -11,12 +11,12 @@
 
 #include "fordwood/clock.hpp"
 #include "fordwood/context_directory.hpp"
-#include "fordwood/load_book.hpp"
 #include "fordwood/mechanisms.hpp"
 #include "fordwood/prefill_pace.hpp"
 #include "fordwood/prompt.hpp"
 #include "fordwood/serving_config.hpp"
 #include "fordwood/upstream_health.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/upstream_record.hpp"
 #include "fordwood/weight_history.hpp"
 
@@ -98,7 +98,8 @@
     // Nothing: no engine may take the request now.
     std::optional<EngineChoice> choose(const Question &question,
                                        const std::vector<const UpstreamRecord *> &engines,
-                                       const LoadBook &loads, const UpstreamHealth &health,
+                                       const UpstreamLoadTracker &loads,
+                                       const UpstreamHealth &health,
                                        ContextDirectory &contexts) const;
 
     // Whether a request that is sent now and begins after such a wait may begin on the weights.
@@ -143,8 +144,8 @@
         double sharedTokens = 0.0;
     };
 
-    void rate(Rated &rated, const Terms &terms, const Question &question, const LoadBook &loads,
-              const UpstreamHealth &health) const;
+    void rate(Rated &rated, const Terms &terms, const Question &question,
+              const UpstreamLoadTracker &loads, const UpstreamHealth &health) const;
     static bool isConsidered(const Rated &rated, const Question &question);
     static void rank(std::vector<Rated> &rated, const Terms &terms,
                      const std::set<std::string> &shortGroup);
@@ -160,8 +161,8 @@
                          const Weights &weights) const;
     double storeWait(const Weights &weights, double sharedTokens) const;
     double versionCost(std::uint64_t version, const WeightHistory &weights) const;
-    Weights weightsOf(std::uint64_t version, const Question &question, const LoadBook &loads,
-                      const ContextDirectory &contexts) const;
+    Weights weightsOf(std::uint64_t version, const Question &question,
+                      const UpstreamLoadTracker &loads, const ContextDirectory &contexts) const;
     double contextCost(Rated &rated, const Terms &terms) const;
     std::size_t contextToSave(const Prompt &prompt, const PromptPart &part) const;
     EngineChoice complete(const Rated &rated, const Terms &terms, const Question &question,
--- a/include/fordwood/fenced_lock.hpp
+++ b/include/fordwood/fenced_lock.hpp
@@ -16,11 +16,11 @@
 // Asks the store for a lease.
 struct GrantLease
 {
-    Duration life;
+    Duration ttl;
 };
 
 // Writes the lock's key under the lease, if the key is absent.
-struct TakeLock
+struct AcquireLock
 {
     std::string key;
     std::string value;
@@ -28,24 +28,24 @@
 };
 
 // Renews the lease.
-struct KeepLease
+struct RenewLease
 {
     std::int64_t lease;
 };
 
 // Gives the lease up, and the lock with it.
-struct EndLease
+struct RevokeLease
 {
     std::int64_t lease;
 };
 
-using LockAction = std::variant<GrantLease, TakeLock, KeepLease, EndLease>;
+using LockAction = std::variant<GrantLease, AcquireLock, RenewLease, RevokeLease>;
 
 // How the store answered a write that had a condition.
 enum class WriteResult {
     Done,
     ConditionFailed,
-    LeaseOver,
+    LeaseExpired,
     Unknown, // no answer: it may have been done, or may be done later
     Refused, // surely not done
 };
@@ -65,13 +65,13 @@
     {
         // Of the lease: short, since engines wait for their weights until it has run out after a
         // holder's death. A renewal takes milliseconds, some hundred on a bad day.
-        Duration life = std::chrono::milliseconds(1'500);
-        Duration keepEvery = std::chrono::milliseconds(400);
+        Duration ttl = std::chrono::milliseconds(1'500);
+        Duration renewEvery = std::chrono::milliseconds(400);
         Duration quietTime = std::chrono::seconds(3);
         // Before the end of the lease in which the holder no longer acts.
         Duration margin = std::chrono::milliseconds(200);
         // A write without an answer is waited for so long before a new attempt.
-        Duration settleTime = std::chrono::seconds(2);
+        Duration answerTimeout = std::chrono::seconds(2);
         Duration retryEvery = std::chrono::milliseconds(500);
     };
 
@@ -89,7 +89,7 @@
 
     // How long this node waits before it tries to take a lock that is free: nodes that would rather
     // have another one hold it wait longer.
-    void setPatience(Duration patience) { m_patience = patience; }
+    void setAcquireDelay(Duration delay) { m_acquireDelay = delay; }
 
     // The key as the node's copy of the store shows it; null when it is absent. `epoch`: of the
     // copy.
@@ -98,11 +98,11 @@
     // The store is in this epoch. A lock of an earlier one is lost, and its lease may be another's.
     void storeRestored(std::uint64_t epoch);
 
-    void leaseGranted(std::int64_t lease, Duration life, TimePoint asked);
-    void leaseRefused();
-    void lockTaken(WriteResult result, std::int64_t revision);
-    void leaseKept(Duration life, TimePoint asked);
-    void leaseNotKept(bool isOver);
+    void leaseGranted(std::int64_t lease, Duration ttl, TimePoint sentAt);
+    void leaseNotGranted();
+    void acquireAnswered(WriteResult result, std::int64_t revision);
+    void leaseRenewed(Duration ttl, TimePoint sentAt);
+    void leaseNotRenewed(bool hasExpired);
 
     // A higher fence was seen where orders go: the lock is given up and taken anew.
     void fenceRefused();
@@ -120,20 +120,20 @@
 
     // The owner before has acted last at this moment, by its own word after its time was over, or
     // as far as it can have: `quietTime` counts from there instead of from the taking of the lock.
-    void predecessorActed(TimePoint last);
+    void setPredecessorLastActed(TimePoint lastAction);
 
 private:
-    enum class Stage : std::uint8_t { Idle, Granting, Taking, Settling, Held, Released };
+    enum class Stage : std::uint8_t { Idle, Granting, Acquiring, AwaitingKey, Held, Released };
 
     void startOver(Duration pause);
-    void hold(std::int64_t created);
+    void becomeHolder(std::int64_t createRevision);
     std::string value() const;
 
     const std::string m_key;
     const std::string m_owner;
     const Clock &m_clock;
     const Limits m_limits;
-    Duration m_patience{0};
+    Duration m_acquireDelay{0};
     Stage m_stage = Stage::Idle;
     std::uint64_t m_attempt = 0;
     std::optional<TimePoint> m_freeSince; // the key is absent
@@ -141,12 +141,12 @@
     TimePoint m_waitUntil{}; // for an answer, or for a write to show
     std::int64_t m_lease = 0;
     TimePoint m_leaseEnd{};
-    TimePoint m_nextKeep{};
-    bool m_keeping = false;
+    TimePoint m_nextRenewal{};
+    bool m_isRenewing = false;
     std::uint64_t m_epoch = 0; // of the store; zero: not known
     std::optional<TimePoint> m_restoredAt;
-    std::int64_t m_created = 0; // revision at which the own key was created
-    bool m_isShown = false; // the copy of the store has shown the own key
+    std::int64_t m_createRevision = 0; // revision at which the own key was created
+    bool m_isKeySeen = false; // the copy of the store has shown the own key
     TimePoint m_heldSince{};
     TimePoint m_actFrom{};
     std::string m_predecessor;
--- a/include/fordwood/service_chooser.hpp
+++ b/include/fordwood/service_chooser.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "fordwood/load_book.hpp"
 #include "fordwood/upstream_health.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/upstream_record.hpp"
 
 namespace fordwood {
@@ -18,7 +18,8 @@
 const UpstreamRecord *chooseUpstream(const std::vector<const UpstreamRecord *> &upstreams,
                                      const std::set<std::string> &tried,
                                      const std::string &ownFailureDomain, std::uint64_t salt,
-                                     const LoadBook &loads, const UpstreamHealth &health);
+                                     const UpstreamLoadTracker &loads,
+                                     const UpstreamHealth &health);
 
 } // namespace fordwood
 
--- a/include/fordwood/store_lease.hpp
+++ b/include/fordwood/store_lease.hpp
@@ -13,7 +13,7 @@
     std::int64_t id = 0; // zero: none
     std::uint64_t epoch = 0;
 
-    bool holdsIn(std::uint64_t current) const { return id != 0 && epoch == current; }
+    bool isValidIn(std::uint64_t current) const { return id != 0 && epoch == current; }
 };
 
 } // namespace fordwood
--- a/include/fordwood/store_replica.hpp
+++ b/include/fordwood/store_replica.hpp
@@ -18,7 +18,7 @@
 {
     std::string key;
     std::int64_t revision = 0; // of its last change, or of its removal
-    std::int64_t created = 0; // revision of its creation; unchanged while the key exists
+    std::int64_t createRevision = 0; // revision of its creation; unchanged while the key exists
     std::optional<std::string> value; // nothing: the key is gone
 
     bool operator==(const StoredItem &) const = default;
@@ -56,7 +56,7 @@
 
     // Whoever was to write again after a restore has done so: takes what the store has shown since.
     // Returns what has changed here.
-    std::vector<StoredItem> settle();
+    std::vector<StoredItem> acceptDeferred();
 
     // All changes after a version; everything when the copy no longer remembers so far back, or the
     // version is of another epoch.
@@ -73,15 +73,15 @@
     std::vector<StoredItem> beginEpoch(const StoreChanges &changes);
     bool isOlder(const StoredItem &held, const StoredItem &read) const;
     void keepHeld(const StoredItem &held, const StoredItem &read);
-    bool take(const StoredItem &item);
-    void forgetOldest();
+    bool apply(const StoredItem &item);
+    void dropOldestRemovals();
 
     std::map<std::string, StoredItem> m_items; // with the keys that are gone
     const RestorePolicy *m_policy = nullptr;
     bool m_wasRestored = false;
-    std::map<std::string, StoredItem> m_unsettled; // as read; m_items has what was held
+    std::map<std::string, StoredItem> m_deferredReads; // as read; m_items has what was held
     StoreVersion m_version;
-    std::int64_t m_rememberedSince = 0; // removals up to here may be forgotten
+    std::int64_t m_historyStart = 0; // removals up to here may be forgotten
 };
 
 } // namespace fordwood
--- a/include/fordwood/load_book.hpp
+++ b/include/fordwood/upstream_load_tracker.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_LOAD_BOOK_HPP_INCLUDED
-#define FORDWOOD_LOAD_BOOK_HPP_INCLUDED
+#ifndef FORDWOOD_UPSTREAM_LOAD_TRACKER_HPP_INCLUDED
+#define FORDWOOD_UPSTREAM_LOAD_TRACKER_HPP_INCLUDED
 
 #include <cstdint>
 #include <map>
@@ -22,41 +22,41 @@
 
 // The load of each upstream: this node's own requests exactly, those of its peers as they told
 // last. A peer that has fallen silent counts for nothing after a while.
-class LoadBook
+class UpstreamLoadTracker
 {
 public:
     using Loads = std::map<std::string, UpstreamLoad>; // by instance id
 
-    explicit LoadBook(const Clock &clock, Duration peerLife = std::chrono::seconds(2))
-        : m_clock(clock), m_peerLife(peerLife)
+    explicit UpstreamLoadTracker(const Clock &clock, Duration peerTimeout = std::chrono::seconds(2))
+        : m_clock(clock), m_peerTimeout(peerTimeout)
     { }
 
     void begin(const std::string &instanceId, const RequestLoad &load);
 
     // The prompt has been computed: the first part of the answer is there.
-    void computed(const std::string &instanceId, const RequestLoad &load);
+    void promptComputed(const std::string &instanceId, const RequestLoad &load);
 
     // The request has ended. `wasComputed`: computed() was called for it.
     void end(const std::string &instanceId, const RequestLoad &load, bool wasComputed);
 
     // Replaces what a peer has told of its own requests.
-    void setPeer(const std::string &peer, UpstreamLoads loads);
+    void setPeerLoads(const std::string &peer, UpstreamLoads loads);
 
     // What all nodes together have sent there.
     UpstreamLoad total(const std::string &instanceId) const;
 
     const Loads &own() const { return m_own; }
-    UpstreamLoad ownAt(const std::string &instanceId) const;
+    UpstreamLoad ownLoad(const std::string &instanceId) const;
 
 private:
     struct Peer
     {
         UpstreamLoads loads;
-        TimePoint told{};
+        TimePoint receivedAt{};
     };
 
     const Clock &m_clock;
-    const Duration m_peerLife;
+    const Duration m_peerTimeout;
     Loads m_own;
     std::map<std::string, Peer> m_peers;
 };
--- a/include/fordwood/weight_history.hpp
+++ b/include/fordwood/weight_history.hpp
@@ -18,7 +18,7 @@
     // The newest weights that had been named at `named.earliest`, which bounds the age of what came
     // after them only: what was replaced before may have been so for long. Zero: none had been
     // named. Nothing: not known.
-    std::optional<std::uint64_t> after;
+    std::optional<std::uint64_t> newestBefore;
 
     // Takes in what another one knows. False when that tells nothing new.
     bool narrow(const WeightNaming &other);
@@ -33,7 +33,7 @@
 {
 public:
     // False when it tells nothing new.
-    bool note(std::uint64_t version, const WeightNaming &naming);
+    bool record(std::uint64_t version, const WeightNaming &naming);
 
     // Nothing where the version was not named, as far as known.
     std::optional<WeightNaming> find(std::uint64_t version) const;
@@ -42,7 +42,7 @@
     std::uint64_t newest() const;
 
     // When the first version above this one was named; nothing when it is the newest.
-    std::optional<EventTime> superseded(std::uint64_t version) const;
+    std::optional<EventTime> supersededAt(std::uint64_t version) const;
 
     const std::map<std::uint64_t, WeightNaming> &named() const { return m_named; }
 
--- a/include/fordwood/load_planner.hpp
+++ b/include/fordwood/weight_load_planner.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_LOAD_PLANNER_HPP_INCLUDED
-#define FORDWOOD_LOAD_PLANNER_HPP_INCLUDED
+#ifndef FORDWOOD_WEIGHT_LOAD_PLANNER_HPP_INCLUDED
+#define FORDWOOD_WEIGHT_LOAD_PLANNER_HPP_INCLUDED
 
 #include <cstdint>
 #include <map>
@@ -80,27 +80,27 @@
 // `startWithin` of the moment at which the write of its slot *began*; and a slot is only taken away
 // from a holder that seems gone after it was *seen* unchanged for longer than an order may start
 // and last. Both are spans on one node's own clock.
-class LoadPlanner
+class WeightLoadPlanner
 {
 public:
     struct Limits
     {
         Duration startWithin = std::chrono::seconds(5);
-        Duration longestOrder = std::chrono::seconds(30);
+        Duration maxOrderTime = std::chrono::seconds(30);
         Duration margin = std::chrono::seconds(5);
-        Duration checkEvery = std::chrono::seconds(10); // of each engine
-        Duration retryLeast = std::chrono::milliseconds(500); // of a look at the table
-        Duration retryPerMember
+        Duration readEvery = std::chrono::seconds(10); // of each engine
+        Duration minRetryPause = std::chrono::milliseconds(500); // of a look at the table
+        Duration retryPausePerMember
             = std::chrono::milliseconds(5); // so that the fleet's rate is bounded
     };
 
-    LoadPlanner(std::string node, std::uint64_t boot, const Clock &clock, Limits limits,
-                std::uint64_t seed);
+    WeightLoadPlanner(std::string node, std::uint64_t boot, const Clock &clock, Limits limits,
+                      std::uint64_t seed);
 
     // Replaces what the owned engines must serve, by which configuration, and how many may load at
     // once in a fleet of so many members. Engines whose wanted version is new are held at once.
     void setTargets(std::vector<LoadTarget> targets, std::uint64_t configVersion,
-                    std::size_t mostAtOnce, std::size_t members);
+                    std::size_t maxConcurrentLoads, std::size_t members);
 
     // An engine has answered; nothing: it has not.
     void engineRead(const std::string &upstream, const std::optional<EngineState> &state);
@@ -136,38 +136,38 @@
         ReadingBack,
         Releasing
     };
-    enum class Fit : std::uint8_t { Unknown, Right, Wrong };
+    enum class WeightsState : std::uint8_t { Unknown, Current, Outdated };
 
     struct Engine
     {
         std::vector<LoadTarget> targets; // by model
-        Fit fit = Fit::Unknown;
+        WeightsState weights = WeightsState::Unknown;
         bool loading = false; // by its own word
         bool held = false;
-        std::optional<LoadTarget> wrong; // the target to load next
-        TimePoint nextCheck{};
-        bool checking = false;
+        std::optional<LoadTarget> nextTarget; // the target to load next
+        TimePoint nextRead{};
+        bool isReadPending = false;
     };
-    struct Seen
+    struct SeenSlot
     {
         LoadSlot slot;
         TimePoint since{};
     };
 
-    void check(const std::string &upstream, Engine &engine);
+    void requestState(const std::string &upstream, Engine &engine);
     void hold(const std::string &upstream, Engine &engine, bool held);
-    void judge(const std::string &upstream, Engine &engine, const EngineState &state);
-    void lookAtTable();
-    void observe(const LoadTable &table);
+    void updateState(const std::string &upstream, Engine &engine, const EngineState &state);
+    void readTable();
+    void trackSlots(const LoadTable &table);
     bool isStale(const LoadSlot &slot) const;
     // The engine to load next; each has its turn, so that one that fails does not stop the others.
-    std::optional<std::string> nextWrong() const;
-    void take(const StoredTable &stored);
-    void giveUp(const StoredTable &stored);
+    std::optional<std::string> nextOutdatedEngine() const;
+    void takeSlot(const StoredTable &stored);
+    void releaseSlot(const StoredTable &stored);
     void verify();
-    void verified();
+    void handleVerified();
     void startRelease();
-    void rest();
+    void scheduleRetry();
     bool isOwn(const LoadSlot &slot) const { return slot.node == m_node && slot.boot == m_boot; }
 
     const std::string m_node;
@@ -177,16 +177,16 @@
     std::mt19937_64 m_random;
     std::map<std::string, Engine> m_engines;
     std::uint64_t m_configVersion = 0;
-    std::size_t m_mostAtOnce = 1;
+    std::size_t m_maxConcurrentLoads = 1;
     std::size_t m_members = 1;
     Stage m_stage = Stage::Idle;
     std::optional<LoadSlot> m_slot; // wanted or held
-    TimePoint m_takeBegan{};
+    TimePoint m_takeStarted{};
     TimePoint m_orderEnd{}; // the slot is kept so long for an engine that is still loading
     std::string m_lastTried;
     bool m_releasing = false; // the own slot must go
-    TimePoint m_nextLook{};
-    std::map<std::int64_t, Seen> m_seen; // by fence
+    TimePoint m_nextTableRead{};
+    std::map<std::int64_t, SeenSlot> m_seenSlots; // by fence
     std::vector<LoadAction> m_actions;
 };
 
--- a/include/fordwood/weight_rollout.hpp
+++ b/include/fordwood/weight_rollout.hpp
@@ -14,8 +14,8 @@
 
 #include "fordwood/clock.hpp"
 #include "fordwood/fenced_lock.hpp"
-#include "fordwood/load_book.hpp"
 #include "fordwood/seen_weights.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/upstream_record.hpp"
 
 namespace fordwood {
@@ -29,7 +29,7 @@
 };
 
 // Asks an engine for its report.
-struct AskReport
+struct FetchReport
 {
     std::string instanceId;
     std::string address;
@@ -46,7 +46,7 @@
     std::int64_t ordersTaken;
 };
 
-using RolloutAction = std::variant<AskReport, OrderWeights>;
+using RolloutAction = std::variant<FetchReport, OrderWeights>;
 
 // How an engine answered an order.
 enum class OrderResult {
@@ -70,14 +70,14 @@
     Load, // it was ordered
 };
 
-struct EngineBehind
+struct OutdatedEngine
 {
     std::string model;
     std::uint64_t version = 0; // that it has
     std::uint64_t target = 0;
     RolloutWait waitsFor = RolloutWait::Turn;
 
-    bool operator==(const EngineBehind &) const = default;
+    bool operator==(const OutdatedEngine &) const = default;
 };
 
 // Brings the engines to the weight versions that were named, a few at a time, while this node holds
@@ -89,21 +89,21 @@
     {
         // Engines that may load at once, as a part of all and at least so many: beyond it each load
         // takes longer.
-        double loadingPart = 0.2;
-        std::size_t leastLoading = 2;
+        double loadingShare = 0.2;
+        std::size_t minLoadingLimit = 2;
         // From the announcement that an engine is about to load to the order: no node sends it
         // requests that it would turn away, and what runs there ends, which the load waits for.
         Duration announceLead = std::chrono::milliseconds(60);
-        Duration longestDrain = std::chrono::milliseconds(1'500);
+        Duration maxDrainTime = std::chrono::milliseconds(1'500);
         Duration reportEvery = std::chrono::milliseconds(120); // while an engine loads
         // Reports tell of some hundred milliseconds ago: one that does not count the last order
         // yet is passed over for so long.
         Duration reportLag = std::chrono::milliseconds(1'000);
         // An engine that loads and misses so many reports in a row is taken for down.
-        int mostReportsMissed = 2;
+        int maxMissedReports = 2;
         // An engine that does not come to its version in time is put behind the others.
-        Duration longestLoad = std::chrono::seconds(8);
-        Duration pause = std::chrono::seconds(1);
+        Duration maxLoadTime = std::chrono::seconds(8);
+        Duration retryPause = std::chrono::seconds(1);
     };
 
     explicit WeightRollout(const Clock &clock) : WeightRollout(clock, Limits{}) { }
@@ -115,28 +115,28 @@
     // The version that a model must come to.
     void setTarget(const std::string &model, std::uint64_t version);
 
-    void reportRead(const std::string &instanceId, const std::optional<EngineReport> &report);
+    void reportReceived(const std::string &instanceId, const std::optional<EngineReport> &report);
     void orderAnswered(const std::string &instanceId, OrderResult result);
 
     // What is to be done now under the lock; nothing without it.
     std::vector<RolloutAction> tick(const std::optional<FencedLock::Holding> &holding,
-                                    const LoadBook &loads);
+                                    const UpstreamLoadTracker &loads);
 
     // The engines that load or are about to.
     std::set<std::string> loading() const;
 
     // The engines that have not come to their weights, by id.
-    std::map<std::string, EngineBehind> behind(const FencedLock::Holding &holding) const;
+    std::map<std::string, OutdatedEngine> outdatedEngines(const FencedLock::Holding &holding) const;
 
     // Versions of engines by model that reports have shown, and that the records may not say yet.
-    using Shown = std::map<std::string, std::map<std::string, SeenWeights>>;
-    const Shown &shown() const { return m_shown; }
+    using ReportedVersions = std::map<std::string, std::map<std::string, SeenWeights>>;
+    const ReportedVersions &reportedVersions() const { return m_reportedVersions; }
 
     // The engine's record has said what was shown, or should have.
-    void forgetShown(const std::string &instanceId, const std::string &model);
+    void forgetReported(const std::string &instanceId, const std::string &model);
 
     // Whether more has been shown since the last call.
-    bool takeShownAnew() { return std::exchange(m_shownAnew, false); }
+    bool takeNewReports() { return std::exchange(m_hasNewReports, false); }
 
     // Whether an engine has refused the fence since the last call.
     bool takeFenceRefused() { return std::exchange(m_fenceRefused, false); }
@@ -149,7 +149,7 @@
     {
         std::string address;
         std::map<std::string, std::uint64_t> versions;
-        TimePoint notBefore{}; // after a failure
+        TimePoint retryAt{}; // after a failure
         bool isSilent = false; // did not answer when asked last
     };
     struct Load
@@ -157,28 +157,29 @@
         Stage stage = Stage::Asking;
         TimePoint since{};
         TimePoint nextStep{};
-        bool isAsking = false; // a report is on its way
-        std::optional<TimePoint> ordered; // while it loads, or may do so
-        bool isUnanswered = false; // the order
-        int reportsMissed = 0; // in a row
+        bool isCallPending = false; // a report is on its way
+        std::optional<TimePoint> orderedAt; // while it loads, or may do so
+        bool isOrderUnanswered = false; // the order
+        int missedReports = 0; // in a row
         std::string model; // that was ordered, and its version
         std::uint64_t version = 0;
         std::int64_t ordersTaken = 0; // by the report that the order followed
     };
 
     RolloutWait waitOf(const std::string &instanceId, const Engine &engine) const;
-    std::optional<std::string> modelBehind(const Engine &engine) const;
+    std::optional<std::string> outdatedModel(const Engine &engine) const;
     std::uint64_t versionsBehind(const Engine &engine) const;
-    void startLoads(const LoadBook &loads);
-    std::size_t mostAtOnce() const;
-    std::size_t mostKeptFree() const;
-    std::size_t keptFree() const;
-    std::size_t asked(bool silent) const;
-    bool mayOrder() const;
-    void step(const std::string &instanceId, Load &load, const LoadBook &loads, std::int64_t fence);
+    void startLoads(const UpstreamLoadTracker &loads);
+    std::size_t maxConcurrentLoads() const;
+    std::size_t maxDrainedOrLoading() const;
+    std::size_t drainedOrLoading() const;
+    std::size_t askedCount(bool silent) const;
+    bool canOrder() const;
+    void step(const std::string &instanceId, Load &load, const UpstreamLoadTracker &loads,
+              std::int64_t fence);
     void order(const std::string &instanceId, Load &load, std::int64_t fence);
-    void noteMissed(const std::string &instanceId, Load &load);
-    void noteState(Load &load, const EngineReport &report);
+    void handleMissedReport(const std::string &instanceId, Load &load);
+    void handleReport(Load &load, const EngineReport &report);
     bool isDone(const Engine &engine, const Load &load) const;
     void giveUp(const std::string &instanceId);
 
@@ -187,9 +188,9 @@
     std::map<std::string, Engine> m_engines;
     std::map<std::string, std::uint64_t> m_targets;
     std::map<std::string, Load> m_loads;
-    Shown m_shown;
+    ReportedVersions m_reportedVersions;
     std::vector<RolloutAction> m_actions;
-    bool m_shownAnew = false;
+    bool m_hasNewReports = false;
     bool m_fenceRefused = false;
 };
 
--- a/src/apps/controld/load_duty.cpp
+++ b/src/apps/controld/load_duty.cpp
@@ -116,13 +116,13 @@
     if (!stored)
         return m_planner.tableRead(std::nullopt);
     if (!*stored)
-        return m_planner.tableRead(LoadPlanner::StoredTable{});
+        return m_planner.tableRead(WeightLoadPlanner::StoredTable{});
     auto table = adapters::decodeLoadTable((*stored)->value);
     if (!table) {
         logEvent(Event::LoadTableDamaged);
         return m_planner.tableRead(std::nullopt);
     }
-    m_planner.tableRead(LoadPlanner::StoredTable{std::move(*table), (*stored)->revision});
+    m_planner.tableRead(WeightLoadPlanner::StoredTable{std::move(*table), (*stored)->revision});
 }
 
 void LoadDuty::carryOut(const SwapLoadTable &action)
--- a/src/apps/controld/load_duty.hpp
+++ b/src/apps/controld/load_duty.hpp
@@ -11,7 +11,7 @@
 
 #include "adapters/observe/metrics.hpp"
 #include "adapters/platform/etcd_store.hpp"
-#include "fordwood/load_planner.hpp"
+#include "fordwood/weight_load_planner.hpp"
 
 namespace fordwood::apps {
 
@@ -59,7 +59,7 @@
     const Clock &m_clock;
     LoadListener &m_listener;
     adapters::Metrics &m_metrics;
-    LoadPlanner m_planner; // of the duty's thread alone
+    WeightLoadPlanner m_planner; // of the duty's thread alone
     std::thread m_thread;
     std::mutex m_mutex;
     std::condition_variable m_wake;
--- a/src/core/context_directory.cpp
+++ b/src/core/context_directory.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <set>
 
+#include "fordwood/old_context_cleaner.hpp"
 #include "fordwood/rendezvous.hpp"
-#include "fordwood/store_keeper.hpp"
 
 namespace fordwood {
 
@@ -169,10 +169,10 @@
     const auto history = m_weights.find(parsed->modelHash);
     if (history == m_weights.end())
         return true;
-    const auto replaced = history->second.superseded(parsed->weightVersion);
+    const auto replaced = history->second.supersededAt(parsed->weightVersion);
     return !replaced
            || (replaced->earliest
-               && m_clock.now() + ahead - *replaced->earliest < OldContext::useOf(partId));
+               && m_clock.now() + ahead - *replaced->earliest < OldContextTimes::useTimeOf(partId));
 }
 
 void ContextDirectory::storeSilent(const std::string &store)
--- a/src/core/store_news_log.cpp
+++ b/src/core/context_store_log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "fordwood/store_news_log.hpp"
+#include "fordwood/context_store_log.hpp"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 
 namespace fordwood {
 
-void StoreNewsLog::told(const StoreNews &news)
+void ContextStoreLog::storeAnswered(const StoreNews &news)
 {
     Store &store = m_stores[news.store];
     if (news.restated || news.epoch != store.epoch) {
@@ -23,7 +23,7 @@
             store.parts.erase({it.salt, it.partId});
     }
     if (!news.restated && news.epoch == store.epoch)
-        remember(store, news);
+        appendRecent(store, news);
     store.epoch = news.epoch;
     store.next = news.next;
     store.answers = true;
@@ -32,7 +32,7 @@
     store.clock = news.clock;
 }
 
-void StoreNewsLog::remember(Store &store, const StoreNews &news) const
+void ContextStoreLog::appendRecent(Store &store, const StoreNews &news) const
 {
     if (news.changes.empty())
         return;
@@ -44,13 +44,13 @@
     }
 }
 
-void StoreNewsLog::silent(const std::string &store)
+void ContextStoreLog::storeFailed(const std::string &store)
 {
     m_stores[store].answers = false;
 }
 
-StoreNews StoreNewsLog::newsFor(const std::string &name, const Store &store,
-                                const StorePosition &position) const
+StoreNews ContextStoreLog::updateFor(const std::string &name, const Store &store,
+                                     const ContextStorePosition &position) const
 {
     StoreNews news;
     news.store = name;
@@ -80,16 +80,19 @@
     return news;
 }
 
-std::vector<StoreNews> StoreNewsLog::since(const std::vector<StorePosition> &positions) const
+std::vector<StoreNews>
+ContextStoreLog::updatesSince(const std::vector<ContextStorePosition> &positions) const
 {
     std::vector<StoreNews> told;
     for (const auto &[name, store] : m_stores) {
         if (!store.answers)
             continue;
         const std::uint64_t hash = stableHash(name);
-        const auto known = std::find_if(positions.begin(), positions.end(),
-                                        [&](const StorePosition &it) { return it.store == hash; });
-        told.push_back(newsFor(name, store, known == positions.end() ? StorePosition{} : *known));
+        const auto known
+            = std::find_if(positions.begin(), positions.end(),
+                           [&](const ContextStorePosition &it) { return it.store == hash; });
+        told.push_back(
+            updateFor(name, store, known == positions.end() ? ContextStorePosition{} : *known));
     }
     return told;
 }
--- a/src/core/engine_chooser.cpp
+++ b/src/core/engine_chooser.cpp
@@ -68,7 +68,7 @@
 bool EngineChooser::beginsInTime(std::uint64_t version, Duration beginsAfter,
                                  const WeightHistory &weights) const
 {
-    const auto replaced = weights.superseded(version);
+    const auto replaced = weights.supersededAt(version);
     if (!replaced)
         return true;
     // Weights that were replaced at a time that nobody knows may have been so for long: only nodes
@@ -176,7 +176,7 @@
 
 double EngineChooser::versionCost(std::uint64_t version, const WeightHistory &weights) const
 {
-    const auto replaced = weights.superseded(version);
+    const auto replaced = weights.supersededAt(version);
     const bool losesValue = replaced
                             && (!replaced->earliest
                                 || m_clock.now() - *replaced->earliest >= m_limits.oldWeightsFine);
@@ -184,7 +184,7 @@
 }
 
 EngineChooser::Weights EngineChooser::weightsOf(std::uint64_t version, const Question &question,
-                                                const LoadBook &loads,
+                                                const UpstreamLoadTracker &loads,
                                                 const ContextDirectory &contexts) const
 {
     const Prompt &prompt = question.prompt;
@@ -192,7 +192,7 @@
     weights.version = version;
     weights.salt = contextSalt(prompt.model, version, question.walledTeam);
     weights.cost = versionCost(version, question.weights);
-    weights.isReplaced = question.weights.superseded(version).has_value();
+    weights.isReplaced = question.weights.supersededAt(version).has_value();
     if (prompt.parts.size() > 1 && m_limits.mechanisms.contextStores)
         weights.holder = contexts.storeWith(weights.salt, prompt.parts.front().id);
     if (!weights.holder.address.empty())
@@ -231,7 +231,7 @@
 }
 
 void EngineChooser::rate(Rated &rated, const Terms &terms, const Question &question,
-                         const LoadBook &loads, const UpstreamHealth &health) const
+                         const UpstreamLoadTracker &loads, const UpstreamHealth &health) const
 {
     const std::string &id = rated.engine->instanceId;
     rated.load = loads.total(id);
@@ -253,7 +253,7 @@
 
 std::optional<EngineChoice>
 EngineChooser::choose(const Question &question, const std::vector<const UpstreamRecord *> &engines,
-                      const LoadBook &loads, const UpstreamHealth &health,
+                      const UpstreamLoadTracker &loads, const UpstreamHealth &health,
                       ContextDirectory &contexts) const
 {
     const Prompt &prompt = question.prompt;
@@ -311,7 +311,7 @@
     choice.instanceId = rated.engine->instanceId;
     choice.weightVersion = rated.weights->version;
     choice.newestWeights = question.weights.newest();
-    const auto replaced = question.weights.superseded(choice.weightVersion);
+    const auto replaced = question.weights.supersededAt(choice.weightVersion);
     if (replaced && replaced->earliest)
         choice.replacedFor = m_clock.now() - *replaced->earliest;
     choice.salt = rated.weights->salt;
--- a/src/core/event_time.cpp
+++ b/src/core/event_time.cpp
@@ -10,7 +10,7 @@
 // Words of others arrive late, so that what they call the earliest moment seems later each time it
 // is passed on. Smaller differences than this are not taken over: two nodes that told each other
 // the same would else move it forward without end.
-constexpr Duration kLeastGain = std::chrono::milliseconds(500);
+constexpr Duration kMinGain = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -19,8 +19,8 @@
     const EventTime before = *this;
     latest = std::min(latest, other.latest);
     // A word that calls it younger than it is known to be comes from long ago, and tells nothing.
-    const bool isTrue = other.earliest && *other.earliest - latest < kLeastGain;
-    const bool isBetter = isTrue && (!earliest || *other.earliest - *earliest >= kLeastGain);
+    const bool isPlausible = other.earliest && *other.earliest - latest < kMinGain;
+    const bool isBetter = isPlausible && (!earliest || *other.earliest - *earliest >= kMinGain);
     if (isBetter)
         earliest = other.earliest;
     // Delays only make a moment seem later, and so cannot make the latest one wrong.
--- a/src/core/fenced_lock.cpp
+++ b/src/core/fenced_lock.cpp
@@ -34,92 +34,93 @@
     storeRestored(epoch);
     if (epoch < m_epoch)
         return;
-    const bool isOwn = item != nullptr && item->value == value();
+    const bool isOwnKey = item != nullptr && item->value == value();
     // The copy may be merged up to a revision from before this node took the lock: as long as it
     // has not shown the key, only the lease tells whether the lock is still held.
-    if (item == nullptr && m_stage == Stage::Held && !m_isShown)
+    if (item == nullptr && m_stage == Stage::Held && !m_isKeySeen)
         return;
     if (item == nullptr) {
         if (!m_freeSince)
             m_freeSince = m_clock.now();
     } else {
         m_freeSince.reset();
-        if (!isOwn)
+        if (!isOwnKey)
             m_predecessor = item->value->substr(0, item->value->rfind('#'));
     }
-    if (isOwn && (m_stage == Stage::Taking || m_stage == Stage::Settling))
-        hold(item->created);
-    if (isOwn && m_stage == Stage::Held)
-        m_isShown = true;
-    if (m_stage == Stage::Held && !isOwn && (item == nullptr || item->created > m_created))
+    if (isOwnKey && (m_stage == Stage::Acquiring || m_stage == Stage::AwaitingKey))
+        becomeHolder(item->createRevision);
+    if (isOwnKey && m_stage == Stage::Held)
+        m_isKeySeen = true;
+    if (m_stage == Stage::Held && !isOwnKey
+        && (item == nullptr || item->createRevision > m_createRevision))
         startOver(m_limits.retryEvery);
 }
 
-void FencedLock::leaseGranted(std::int64_t lease, Duration life, TimePoint asked)
+void FencedLock::leaseGranted(std::int64_t lease, Duration ttl, TimePoint sentAt)
 {
     if (m_stage != Stage::Granting) {
-        m_actions.emplace_back(EndLease{lease});
+        m_actions.emplace_back(RevokeLease{lease});
         return;
     }
     m_lease = lease;
-    m_leaseEnd = asked + life;
+    m_leaseEnd = sentAt + ttl;
     m_attempt += 1;
-    m_stage = Stage::Taking;
-    m_waitUntil = m_clock.now() + m_limits.settleTime;
-    m_actions.emplace_back(TakeLock{m_key, value(), lease});
+    m_stage = Stage::Acquiring;
+    m_waitUntil = m_clock.now() + m_limits.answerTimeout;
+    m_actions.emplace_back(AcquireLock{m_key, value(), lease});
 }
 
-void FencedLock::leaseRefused()
+void FencedLock::leaseNotGranted()
 {
     if (m_stage == Stage::Granting)
         startOver(m_limits.retryEvery);
 }
 
-void FencedLock::lockTaken(WriteResult result, std::int64_t revision)
+void FencedLock::acquireAnswered(WriteResult result, std::int64_t revision)
 {
-    if (m_stage != Stage::Taking)
+    if (m_stage != Stage::Acquiring)
         return;
     switch (result) {
     case WriteResult::Done:
-        hold(revision);
+        becomeHolder(revision);
         return;
     case WriteResult::Unknown:
         // The copy of the store will show whether it was done.
-        m_stage = Stage::Settling;
-        m_waitUntil = m_clock.now() + m_limits.settleTime;
+        m_stage = Stage::AwaitingKey;
+        m_waitUntil = m_clock.now() + m_limits.answerTimeout;
         return;
     case WriteResult::ConditionFailed:
-    case WriteResult::LeaseOver:
+    case WriteResult::LeaseExpired:
     case WriteResult::Refused:
         startOver(m_limits.retryEvery);
         return;
     }
 }
 
-void FencedLock::hold(std::int64_t created)
+void FencedLock::becomeHolder(std::int64_t createRevision)
 {
     m_stage = Stage::Held;
-    m_isShown = false;
-    m_created = created;
+    m_isKeySeen = false;
+    m_createRevision = createRevision;
     m_heldSince = m_clock.now();
     // Also where no predecessor was seen: its key may have gone before this node started.
     m_actFrom = m_heldSince + m_limits.quietTime;
-    m_nextKeep = m_clock.now();
-    m_keeping = false;
+    m_nextRenewal = m_clock.now();
+    m_isRenewing = false;
 }
 
-void FencedLock::leaseKept(Duration life, TimePoint asked)
+void FencedLock::leaseRenewed(Duration ttl, TimePoint sentAt)
 {
-    m_keeping = false;
+    m_isRenewing = false;
     if (m_stage != Stage::Held)
         return;
-    m_leaseEnd = std::max(m_leaseEnd, asked + life);
+    m_leaseEnd = std::max(m_leaseEnd, sentAt + ttl);
 }
 
-void FencedLock::leaseNotKept(bool isOver)
+void FencedLock::leaseNotRenewed(bool hasExpired)
 {
-    m_keeping = false;
-    if (m_stage == Stage::Held && isOver)
+    m_isRenewing = false;
+    if (m_stage == Stage::Held && hasExpired)
         startOver(m_limits.retryEvery);
 }
 
@@ -132,7 +133,7 @@
 void FencedLock::release()
 {
     if (m_lease != 0)
-        m_actions.emplace_back(EndLease{m_lease});
+        m_actions.emplace_back(RevokeLease{m_lease});
     m_lease = 0;
     m_stage = Stage::Released;
 }
@@ -140,7 +141,7 @@
 void FencedLock::startOver(Duration pause)
 {
     if (m_lease != 0)
-        m_actions.emplace_back(EndLease{m_lease});
+        m_actions.emplace_back(RevokeLease{m_lease});
     m_lease = 0;
     m_stage = Stage::Idle;
     m_notBefore = m_clock.now() + pause;
@@ -151,25 +152,25 @@
     const TimePoint now = m_clock.now();
     switch (m_stage) {
     case Stage::Idle:
-        if (m_freeSince && now >= m_notBefore && now - *m_freeSince >= m_patience) {
+        if (m_freeSince && now >= m_notBefore && now - *m_freeSince >= m_acquireDelay) {
             m_stage = Stage::Granting;
-            m_waitUntil = now + m_limits.settleTime;
-            m_actions.emplace_back(GrantLease{m_limits.life});
+            m_waitUntil = now + m_limits.answerTimeout;
+            m_actions.emplace_back(GrantLease{m_limits.ttl});
         }
         break;
     case Stage::Granting:
-    case Stage::Taking:
-    case Stage::Settling:
+    case Stage::Acquiring:
+    case Stage::AwaitingKey:
         if (now >= m_waitUntil)
             startOver(m_limits.retryEvery);
         break;
     case Stage::Held:
         // Also after its own count has ended: a lease may wait while the store is away. If the
         // store still has it when it is back, nobody else can have held the lock.
-        if (!m_keeping && now >= m_nextKeep) {
-            m_keeping = true;
-            m_nextKeep = now + m_limits.keepEvery;
-            m_actions.emplace_back(KeepLease{m_lease});
+        if (!m_isRenewing && now >= m_nextRenewal) {
+            m_isRenewing = true;
+            m_nextRenewal = now + m_limits.renewEvery;
+            m_actions.emplace_back(RenewLease{m_lease});
         }
         break;
     case Stage::Released:
@@ -182,15 +183,15 @@
 {
     if (m_stage != Stage::Held || m_clock.now() >= m_leaseEnd - m_limits.margin)
         return std::nullopt;
-    return Holding{fenceOf({m_epoch, m_created}), m_heldSince, m_actFrom,
+    return Holding{fenceOf({m_epoch, m_createRevision}), m_heldSince, m_actFrom,
                    m_leaseEnd - m_limits.margin};
 }
 
-void FencedLock::predecessorActed(TimePoint last)
+void FencedLock::setPredecessorLastActed(TimePoint lastAction)
 {
     // After a restore the copy may show an earlier holder than the last one.
-    const TimePoint acted = std::max(last, m_restoredAt.value_or(last));
-    m_actFrom = std::min(m_actFrom, std::max(m_heldSince, acted + m_limits.quietTime));
+    const TimePoint lastActed = std::max(lastAction, m_restoredAt.value_or(lastAction));
+    m_actFrom = std::min(m_actFrom, std::max(m_heldSince, lastActed + m_limits.quietTime));
 }
 
 } // namespace fordwood
--- a/src/core/store_keeper.cpp
+++ b/src/core/old_context_cleaner.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "fordwood/store_keeper.hpp"
+#include "fordwood/old_context_cleaner.hpp"
 
 #include "fordwood/prompt.hpp"
 #include "fordwood/rendezvous.hpp"
@@ -9,7 +9,7 @@
 namespace {
 
 // Parts named in one call: a few kilobytes.
-constexpr std::size_t kMostPartsAtOnce = 256;
+constexpr std::size_t kMaxPartsPerCall = 256;
 
 constexpr Duration kRetryPause = std::chrono::milliseconds(500);
 
@@ -26,19 +26,19 @@
 
 } // namespace
 
-Duration OldContext::useOf(const std::string &partId)
+Duration OldContextTimes::useTimeOf(const std::string &partId)
 {
-    const auto spread = std::chrono::duration<double>(kLongestUse - kShortestUse);
-    return kShortestUse
+    const auto spread = std::chrono::duration<double>(kMaxUseTime - kMinUseTime);
+    return kMinUseTime
            + std::chrono::duration_cast<Duration>(spread * hashFraction(stableHash(partId)));
 }
 
-void StoreKeeper::setWeights(const std::string &model, const WeightHistory &history)
+void OldContextCleaner::setWeights(const std::string &model, const WeightHistory &history)
 {
     m_weights[modelHashOfSalt(model)] = history;
 }
 
-void StoreKeeper::storeAnswered(const StoreNews &news)
+void OldContextCleaner::storeAnswered(const StoreNews &news)
 {
     Store &store = m_stores[news.store];
     if (news.restated || news.epoch != store.epoch)
@@ -53,12 +53,12 @@
     }
 }
 
-void StoreKeeper::storeSilent(const std::string &store)
+void OldContextCleaner::storeFailed(const std::string &store)
 {
     m_stores[store].answers = false;
 }
 
-std::optional<TimePoint> StoreKeeper::oldSince(const std::string &salt) const
+std::optional<TimePoint> OldContextCleaner::oldSince(const std::string &salt) const
 {
     const auto parsed = parseSalt(salt);
     if (!parsed)
@@ -66,7 +66,7 @@
     const auto history = m_weights.find(parsed->modelHash);
     if (history == m_weights.end())
         return std::nullopt;
-    const auto replaced = history->second.superseded(parsed->weightVersion);
+    const auto replaced = history->second.supersededAt(parsed->weightVersion);
     if (!replaced)
         return std::nullopt;
     // The latest moment: other nodes may know it better and fetch for so much longer.
@@ -75,44 +75,45 @@
 
 // Looks at the parts of old weights only: turns come many times a second, and mostly nothing is
 // old.
-void StoreKeeper::addGarbage(const Store &store, FreeParts &action) const
+void OldContextCleaner::addUnusedParts(const Store &store, FreePartsCall &action) const
 {
     for (const auto &[salt, ids] : store.parts) {
         const auto since = oldSince(salt);
         if (!since)
             continue;
         for (const std::string &it : ids) {
-            if (action.parts.size() >= kMostPartsAtOnce)
+            if (action.parts.size() >= kMaxPartsPerCall)
                 return;
-            if (m_clock.now() - *since >= OldContext::unusedAfter(it))
+            if (m_clock.now() - *since >= OldContextTimes::unusedAfter(it))
                 action.parts.emplace_back(salt, it);
         }
     }
 }
 
-std::vector<FreeParts> StoreKeeper::tick(const std::optional<FencedLock::Holding> &holding)
+std::vector<FreePartsCall>
+OldContextCleaner::tick(const std::optional<FencedLock::Holding> &holding)
 {
-    std::vector<FreeParts> actions;
+    std::vector<FreePartsCall> actions;
     if (!holding || m_clock.now() >= holding->actUntil)
         return actions;
     for (auto &[name, store] : m_stores) {
-        if (!store.answers || store.isAsked || m_clock.now() < store.notBefore)
+        if (!store.answers || store.isCallPending || m_clock.now() < store.retryAt)
             continue;
-        FreeParts action{name, store.epoch, {}};
-        addGarbage(store, action);
+        FreePartsCall action{name, store.epoch, {}};
+        addUnusedParts(store, action);
         if (action.parts.empty())
             continue;
-        store.isAsked = true;
+        store.isCallPending = true;
         actions.push_back(std::move(action));
     }
     return actions;
 }
 
-void StoreKeeper::freed(const FreeParts &asked, bool done)
+void OldContextCleaner::freeAnswered(const FreePartsCall &asked, bool done)
 {
     Store &store = m_stores[asked.store];
-    store.isAsked = false;
-    store.notBefore = m_clock.now() + kRetryPause;
+    store.isCallPending = false;
+    store.retryAt = m_clock.now() + kRetryPause;
     if (!done || store.epoch != asked.epoch)
         return;
     for (const auto &[salt, id] : asked.parts)
--- a/src/core/service_chooser.cpp
+++ b/src/core/service_chooser.cpp
@@ -21,7 +21,7 @@
 const UpstreamRecord *chooseUpstream(const std::vector<const UpstreamRecord *> &upstreams,
                                      const std::set<std::string> &tried,
                                      const std::string &ownFailureDomain, std::uint64_t salt,
-                                     const LoadBook &loads, const UpstreamHealth &health)
+                                     const UpstreamLoadTracker &loads, const UpstreamHealth &health)
 {
     const UpstreamRecord *best = nullptr;
     double least = 0.0;
--- /dev/null
+++ b/src/core/stall_detector.cpp
@@ -0,0 +1,22 @@
+// SPDX-License-Identifier: MIT
+#include "fordwood/stall_detector.hpp"
+
+#include <utility>
+
+namespace fordwood {
+
+namespace {
+
+// Between two turns; longer than one takes on the busiest VM.
+constexpr Duration kMinStall = std::chrono::seconds(1);
+
+} // namespace
+
+Duration StallDetector::poll()
+{
+    const TimePoint now = m_clock.now();
+    const Duration pause = now - std::exchange(m_lastPoll, now);
+    return pause >= kMinStall ? pause : Duration::zero();
+}
+
+} // namespace fordwood
--- a/src/core/store_replica.cpp
+++ b/src/core/store_replica.cpp
@@ -10,36 +10,36 @@
 
 // Removed keys that are remembered, so that a peer that lags can be told of them. Some hundred
 // upstreams leave in a bad hour; a peer that lags further gets the whole copy instead.
-constexpr std::size_t kMostRemovedKeys = 1024;
+constexpr std::size_t kMaxRemovedKeys = 1024;
 
 } // namespace
 
 std::optional<std::vector<StoredItem>> StoreReplica::merge(const StoreChanges &changes)
 {
-    const bool whole = changes.since == 0;
+    const bool isComplete = changes.since == 0;
     if (changes.epoch < m_version.epoch)
         return std::vector<StoredItem>();
     const bool isRestored = changes.epoch > m_version.epoch;
-    if (!whole && (isRestored || changes.since > m_version.revision))
+    if (!isComplete && (isRestored || changes.since > m_version.revision))
         return std::nullopt;
     if (isRestored && !isEmpty())
         return beginEpoch(changes);
     m_version.epoch = changes.epoch;
     std::vector<StoredItem> changed;
     for (const StoredItem &it : changes.items) {
-        if (take(it))
+        if (apply(it))
             changed.push_back(it);
     }
-    if (whole && changes.revision > m_version.revision) {
+    if (isComplete && changes.revision > m_version.revision) {
         // What a whole copy leaves out was removed at some revision up to that of the copy.
         std::map<std::string, bool> present;
         for (const StoredItem &it : changes.items)
             present[it.key] = true;
-        std::erase_if(m_unsettled, [&](const auto &it) {
+        std::erase_if(m_deferredReads, [&](const auto &it) {
             return it.second.value && !present.contains(it.first);
         });
         for (auto &[key, item] : m_items) {
-            if (!item.value || present.contains(key) || m_unsettled.contains(key)
+            if (!item.value || present.contains(key) || m_deferredReads.contains(key)
                 || item.revision > changes.revision)
                 continue;
             item.value.reset();
@@ -48,9 +48,9 @@
         }
     }
     m_version.revision = std::max(m_version.revision, changes.revision);
-    if (whole && m_rememberedSince == 0)
-        m_rememberedSince = changes.revision;
-    forgetOldest();
+    if (isComplete && m_historyStart == 0)
+        m_historyStart = changes.revision;
+    dropOldestRemovals();
     return changed;
 }
 
@@ -59,10 +59,10 @@
 std::vector<StoredItem> StoreReplica::beginEpoch(const StoreChanges &changes)
 {
     const std::map<std::string, StoredItem> held = std::exchange(m_items, {});
-    m_unsettled.clear();
+    m_deferredReads.clear();
     m_wasRestored = true;
     std::vector<StoredItem> changed;
-    const auto takeOver = [&](const StoredItem &read, const StoredItem *before) {
+    const auto applyRead = [&](const StoredItem &read, const StoredItem *before) {
         if (before != nullptr && isOlder(*before, read)) {
             keepHeld(*before, read);
             return;
@@ -73,14 +73,14 @@
     };
     for (const StoredItem &it : changes.items) {
         const auto before = held.find(it.key);
-        takeOver(it, before == held.end() ? nullptr : &before->second);
+        applyRead(it, before == held.end() ? nullptr : &before->second);
     }
     for (const auto &[key, item] : held) {
         if (item.value && !m_items.contains(key))
-            takeOver({key, changes.revision, 0, std::nullopt}, &item);
+            applyRead({key, changes.revision, 0, std::nullopt}, &item);
     }
     m_version = changes.version();
-    m_rememberedSince = changes.revision;
+    m_historyStart = changes.revision;
     return changed;
 }
 
@@ -92,15 +92,15 @@
 // At the revision of what was read, so that whatever is written next takes its place.
 void StoreReplica::keepHeld(const StoredItem &held, const StoredItem &read)
 {
-    m_items[held.key] = {held.key, read.revision, read.created, held.value};
+    m_items[held.key] = {held.key, read.revision, read.createRevision, held.value};
     if (held.value.has_value() != read.value.has_value())
-        m_unsettled[held.key] = read;
+        m_deferredReads[held.key] = read;
 }
 
-std::vector<StoredItem> StoreReplica::settle()
+std::vector<StoredItem> StoreReplica::acceptDeferred()
 {
     std::vector<StoredItem> changed;
-    for (const auto &[key, read] : std::exchange(m_unsettled, {})) {
+    for (const auto &[key, read] : std::exchange(m_deferredReads, {})) {
         m_items[key] = read;
         changed.push_back(read);
     }
@@ -109,15 +109,15 @@
 
 StoreChanges StoreReplica::changesSince(const StoreVersion &version) const
 {
-    const bool isKnown = version.epoch == m_version.epoch && version.revision >= m_rememberedSince;
+    const bool isKnown = version.epoch == m_version.epoch && version.revision >= m_historyStart;
     StoreChanges changes;
     changes.since = isKnown ? version.revision : 0;
     changes.revision = m_version.revision;
     changes.epoch = m_version.epoch;
     for (const auto &[key, held] : m_items) {
         // Each reader goes by what it knows itself.
-        const auto unsettled = m_unsettled.find(key);
-        const StoredItem &item = unsettled == m_unsettled.end() ? held : unsettled->second;
+        const auto deferred = m_deferredReads.find(key);
+        const StoredItem &item = deferred == m_deferredReads.end() ? held : deferred->second;
         if (changes.since == 0 ? item.value.has_value() : item.revision > version.revision)
             changes.items.push_back(item);
     }
@@ -130,7 +130,7 @@
     return it == m_items.end() || !it->second.value ? nullptr : &it->second;
 }
 
-bool StoreReplica::take(const StoredItem &item)
+bool StoreReplica::apply(const StoredItem &item)
 {
     const auto [it, isNew] = m_items.try_emplace(item.key, item);
     if (isNew)
@@ -142,24 +142,24 @@
         keepHeld(StoredItem(it->second), item);
         return false;
     }
-    m_unsettled.erase(item.key);
+    m_deferredReads.erase(item.key);
     it->second = item;
     return true;
 }
 
-void StoreReplica::forgetOldest()
+void StoreReplica::dropOldestRemovals()
 {
     std::vector<std::pair<std::int64_t, const std::string *>> removed;
     for (const auto &[key, item] : m_items) {
         if (!item.value)
             removed.emplace_back(item.revision, &key);
     }
-    if (removed.size() <= kMostRemovedKeys)
+    if (removed.size() <= kMaxRemovedKeys)
         return;
     std::sort(removed.begin(), removed.end());
-    removed.resize(removed.size() - kMostRemovedKeys / 2);
+    removed.resize(removed.size() - kMaxRemovedKeys / 2);
     for (const auto &[revision, key] : removed) {
-        m_rememberedSince = std::max(m_rememberedSince, revision);
+        m_historyStart = std::max(m_historyStart, revision);
         m_items.erase(*key);
     }
 }
--- a/src/core/load_book.cpp
+++ b/src/core/upstream_load_tracker.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "fordwood/load_book.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 
 #include <algorithm>
 
@@ -30,17 +30,18 @@
     return *this;
 }
 
-void LoadBook::begin(const std::string &instanceId, const RequestLoad &load)
+void UpstreamLoadTracker::begin(const std::string &instanceId, const RequestLoad &load)
 {
     m_own[instanceId] += {1, load.tokensToCompute, load.tokensHeld};
 }
 
-void LoadBook::computed(const std::string &instanceId, const RequestLoad &load)
+void UpstreamLoadTracker::promptComputed(const std::string &instanceId, const RequestLoad &load)
 {
     subtract(m_own[instanceId].tokensToCompute, load.tokensToCompute);
 }
 
-void LoadBook::end(const std::string &instanceId, const RequestLoad &load, bool wasComputed)
+void UpstreamLoadTracker::end(const std::string &instanceId, const RequestLoad &load,
+                              bool wasComputed)
 {
     const auto it = m_own.find(instanceId);
     if (it == m_own.end())
@@ -54,23 +55,23 @@
         m_own.erase(it);
 }
 
-void LoadBook::setPeer(const std::string &peer, UpstreamLoads loads)
+void UpstreamLoadTracker::setPeerLoads(const std::string &peer, UpstreamLoads loads)
 {
     m_peers[peer] = {std::move(loads), m_clock.now()};
 }
 
-UpstreamLoad LoadBook::ownAt(const std::string &instanceId) const
+UpstreamLoad UpstreamLoadTracker::ownLoad(const std::string &instanceId) const
 {
     const auto it = m_own.find(instanceId);
     return it == m_own.end() ? UpstreamLoad{} : it->second;
 }
 
-UpstreamLoad LoadBook::total(const std::string &instanceId) const
+UpstreamLoad UpstreamLoadTracker::total(const std::string &instanceId) const
 {
-    UpstreamLoad sum = ownAt(instanceId);
+    UpstreamLoad sum = ownLoad(instanceId);
     const std::uint64_t key = UpstreamLoads::keyOf(instanceId);
     for (const auto &[name, peer] : m_peers) {
-        if (m_clock.now() - peer.told <= m_peerLife)
+        if (m_clock.now() - peer.receivedAt <= m_peerTimeout)
             sum += peer.loads.at(key);
     }
     return sum;
--- a/src/core/weight_history.cpp
+++ b/src/core/weight_history.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Versions that are remembered: engines are at most a few behind.
-constexpr std::size_t kMostVersions = 8;
+constexpr std::size_t kMaxVersions = 8;
 
 } // namespace
 
@@ -18,21 +18,21 @@
     const WeightNaming before = *this;
     const std::optional<TimePoint> earliest = named.earliest;
     named.narrow(other.named);
-    const bool isOthers = other.named.earliest && (!earliest || named.earliest > earliest);
-    if (isOthers)
-        after = other.after;
+    const bool isFromOther = other.named.earliest && (!earliest || named.earliest > earliest);
+    if (isFromOther)
+        newestBefore = other.newestBefore;
     return *this != before;
 }
 
-bool WeightHistory::note(std::uint64_t version, const WeightNaming &naming)
+bool WeightHistory::record(std::uint64_t version, const WeightNaming &naming)
 {
-    const bool isTooOld = m_named.size() >= kMostVersions && version < m_named.begin()->first;
+    const bool isTooOld = m_named.size() >= kMaxVersions && version < m_named.begin()->first;
     if (isTooOld)
         return false;
     const auto [it, isNew] = m_named.try_emplace(version, naming);
     if (!isNew)
         return it->second.narrow(naming);
-    if (m_named.size() > kMostVersions)
+    if (m_named.size() > kMaxVersions)
         m_named.erase(m_named.begin());
     return true;
 }
@@ -50,7 +50,7 @@
 
 // Versions are named in their order, so the first newer one came no later than any other; but it
 // may not be known here, or less of it than of a later one.
-std::optional<EventTime> WeightHistory::superseded(std::uint64_t version) const
+std::optional<EventTime> WeightHistory::supersededAt(std::uint64_t version) const
 {
     const auto first = m_named.upper_bound(version);
     if (first == m_named.end())
@@ -59,8 +59,8 @@
     for (auto it = first; it != m_named.end(); ++it) {
         const WeightNaming &naming = it->second;
         replaced.latest = std::min(replaced.latest, naming.named.latest);
-        const bool holds = naming.after && *naming.after <= version;
-        if (holds && !replaced.earliest)
+        const bool isApplicable = naming.newestBefore && *naming.newestBefore <= version;
+        if (isApplicable && !replaced.earliest)
             replaced.earliest = naming.named.earliest;
     }
     if (replaced.earliest)
--- a/src/core/weight_rollout.cpp
+++ b/src/core/weight_rollout.cpp
@@ -20,17 +20,18 @@
     }
     m_engines = std::move(next);
     std::erase_if(m_loads, [&](const auto &it) { return !m_engines.contains(it.first); });
-    std::erase_if(m_shown, [&](const auto &it) { return !m_engines.contains(it.first); });
+    std::erase_if(m_reportedVersions,
+                  [&](const auto &it) { return !m_engines.contains(it.first); });
 }
 
-void WeightRollout::forgetShown(const std::string &instanceId, const std::string &model)
+void WeightRollout::forgetReported(const std::string &instanceId, const std::string &model)
 {
-    const auto it = m_shown.find(instanceId);
-    if (it == m_shown.end())
+    const auto it = m_reportedVersions.find(instanceId);
+    if (it == m_reportedVersions.end())
         return;
     it->second.erase(model);
     if (it->second.empty())
-        m_shown.erase(it);
+        m_reportedVersions.erase(it);
 }
 
 void WeightRollout::setTarget(const std::string &model, std::uint64_t version)
@@ -39,7 +40,7 @@
     target = std::max(target, version);
 }
 
-std::optional<std::string> WeightRollout::modelBehind(const Engine &engine) const
+std::optional<std::string> WeightRollout::outdatedModel(const Engine &engine) const
 {
     for (const auto &[model, version] : engine.versions) {
         const auto target = m_targets.find(model);
@@ -71,12 +72,13 @@
     return ids;
 }
 
-std::map<std::string, EngineBehind> WeightRollout::behind(const FencedLock::Holding &holding) const
+std::map<std::string, OutdatedEngine>
+WeightRollout::outdatedEngines(const FencedLock::Holding &holding) const
 {
     const bool isQuiet = m_clock.now() < holding.actFrom;
-    std::map<std::string, EngineBehind> found;
+    std::map<std::string, OutdatedEngine> found;
     for (const auto &[id, engine] : m_engines) {
-        const std::optional<std::string> model = modelBehind(engine);
+        const std::optional<std::string> model = outdatedModel(engine);
         if (!model)
             continue;
         const RolloutWait wait = isQuiet ? RolloutWait::QuietTime : waitOf(id, engine);
@@ -89,7 +91,7 @@
 {
     const auto it = m_loads.find(instanceId);
     if (it == m_loads.end()) {
-        if (m_clock.now() >= engine.notBefore)
+        if (m_clock.now() >= engine.retryAt)
             return RolloutWait::Turn;
         return engine.isSilent ? RolloutWait::Silent : RolloutWait::Pause;
     }
@@ -99,7 +101,7 @@
     case Stage::Draining:
         return RolloutWait::Drain;
     case Stage::Loading:
-        return it->second.isUnanswered ? RolloutWait::Answer : RolloutWait::Load;
+        return it->second.isOrderUnanswered ? RolloutWait::Answer : RolloutWait::Load;
     }
     return RolloutWait::Turn;
 }
@@ -109,41 +111,42 @@
     m_loads.erase(instanceId);
     const auto it = m_engines.find(instanceId);
     if (it != m_engines.end())
-        it->second.notBefore = m_clock.now() + m_limits.pause;
+        it->second.retryAt = m_clock.now() + m_limits.retryPause;
 }
 
 // Whether the engine serves what it was ordered to load. If newer weights were named meanwhile, it
 // waits for its turn like the others.
 bool WeightRollout::isDone(const Engine &engine, const Load &load) const
 {
-    if (!modelBehind(engine))
+    if (!outdatedModel(engine))
         return true;
     const auto version = engine.versions.find(load.model);
-    return load.ordered && version != engine.versions.end() && version->second >= load.version;
+    return load.orderedAt && version != engine.versions.end() && version->second >= load.version;
 }
 
 // Of few engines half go on serving, however many might load without slowing each other down.
-std::size_t WeightRollout::mostAtOnce() const
+std::size_t WeightRollout::maxConcurrentLoads() const
 {
     const auto part
-        = static_cast<std::size_t>(m_limits.loadingPart * static_cast<double>(m_engines.size()));
-    return std::clamp<std::size_t>(m_engines.size() / 2, 1, std::max(m_limits.leastLoading, part));
+        = static_cast<std::size_t>(m_limits.loadingShare * static_cast<double>(m_engines.size()));
+    return std::clamp<std::size_t>(m_engines.size() / 2, 1,
+                                   std::max(m_limits.minLoadingLimit, part));
 }
 
 // Those that load, and those that are drained for their turn.
-std::size_t WeightRollout::mostKeptFree() const
+std::size_t WeightRollout::maxDrainedOrLoading() const
 {
-    return std::max(mostAtOnce(), std::min(2 * mostAtOnce(), m_engines.size() / 2));
+    return std::max(maxConcurrentLoads(), std::min(2 * maxConcurrentLoads(), m_engines.size() / 2));
 }
 
-std::size_t WeightRollout::keptFree() const
+std::size_t WeightRollout::drainedOrLoading() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_loads.begin(), m_loads.end(),
                       [](const auto &it) { return it.second.stage != Stage::Asking; }));
 }
 
-std::size_t WeightRollout::asked(bool silent) const
+std::size_t WeightRollout::askedCount(bool silent) const
 {
     return static_cast<std::size_t>(
         std::count_if(m_loads.begin(), m_loads.end(), [&](const auto &it) {
@@ -154,27 +157,27 @@
 // While some engines load, others are drained for their turn. Those with the oldest weights
 // come first: an engine that has just loaded what was replaced since is of use for longer. Engines
 // that did not answer are asked beside the others, since they may be down for long.
-void WeightRollout::startLoads(const LoadBook &loads)
+void WeightRollout::startLoads(const UpstreamLoadTracker &loads)
 {
-    struct Behind
+    struct Candidate
     {
         std::uint64_t versions = 0;
         std::size_t running = 0;
         std::string instanceId;
     };
-    std::vector<Behind> behind;
+    std::vector<Candidate> candidates;
     for (const auto &[id, engine] : m_engines) {
-        if (modelBehind(engine) && !m_loads.contains(id) && m_clock.now() >= engine.notBefore)
-            behind.push_back({versionsBehind(engine), loads.total(id).running, id});
+        if (outdatedModel(engine) && !m_loads.contains(id) && m_clock.now() >= engine.retryAt)
+            candidates.push_back({versionsBehind(engine), loads.total(id).running, id});
     }
-    std::sort(behind.begin(), behind.end(), [](const Behind &a, const Behind &b) {
+    std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &b) {
         return std::tie(b.versions, a.running, a.instanceId)
                < std::tie(a.versions, b.running, b.instanceId);
     });
-    for (const Behind &it : behind) {
+    for (const Candidate &it : candidates) {
         const bool isSilent = m_engines.at(it.instanceId).isSilent;
-        const std::size_t others = asked(isSilent) + (isSilent ? 0 : keptFree());
-        if (others >= mostKeptFree())
+        const std::size_t others = askedCount(isSilent) + (isSilent ? 0 : drainedOrLoading());
+        if (others >= maxDrainedOrLoading())
             continue;
         Load load;
         load.since = m_clock.now();
@@ -183,34 +186,34 @@
     }
 }
 
-bool WeightRollout::mayOrder() const
+bool WeightRollout::canOrder() const
 {
     const auto loading = std::count_if(m_loads.begin(), m_loads.end(), [](const auto &it) {
-        return it.second.ordered.has_value();
+        return it.second.orderedAt.has_value();
     });
-    return static_cast<std::size_t>(loading) < mostAtOnce();
+    return static_cast<std::size_t>(loading) < maxConcurrentLoads();
 }
 
 std::vector<RolloutAction> WeightRollout::tick(const std::optional<FencedLock::Holding> &holding,
-                                               const LoadBook &loads)
+                                               const UpstreamLoadTracker &loads)
 {
     const TimePoint now = m_clock.now();
-    if (!holding || now < holding->actFrom - m_limits.longestDrain || now >= holding->actUntil) {
+    if (!holding || now < holding->actFrom - m_limits.maxDrainTime || now >= holding->actUntil) {
         m_loads.clear();
         m_actions.clear();
         return {};
     }
     // What has come to its weights without an order of this holder.
     std::erase_if(m_loads, [this](const auto &it) {
-        return !it.second.ordered && !modelBehind(m_engines.at(it.first));
+        return !it.second.orderedAt && !outdatedModel(m_engines.at(it.first));
     });
     startLoads(loads);
     std::vector<std::string> late;
     for (auto &[id, load] : m_loads) {
         const bool mayAct = now >= holding->actFrom || load.stage == Stage::Asking;
-        if (now - load.since >= m_limits.longestLoad)
+        if (now - load.since >= m_limits.maxLoadTime)
             late.push_back(id);
-        else if (mayAct && now >= load.nextStep && !load.isAsking)
+        else if (mayAct && now >= load.nextStep && !load.isCallPending)
             step(id, load, loads, holding->fence);
     }
     for (const std::string &it : late)
@@ -218,17 +221,17 @@
     return std::exchange(m_actions, {});
 }
 
-void WeightRollout::step(const std::string &instanceId, Load &load, const LoadBook &loads,
-                         std::int64_t fence)
+void WeightRollout::step(const std::string &instanceId, Load &load,
+                         const UpstreamLoadTracker &loads, std::int64_t fence)
 {
     if (load.stage != Stage::Draining) {
-        load.isAsking = true;
-        m_actions.emplace_back(AskReport{instanceId, m_engines.at(instanceId).address});
+        load.isCallPending = true;
+        m_actions.emplace_back(FetchReport{instanceId, m_engines.at(instanceId).address});
         return;
     }
     const bool isDrained = loads.total(instanceId).running == 0
-                           || m_clock.now() - load.since >= m_limits.longestDrain;
-    if (isDrained && mayOrder())
+                           || m_clock.now() - load.since >= m_limits.maxDrainTime;
+    if (isDrained && canOrder())
         order(instanceId, load, fence);
 }
 
@@ -236,62 +239,62 @@
 void WeightRollout::order(const std::string &instanceId, Load &load, std::int64_t fence)
 {
     const Engine &engine = m_engines.at(instanceId);
-    const std::optional<std::string> model = modelBehind(engine);
+    const std::optional<std::string> model = outdatedModel(engine);
     if (!model)
         return;
     load.stage = Stage::Loading;
-    load.isAsking = true;
-    load.ordered = m_clock.now();
-    load.isUnanswered = false;
+    load.isCallPending = true;
+    load.orderedAt = m_clock.now();
+    load.isOrderUnanswered = false;
     load.model = *model;
     load.version = m_targets.at(*model);
     m_actions.emplace_back(
         OrderWeights{instanceId, engine.address, *model, load.version, fence, load.ordersTaken});
 }
 
-void WeightRollout::reportRead(const std::string &instanceId,
-                               const std::optional<EngineReport> &report)
+void WeightRollout::reportReceived(const std::string &instanceId,
+                                   const std::optional<EngineReport> &report)
 {
     const auto it = m_loads.find(instanceId);
     if (it == m_loads.end())
         return;
     Load &load = it->second;
-    load.isAsking = false;
+    load.isCallPending = false;
     load.nextStep = m_clock.now() + m_limits.reportEvery;
     Engine &engine = m_engines.at(instanceId);
     engine.isSilent = !report;
     if (!report) {
-        noteMissed(instanceId, load);
+        handleMissedReport(instanceId, load);
         return;
     }
-    load.reportsMissed = 0;
+    load.missedReports = 0;
     for (const auto &[model, version] : report->weightVersions) {
         if (version <= engine.versions[model])
             continue;
         engine.versions[model] = version;
-        m_shown[instanceId][model] = {version, m_clock.now()};
+        m_reportedVersions[instanceId][model] = {version, m_clock.now()};
     }
     if (isDone(engine, load)) {
-        m_shownAnew = true;
+        m_hasNewReports = true;
         m_loads.erase(it);
         return;
     }
-    if (load.stage == Stage::Asking && keptFree() >= mostKeptFree())
+    if (load.stage == Stage::Asking && drainedOrLoading() >= maxDrainedOrLoading())
         m_loads.erase(it); // it waits for its turn like the others
     else
-        noteState(load, *report);
+        handleReport(load, *report);
 }
 
 // One that has gone down leaves its turn to another; one that loads may miss a report.
-void WeightRollout::noteMissed(const std::string &instanceId, Load &load)
+void WeightRollout::handleMissedReport(const std::string &instanceId, Load &load)
 {
-    load.reportsMissed += 1;
-    const bool mayLoad = load.ordered && !load.isUnanswered;
-    if (!mayLoad || load.reportsMissed >= m_limits.mostReportsMissed)
+    load.missedReports += 1;
+    const bool mayLoad = load.orderedAt && !load.isOrderUnanswered;
+    if (!mayLoad || load.missedReports >= m_limits.maxMissedReports)
         giveUp(instanceId);
 }
 
-void WeightRollout::noteState(Load &load, const EngineReport &report)
+void WeightRollout::handleReport(Load &load, const EngineReport &report)
 {
     const TimePoint now = m_clock.now();
     if (load.stage == Stage::Asking) {
@@ -300,17 +303,17 @@
     }
     if (report.busy) {
         load.stage = Stage::Loading;
-        load.ordered = load.ordered.value_or(now); // by an earlier order that was late
+        load.orderedAt = load.orderedAt.value_or(now); // by an earlier order that was late
         return;
     }
-    const bool isFromBefore = load.ordered && !load.isUnanswered
-                              && report.ordersTaken <= load.ordersTaken
-                              && now - *load.ordered < m_limits.reportLag;
-    if (isFromBefore)
+    const bool isFromBeforeOrder = load.orderedAt && !load.isOrderUnanswered
+                                   && report.ordersTaken <= load.ordersTaken
+                                   && now - *load.orderedAt < m_limits.reportLag;
+    if (isFromBeforeOrder)
         return;
     // An order that got no answer and was not taken leaves the turn to any engine that is ready; on
     // the same count of orders a repeat is safe, since the engine does only one of the two.
-    load.ordered.reset();
+    load.orderedAt.reset();
     load.ordersTaken = report.ordersTaken;
     if (load.stage == Stage::Loading)
         load.nextStep = now;
@@ -323,7 +326,7 @@
     if (it == m_loads.end())
         return;
     Load &load = it->second;
-    load.isAsking = false;
+    load.isCallPending = false;
     load.stage = Stage::Loading;
     switch (result) {
     case OrderResult::Accepted:
@@ -332,7 +335,7 @@
         load.nextStep = m_clock.now() + m_limits.reportEvery;
         return;
     case OrderResult::Unknown:
-        load.isUnanswered = true;
+        load.isOrderUnanswered = true;
         load.nextStep = m_clock.now();
         return;
     case OrderResult::Fenced:
--- a/src/node/call_run.cpp
+++ b/src/node/call_run.cpp
@@ -338,7 +338,7 @@
     if (m_attempt->computed)
         return;
     m_attempt->computed = true;
-    m_traffic.loads().computed(m_attempt->upstream.instanceId, m_attempt->load);
+    m_traffic.loads().promptComputed(m_attempt->upstream.instanceId, m_attempt->load);
     for (const auto &[store, tokens] : m_attempt->engine.fetchTokens)
         m_traffic.loads().end(store, {tokens, 0}, false);
 }
--- a/src/node/context_keeping.cpp
+++ b/src/node/context_keeping.cpp
@@ -44,29 +44,29 @@
 {
     if (const auto *told = std::get_if<ContextStoreTold>(&update)) {
         m_keeper.storeAnswered(told->news);
-        m_log.told(told->news);
+        m_log.storeAnswered(told->news);
         if (told->news.clock.count() > 0) {
             m_engineClock = told->news.clock;
             m_engineClockTold = m_clock.now() - told->news.age;
         }
     } else if (const auto *silent = std::get_if<ContextStoreSilent>(&update)) {
-        m_keeper.storeSilent(silent->store);
-        m_log.silent(silent->store);
+        m_keeper.storeFailed(silent->store);
+        m_log.storeFailed(silent->store);
     }
     m_tell(std::move(update));
 }
 
 void ContextKeeping::tick(const std::optional<FencedLock::Holding> &holding)
 {
-    for (const FreeParts &it : m_keeper.tick(holding))
+    for (const FreePartsCall &it : m_keeper.tick(holding))
         free(it, *holding);
 }
 
-void ContextKeeping::free(const FreeParts &action, const FencedLock::Holding &holding)
+void ContextKeeping::free(const FreePartsCall &action, const FencedLock::Holding &holding)
 {
     const auto store = m_stores.find(action.store);
     if (store == m_stores.end()) {
-        m_keeper.freed(action, false);
+        m_keeper.freeAnswered(action, false);
         return;
     }
     // Not carried out after this node's lease, however late the call arrives.
@@ -79,7 +79,7 @@
                                                      {"epoch", action.epoch},
                                                      {"parts", action.parts.size()},
                                                      {"status", result ? result->status : 0}});
-                      m_keeper.freed(action, platform::readFree(result));
+                      m_keeper.freeAnswered(action, platform::readFree(result));
                   });
 }
 
--- a/src/node/context_keeping.hpp
+++ b/src/node/context_keeping.hpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "fordwood/clock.hpp"
+#include "fordwood/context_store_log.hpp"
 #include "fordwood/fenced_lock.hpp"
-#include "fordwood/store_keeper.hpp"
-#include "fordwood/store_news_log.hpp"
+#include "fordwood/old_context_cleaner.hpp"
 #include "node/context_relay_reader.hpp"
 #include "node/context_watch.hpp"
 #include "node/fleet_update.hpp"
@@ -36,9 +36,9 @@
     void setFollowing(bool follows);
 
     // What a peer lacks that stands at these positions.
-    std::vector<StoreNews> newsSince(const std::vector<StorePosition> &positions) const
+    std::vector<StoreNews> newsSince(const std::vector<ContextStorePosition> &positions) const
     {
-        return m_log.since(positions);
+        return m_log.updatesSince(positions);
     }
 
     void setWeights(const std::string &model, const WeightHistory &history)
@@ -50,15 +50,15 @@
 
 private:
     void take(FleetUpdate update);
-    void free(const FreeParts &action, const FencedLock::Holding &holding);
+    void free(const FreePartsCall &action, const FencedLock::Holding &holding);
 
     HttpCaller &m_caller;
     const Clock &m_clock;
     Tell m_tell;
     ContextWatch m_watch;
     ContextRelayReader m_relayReader;
-    StoreNewsLog m_log; // for peers, while this node follows the stores
-    StoreKeeper m_keeper;
+    ContextStoreLog m_log; // for peers, while this node follows the stores
+    OldContextCleaner m_keeper;
     std::map<std::string, ContextStore> m_stores; // by name
     std::chrono::milliseconds m_engineClock{0}; // as told last
     TimePoint m_engineClockTold{};
--- a/src/node/context_messages.cpp
+++ b/src/node/context_messages.cpp
@@ -55,22 +55,22 @@
 
 } // namespace
 
-std::string contextNewsTarget(const std::vector<StorePosition> &positions)
+std::string contextNewsTarget(const std::vector<ContextStorePosition> &positions)
 {
     std::string target(kTarget);
-    for (const StorePosition &it : positions) {
+    for (const ContextStorePosition &it : positions) {
         target += std::to_string(it.store) + kNumberEnd + std::to_string(it.epoch) + kNumberEnd
                   + std::to_string(it.next) + kPositionEnd;
     }
     return target;
 }
 
-std::optional<std::vector<StorePosition>> readContextNewsTarget(std::string_view target)
+std::optional<std::vector<ContextStorePosition>> readContextNewsTarget(std::string_view target)
 {
     if (!target.starts_with(kTarget))
         return std::nullopt;
     target.remove_prefix(kTarget.size());
-    std::vector<StorePosition> positions;
+    std::vector<ContextStorePosition> positions;
     while (!target.empty()) {
         const auto store = takeNumber(target, kNumberEnd);
         const auto epoch = store ? takeNumber(target, kNumberEnd) : std::nullopt;
--- a/src/node/context_relay_reader.cpp
+++ b/src/node/context_relay_reader.cpp
@@ -64,7 +64,7 @@
         return;
     }
     m_relay = *relay;
-    std::vector<StorePosition> positions;
+    std::vector<ContextStorePosition> positions;
     for (const auto &[name, position] : m_positions)
         positions.push_back(position);
     HttpCall call;
--- a/src/node/context_relay_reader.hpp
+++ b/src/node/context_relay_reader.hpp
@@ -11,7 +11,7 @@
 
 #include <boost/asio/steady_timer.hpp>
 
-#include "fordwood/store_news_log.hpp"
+#include "fordwood/context_store_log.hpp"
 #include "node/fleet_update.hpp"
 #include "node/http_caller.hpp"
 
@@ -46,7 +46,7 @@
     Tell m_tell;
     net::steady_timer m_timer;
     std::set<std::string> m_stores; // names
-    std::map<std::string, StorePosition> m_positions; // by name of the store
+    std::map<std::string, ContextStorePosition> m_positions; // by name of the store
     std::string m_relay; // asked last
     std::string m_failed; // the relay that did not answer last
     bool m_reads = false;
--- a/src/node/control_duty.cpp
+++ b/src/node/control_duty.cpp
@@ -216,7 +216,7 @@
     // Before the news are read, since it dates them.
     const StoreVersion since{changes.epoch, changes.since};
     if (times.quietUntil && since == m_replica.version())
-        m_freshness.storeWasQuiet(*times.quietUntil);
+        m_freshness.storeHadNoChanges(*times.quietUntil);
     merge(changes, inDoubt());
     if (holdsAllOf(changes.version()))
         m_freshness.storeAnswered(times.asked);
@@ -284,7 +284,7 @@
     if (!m_settleAt || m_clock.now() < *m_settleAt)
         return;
     m_settleAt.reset();
-    for (const StoredItem &it : m_replica.settle())
+    for (const StoredItem &it : m_replica.acceptDeferred())
         m_documents.read(it, false);
     noteEngines();
 }
@@ -306,7 +306,7 @@
 void ControlDuty::weightsNamed(const std::string &model, std::uint64_t version)
 {
     m_orders.rollout().setTarget(model, version);
-    m_weights.read(model, version, m_freshness.wholeAt());
+    m_weights.read(model, version, m_freshness.completeAsOf());
 }
 
 void ControlDuty::weightsLearnt(const std::string &model, std::uint64_t version,
@@ -373,13 +373,13 @@
     // In a large fleet nodes hear from the relays only.
     m_quarantine.takeHeard(message.requestNews, usesSums() && m_role.isRelay());
     if (message.leaving) {
-        m_loads.setPeer(message.node, {});
+        m_loads.setPeerLoads(message.node, {});
         tell(PeerLoads{message.node, {}, 0, {}});
         tell(EnginesLoading{message.node, {}});
         return;
     }
     if (!usesSums() && message.scope == LoadScope::Node) {
-        m_loads.setPeer(message.node, message.load.loads);
+        m_loads.setPeerLoads(message.node, message.load.loads);
         tell(PeerLoads{message.node, message.load.loads, message.load.shortContextTokens,
                        message.load.contextsSent});
     }
@@ -394,12 +394,12 @@
     }
     m_weights.heard(message.node, message.weightsNamed);
     if (message.wholeFor && holdsAllOf(message.version))
-        m_freshness.peerHasNoMore(*message.wholeFor);
+        m_freshness.peerHadNoChanges(*message.wholeFor);
 }
 
 void ControlDuty::noteOthersLoad(LoadReport others)
 {
-    m_loads.setPeer(std::string(kOthers), others.loads);
+    m_loads.setPeerLoads(std::string(kOthers), others.loads);
     tell(PeerLoads{std::string(kOthers), std::move(others.loads), others.shortContextTokens,
                    std::move(others.contextsSent)});
 }
@@ -456,7 +456,7 @@
         = {1, UpstreamLoads(m_lastOwn.loads), m_lastOwn.shortContextTokens, m_lastOwn.contextsSent};
     message.orders = ownOrders();
     message.weightsNamed = m_weights.forPeers();
-    if (const auto age = m_freshness.ageByStore())
+    if (const auto age = m_freshness.ageFromStore())
         message.wholeFor = std::chrono::ceil<std::chrono::milliseconds>(*age);
     return message;
 }
@@ -470,7 +470,7 @@
     if (m_orders.lastOrder())
         word.lastOrder = ageOf(*m_orders.lastOrder());
     word.enginesLoading = m_orders.rollout().loading();
-    for (const auto &[id, models] : m_orders.rollout().shown()) {
+    for (const auto &[id, models] : m_orders.rollout().reportedVersions()) {
         for (const auto &[model, weights] : models)
             word.weightsShown[id][model] = {weights.version, ageOf(weights.seen)};
     }
@@ -529,11 +529,11 @@
     const auto lastOrder = m_orderWords.lastOrder(node);
     // Its word counts once its lease is over, since it sends no more orders then.
     if (lastOrder && *heard > holding->since)
-        m_orders.lock().predecessorActed(*lastOrder);
+        m_orders.lock().setPredecessorLastActed(*lastOrder);
     // One that fell silent may have gone on out of everyone's hearing; but then it is cut off, and
     // engines that check fences turn its orders away.
     else if (m_settings.bounds.fencesChecked)
-        m_orders.lock().predecessorActed(*heard + m_settings.peers.gossipEvery);
+        m_orders.lock().setPredecessorLastActed(*heard + m_settings.peers.gossipEvery);
 }
 
 void ControlDuty::tick()
@@ -581,7 +581,7 @@
 void ControlDuty::noteLoading()
 {
     const auto loading = m_orders.rollout().loading();
-    if (!m_orders.rollout().takeShownAnew() && loading == m_toldLoading)
+    if (!m_orders.rollout().takeNewReports() && loading == m_toldLoading)
         return;
     m_toldLoading = loading;
     m_gossipSoon = true;
@@ -591,7 +591,7 @@
 // What reports to this node have shown.
 void ControlDuty::noteShown()
 {
-    for (const auto &[id, models] : m_orders.rollout().shown()) {
+    for (const auto &[id, models] : m_orders.rollout().reportedVersions()) {
         for (const auto &[model, weights] : models)
             tellShown(id, model, weights);
     }
@@ -603,11 +603,11 @@
 {
     noteShown();
     WeightRollout &rollout = m_orders.rollout();
-    const WeightRollout::Shown shown = rollout.shown();
+    const WeightRollout::ReportedVersions shown = rollout.reportedVersions();
     for (const auto &[id, models] : shown) {
         for (const auto &[model, weights] : models) {
             if (!m_upstreams.isAhead(id, model, weights.version))
-                rollout.forgetShown(id, model);
+                rollout.forgetReported(id, model);
         }
     }
     rollout.setEngines(m_upstreams.stayingEngines());
@@ -615,7 +615,7 @@
 
 void ControlDuty::noteLiveNodes()
 {
-    m_orders.lock().setPatience(lockPatience());
+    m_orders.lock().setAcquireDelay(lockPatience());
     std::size_t live = m_peers.roster().live().size() + 1;
     if (usesSums())
         live = m_exchange.liveNodes() > 0 ? m_exchange.liveNodes() : m_peers.roster().size() + 1;
@@ -699,7 +699,7 @@
 // The ages of namings, for nodes that start when nobody is left who knows them.
 void ControlDuty::noteMarks()
 {
-    m_marks.read(m_freshness.wholeAt());
+    m_marks.read(m_freshness.completeAsOf());
     if (!reachesStore())
         return;
     const std::size_t before = rendezvousRank(stableHash("marks namings"), m_settings.node.name,
--- a/src/node/control_duty.hpp
+++ b/src/node/control_duty.hpp
@@ -12,11 +12,11 @@
 
 #include "adapters/observe/metrics.hpp"
 #include "config/node_settings.hpp"
-#include "fordwood/copy_freshness.hpp"
-#include "fordwood/load_book.hpp"
 #include "fordwood/relay_role.hpp"
+#include "fordwood/replica_freshness.hpp"
 #include "fordwood/store_replica.hpp"
 #include "fordwood/upstream_directory.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "node/context_keeping.hpp"
 #include "node/document_reader.hpp"
 #include "node/drain_reports.hpp"
@@ -137,7 +137,7 @@
     const platform::DocumentOrder m_documentOrder{DocumentReader::nodeKey("")};
     StoreReplica m_replica{m_documentOrder};
     std::optional<TimePoint> m_settleAt; // after a restore of the store
-    CopyFreshness m_freshness; // of the replica
+    ReplicaFreshness m_freshness; // of the replica
     WeightNews m_weights;
     StoreLink m_store;
     OwnKey m_ownKey;
@@ -159,7 +159,7 @@
     net::steady_timer m_tickTimer;
     UpstreamDirectory m_upstreams;
     DrainReports m_drainReports;
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     OwnLoads m_lastOwn;
     MessageRounds<LimitWord> m_limitRounds;
     UpdateQueue m_waiting; // updates that did not fit
--- a/src/node/control_limits.cpp
+++ b/src/node/control_limits.cpp
@@ -24,7 +24,7 @@
 FencedLock::Limits lockLimits(const config::OneProcessSettings &settings)
 {
     FencedLock::Limits limits;
-    limits.life = std::max(limits.life, settings.store.leastLease);
+    limits.ttl = std::max(limits.ttl, settings.store.leastLease);
     limits.quietTime = settings.bounds.orderLease;
     return limits;
 }
--- a/src/node/fleet_update.hpp
+++ b/src/node/fleet_update.hpp
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "fordwood/context_directory.hpp"
-#include "fordwood/load_book.hpp"
 #include "fordwood/quarantine.hpp"
 #include "fordwood/route_table.hpp"
 #include "fordwood/seen_weights.hpp"
 #include "fordwood/upstream_limits.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/upstream_record.hpp"
 #include "fordwood/weight_history.hpp"
 
@@ -162,7 +162,7 @@
 // What the thread that serves requests tells the control thread: its own load, now and then.
 struct OwnLoads
 {
-    LoadBook::Loads loads;
+    UpstreamLoadTracker::Loads loads;
     std::size_t shortContextTokens = 0;
     std::vector<std::uint64_t> contextsSent;
     LimitNews limits;
--- a/src/node/naming_marks.cpp
+++ b/src/node/naming_marks.cpp
@@ -38,16 +38,16 @@
     return std::string(kPrefix) + model + "/" + std::to_string(version);
 }
 
-void NamingMarks::read(std::optional<TimePoint> wholeAt)
+void NamingMarks::read(std::optional<TimePoint> completeAsOf)
 {
-    if (!wholeAt)
+    if (!completeAsOf)
         return;
     for (const auto &[model, versions] : m_news.all()) {
         for (const auto &[version, naming] : versions.named()) {
             const StoredItem *mark = m_replica.find(keyOf(model, version));
             const auto after = mark != nullptr ? readAfter(*mark->value) : std::nullopt;
             if (after)
-                m_news.marked(model, version, *wholeAt - m_limits.life, *after);
+                m_news.marked(model, version, *completeAsOf - m_limits.life, *after);
         }
     }
 }
@@ -55,7 +55,7 @@
 // So long that the mark ends with its life at the latest, whenever the call arrives.
 Duration NamingMarks::leaseFor(const WeightNaming &naming) const
 {
-    if (!naming.named.earliest || !naming.after)
+    if (!naming.named.earliest || !naming.newestBefore)
         return Duration::zero();
     return *naming.named.earliest + m_limits.life - kLongestGrant - m_clock.now();
 }
@@ -70,7 +70,7 @@
                                   && now - naming.named.latest >= patience
                                   && m_replica.find(keyOf(model, version)) == nullptr;
             if (isWanted)
-                grant({model, version}, *naming.after, lease);
+                grant({model, version}, *naming.newestBefore, lease);
         }
     }
 }
@@ -86,7 +86,7 @@
                  [this, naming, after, asked, lease](const HttpResult &result) {
                      const auto granted = platform::readGrant(result);
                      const bool isLate = m_clock.now() - asked > kLongestGrant;
-                     const bool isOwn = granted && granted->lease.holdsIn(m_store.epoch());
+                     const bool isOwn = granted && granted->lease.isValidIn(m_store.epoch());
                      if (isOwn && !isLate && granted->life <= lease) {
                          put(naming, after, granted->lease.id);
                          return;
--- a/src/node/naming_marks.hpp
+++ b/src/node/naming_marks.hpp
@@ -35,7 +35,7 @@
     { }
 
     // Learns from the marks in the copy of the store, which was whole at that time.
-    void read(std::optional<TimePoint> wholeAt);
+    void read(std::optional<TimePoint> completeAsOf);
 
     // Writes those that are missing. `patience`: how long after a naming this node leaves that to
     // others.
--- a/src/node/order_duty.cpp
+++ b/src/node/order_duty.cpp
@@ -41,7 +41,8 @@
     return "turn";
 }
 
-void logBehind(const std::string &instanceId, const EngineBehind &engine, std::string_view waitsFor)
+void logBehind(const std::string &instanceId, const OutdatedEngine &engine,
+               std::string_view waitsFor)
 {
     logEvent(Event::EngineBehind, {{"upstream", instanceId},
                                    {"model", engine.model},
@@ -82,7 +83,7 @@
     return "fordwood/weights-lock";
 }
 
-void OrderDuty::tick(const LoadBook &loads)
+void OrderDuty::tick(const UpstreamLoadTracker &loads)
 {
     m_lock.storeRestored(m_store.epoch());
     for (const LockAction &it : m_lock.tick())
@@ -125,7 +126,7 @@
     if (!holding || m_clock.now() < m_nextBehind)
         return;
     m_nextBehind = m_clock.now() + kBehindEvery;
-    auto behind = m_rollout.behind(*holding);
+    auto behind = m_rollout.outdatedEngines(*holding);
     for (const auto &[id, engine] : behind) {
         const auto known = m_loggedBehind.find(id);
         if (known == m_loggedBehind.end() || known->second != engine)
@@ -142,11 +143,11 @@
 {
     if (const auto *granting = std::get_if<GrantLease>(&action))
         grant(*granting);
-    else if (const auto *taking = std::get_if<TakeLock>(&action))
+    else if (const auto *taking = std::get_if<AcquireLock>(&action))
         take(*taking);
-    else if (const auto *keeping = std::get_if<KeepLease>(&action))
+    else if (const auto *keeping = std::get_if<RenewLease>(&action))
         keep(*keeping);
-    else if (const auto *ending = std::get_if<EndLease>(&action))
+    else if (const auto *ending = std::get_if<RevokeLease>(&action))
         m_store.send(platform::endCall(ending->lease), [](const HttpResult &) {
             // A lease that is not ended runs out by itself.
         });
@@ -155,54 +156,54 @@
 void OrderDuty::grant(const GrantLease &action)
 {
     const TimePoint asked = m_clock.now();
-    m_store.send(platform::grantCall(action.life), [this, asked](const HttpResult &result) {
+    m_store.send(platform::grantCall(action.ttl), [this, asked](const HttpResult &result) {
         const auto granted = platform::readGrant(result);
         m_lock.storeRestored(m_store.epoch());
         if (granted)
             m_lock.leaseGranted(granted->lease.id, granted->life, asked);
         else
-            m_lock.leaseRefused();
+            m_lock.leaseNotGranted();
         for (const LockAction &it : m_lock.tick())
             carryOut(it);
     });
 }
 
-void OrderDuty::take(const TakeLock &action)
+void OrderDuty::take(const AcquireLock &action)
 {
     m_store.send(platform::putCall(action.key, action.value, action.lease, true),
                  [this](const HttpResult &result) {
                      const auto answer = platform::readPut(result);
                      m_lock.storeRestored(m_store.epoch());
-                     m_lock.lockTaken(answer.result, answer.revision);
+                     m_lock.acquireAnswered(answer.result, answer.revision);
                  });
 }
 
-void OrderDuty::keep(const KeepLease &action)
+void OrderDuty::keep(const RenewLease &action)
 {
     const TimePoint asked = m_clock.now();
     m_store.send(platform::keepCall(action.lease), [this, asked](const HttpResult &result) {
         const auto kept = platform::readKeep(result);
         m_lock.storeRestored(m_store.epoch());
         if (kept && *kept)
-            m_lock.leaseKept(**kept, asked);
+            m_lock.leaseRenewed(**kept, asked);
         else
-            m_lock.leaseNotKept(kept.has_value());
+            m_lock.leaseNotRenewed(kept.has_value());
     });
 }
 
 void OrderDuty::carryOut(const RolloutAction &action)
 {
-    if (const auto *asking = std::get_if<AskReport>(&action))
+    if (const auto *asking = std::get_if<FetchReport>(&action))
         ask(*asking);
     else if (const auto *ordering = std::get_if<OrderWeights>(&action))
         order(*ordering);
 }
 
-void OrderDuty::ask(const AskReport &action)
+void OrderDuty::ask(const FetchReport &action)
 {
     m_caller.send(platform::reportCall(action), kReportPatience,
                   [this, id = action.instanceId](const HttpResult &result) {
-                      m_rollout.reportRead(id, platform::readReport(result));
+                      m_rollout.reportReceived(id, platform::readReport(result));
                   });
 }
 
--- a/src/node/order_duty.hpp
+++ b/src/node/order_duty.hpp
@@ -10,7 +10,7 @@
 
 #include "fordwood/clock.hpp"
 #include "fordwood/fenced_lock.hpp"
-#include "fordwood/load_book.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/weight_rollout.hpp"
 #include "node/http_caller.hpp"
 #include "node/store_link.hpp"
@@ -29,7 +29,7 @@
     WeightRollout &rollout() { return m_rollout; }
     const WeightRollout &rollout() const { return m_rollout; }
 
-    void tick(const LoadBook &loads);
+    void tick(const UpstreamLoadTracker &loads);
 
     // When this node sent its last order; nothing: it has sent none.
     const std::optional<TimePoint> &lastOrder() const { return m_lastOrder; }
@@ -43,9 +43,9 @@
     void carryOut(const LockAction &action);
     void carryOut(const RolloutAction &action);
     void grant(const GrantLease &action);
-    void take(const TakeLock &action);
-    void keep(const KeepLease &action);
-    void ask(const AskReport &action);
+    void take(const AcquireLock &action);
+    void keep(const RenewLease &action);
+    void ask(const FetchReport &action);
     void order(const OrderWeights &action);
     void noteHolding();
     void noteBehind();
@@ -59,7 +59,7 @@
     std::optional<TimePoint> m_lastOrder;
     std::int64_t m_loggedFence = 0; // zero: not held, as logged last
     TimePoint m_nextBehind{};
-    std::map<std::string, EngineBehind> m_loggedBehind;
+    std::map<std::string, OutdatedEngine> m_loggedBehind;
 };
 
 } // namespace fordwood::node
--- a/src/node/own_key.cpp
+++ b/src/node/own_key.cpp
@@ -58,7 +58,7 @@
                  [this](const HttpResult &result) {
                      const auto answer = platform::readPut(result);
                      m_isPut = answer.result == WriteResult::Done;
-                     if (answer.result == WriteResult::LeaseOver)
+                     if (answer.result == WriteResult::LeaseExpired)
                          m_lease = {};
                      retry();
                      if (m_isPut)
--- a/src/node/own_key.hpp
+++ b/src/node/own_key.hpp
@@ -25,7 +25,7 @@
     void put();
     void keep();
     void retry();
-    bool isLeased() const { return m_lease.holdsIn(m_store.epoch()); }
+    bool isLeased() const { return m_lease.isValidIn(m_store.epoch()); }
 
     const Clock &m_clock;
     StoreLink &m_store;
--- a/src/node/peer_links.cpp
+++ b/src/node/peer_links.cpp
@@ -47,7 +47,7 @@
         m_socket.non_blocking(true, ec);
     if (ec)
         return false;
-    m_standstill.turn(); // the thread does not work before
+    m_standstill.poll(); // the thread does not work before
     keepTurns();
     receive();
     return true;
@@ -153,7 +153,7 @@
 
 void PeerLinks::tick()
 {
-    const Duration stoodStill = m_standstill.turn();
+    const Duration stoodStill = m_standstill.poll();
     if (stoodStill == Duration::zero())
         return;
     const std::size_t dropped = dropWaiting();
--- a/src/node/peer_links.hpp
+++ b/src/node/peer_links.hpp
@@ -10,7 +10,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "fordwood/clock.hpp"
-#include "fordwood/standstill_watch.hpp"
+#include "fordwood/stall_detector.hpp"
 #include "node/net.hpp"
 #include "node/peer_messages.hpp"
 #include "node/peer_roster.hpp"
@@ -89,7 +89,7 @@
     Heard m_heard;
     udp::socket m_socket;
     net::steady_timer m_turnTimer;
-    StandstillWatch m_standstill;
+    StallDetector m_standstill;
     bool m_isDropping = false; // what was read before this node was seen to have stood still
     udp::endpoint m_sender;
     std::array<char, kMostBytes> m_bytes{};
--- a/src/node/peer_messages.cpp
+++ b/src/node/peer_messages.cpp
@@ -305,7 +305,7 @@
 {
     Json items = Json::array();
     for (const StoredItem &it : part.changes.items) {
-        Json item{it.key, it.revision, it.created};
+        Json item{it.key, it.revision, it.createRevision};
         if (it.value)
             item.push_back(Json::binary({it.value->begin(), it.value->end()}));
         items.push_back(std::move(item));
@@ -329,7 +329,7 @@
             StoredItem item;
             it.at(0).get_to(item.key);
             it.at(1).get_to(item.revision);
-            it.at(2).get_to(item.created);
+            it.at(2).get_to(item.createRevision);
             if (it.size() > 3) {
                 const auto &value = it.at(3).get_binary();
                 item.value.emplace(value.begin(), value.end());
--- a/src/node/quarantine_duty.cpp
+++ b/src/node/quarantine_duty.cpp
@@ -203,7 +203,7 @@
     m_store.send(platform::putCall(keyOf(request), value, lease, false),
                  [this, request](const HttpResult &result) {
                      const auto answer = platform::readPut(result);
-                     if (answer.result == WriteResult::LeaseOver)
+                     if (answer.result == WriteResult::LeaseExpired)
                          m_writes[request].lease = {};
                      retry(request);
                      if (answer.result == WriteResult::Done)
--- a/src/node/quarantine_duty.hpp
+++ b/src/node/quarantine_duty.hpp
@@ -58,7 +58,7 @@
     };
 
     bool take(const RequestNews &news);
-    bool isLeased(const Write &write) const { return write.lease.holdsIn(m_store.epoch()); }
+    bool isLeased(const Write &write) const { return write.lease.isValidIn(m_store.epoch()); }
     void noteHeld(const RequestFingerprint &request);
     void noteReleased(const RequestFingerprint &request);
     void writeHeld();
--- a/src/node/traffic.cpp
+++ b/src/node/traffic.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 
 #include "adapters/observe/event_log.hpp"
+#include "fordwood/old_context_cleaner.hpp"
 #include "fordwood/rendezvous.hpp"
-#include "fordwood/store_keeper.hpp"
 #include "node/control_limits.hpp"
 
 namespace fordwood::node {
@@ -116,7 +116,7 @@
 
 void Traffic::apply(const WeightsWanted &update)
 {
-    m_weights[update.model].note(update.version, update.naming);
+    m_weights[update.model].record(update.version, update.naming);
     m_contexts.setWeights(update.model, m_weights[update.model]);
 }
 
@@ -135,7 +135,7 @@
 
 void Traffic::apply(const PeerLoads &update)
 {
-    m_loads.setPeer(update.peer, update.loads);
+    m_loads.setPeerLoads(update.peer, update.loads);
     m_shortDemand.setPeer(update.peer, update.shortContextTokens);
     if (m_settings.mechanisms.toldContexts)
         m_contexts.peerSent(update.contextsSent);
@@ -172,7 +172,7 @@
     // What was told is a little old by now, so that this errs to the early side.
     return m_engineClock.told
            + std::chrono::duration_cast<std::chrono::milliseconds>(
-               m_clock.now() - m_engineClock.when + OldContext::kFetch);
+               m_clock.now() - m_engineClock.when + OldContextTimes::kMaxFetchTime);
 }
 
 void Traffic::apply(const ContextStoreSilent &update)
@@ -304,7 +304,7 @@
 
 void Traffic::noteStandstill()
 {
-    if (m_standstill.turn() > Duration::zero())
+    if (m_standstill.poll() > Duration::zero())
         m_woke = m_clock.now();
 }
 
--- a/src/node/traffic.hpp
+++ b/src/node/traffic.hpp
@@ -17,15 +17,15 @@
 #include "fordwood/context_directory.hpp"
 #include "fordwood/engine_chooser.hpp"
 #include "fordwood/engine_groups.hpp"
-#include "fordwood/load_book.hpp"
 #include "fordwood/prefill_pace.hpp"
 #include "fordwood/quarantine_gate.hpp"
 #include "fordwood/return_times.hpp"
 #include "fordwood/route_table.hpp"
 #include "fordwood/send_gate.hpp"
-#include "fordwood/standstill_watch.hpp"
+#include "fordwood/stall_detector.hpp"
 #include "fordwood/upstream_directory.hpp"
 #include "fordwood/upstream_health.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/window_budget.hpp"
 #include "node/fleet_update.hpp"
 #include "node/upstream_attempt.hpp"
@@ -140,7 +140,7 @@
     net::io_context &context() { return m_context; }
     adapters::Metrics &metrics() { return m_metrics; }
     UpstreamDirectory &upstreams() { return m_upstreams; }
-    LoadBook &loads() { return m_loads; }
+    UpstreamLoadTracker &loads() { return m_loads; }
     UpstreamHealth &health() { return m_health; }
     SendGate &gate() { return m_gate; }
     QuarantineGate &quarantine() { return m_quarantine; }
@@ -184,7 +184,7 @@
     adapters::Metrics &m_metrics;
     std::shared_ptr<const RouteTable> m_table;
     UpstreamDirectory m_upstreams;
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     UpstreamHealth m_health;
     adapters::LimitLog m_limitLog;
     SendGate m_gate;
@@ -210,7 +210,7 @@
         TimePoint when{};
     };
     EngineClock m_engineClock;
-    StandstillWatch m_standstill;
+    StallDetector m_standstill;
     std::optional<TimePoint> m_woke;
     std::size_t m_liveNodes = 1;
     std::optional<TimePoint> m_stopBegan;
--- a/src/node/upstream_attempt.hpp
+++ b/src/node/upstream_attempt.hpp
@@ -9,7 +9,7 @@
 
 #include "fordwood/clock.hpp"
 #include "fordwood/engine_chooser.hpp"
-#include "fordwood/load_book.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/upstream_record.hpp"
 #include "node/http_channel.hpp"
 #include "platform/caller_messages.hpp"
--- a/src/node/weight_news.cpp
+++ b/src/node/weight_news.cpp
@@ -21,9 +21,9 @@
 {
     NamedAge age;
     age.least = std::chrono::floor<milliseconds>(now - naming.named.latest);
-    if (naming.named.earliest && naming.after) {
+    if (naming.named.earliest && naming.newestBefore) {
         age.most = std::chrono::ceil<milliseconds>(now - *naming.named.earliest);
-        age.after = naming.after;
+        age.after = naming.newestBefore;
     }
     return age;
 }
@@ -47,7 +47,7 @@
     // Zero where none had been named: engines ran what they came with.
     WeightNaming naming{{notBefore, m_clock.now()}, std::nullopt};
     if (notBefore)
-        naming.after = newest;
+        naming.newestBefore = newest;
     newest = version;
     note(model, version, naming, m_node);
 }
@@ -86,7 +86,7 @@
 {
     WeightHistory &history = m_histories[model];
     const std::optional<WeightNaming> before = history.find(version);
-    if (!history.note(version, naming))
+    if (!history.record(version, naming))
         return;
     const std::optional<WeightNaming> known = history.find(version);
     if (!known)
@@ -98,7 +98,7 @@
                   {"weights", version},
                   {"age_at_least_ms", age.least.count()},
                   {"age_at_most_ms", age.most ? std::to_string(age.most->count()) : "unknown"},
-                  {"after", known->after.value_or(0)},
+                  {"after", known->newestBefore.value_or(0)},
                   {"from", from}});
     }
     m_learnt(model, version, history);
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -34,7 +34,7 @@
     void tell(const StoreNews &news)
     {
         const std::lock_guard lock(m_mutex);
-        m_log.told(news);
+        m_log.storeAnswered(news);
     }
 
     const std::string address;
@@ -50,12 +50,12 @@
         standins::Answer made;
         made.status = fails || !positions ? 503 : 200;
         if (made.status == 200)
-            made.body = encodeContextNews(m_log.since(*positions));
+            made.body = encodeContextNews(m_log.updatesSince(*positions));
         return made;
     }
 
     std::mutex m_mutex;
-    StoreNewsLog m_log;
+    ContextStoreLog m_log;
     standins::BlockingServer m_server;
 };
 
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -345,7 +345,7 @@
     Fields head;
     writeUpstreamHead({}, stamp, head);
     CHECK(textOf(head, "Expect-Instance") == "i-7");
-    AskReport ask;
+    FetchReport ask;
     ask.instanceId = instance;
     CHECK(reportCall(ask).fields.front().second == "i-7");
     OrderWeights order;
@@ -360,7 +360,7 @@
     REQUIRE(page);
     CHECK(page->content.revision == 530);
     CHECK(page->content.items.front().value == "node-1");
-    CHECK(page->content.items.front().created == 400);
+    CHECK(page->content.items.front().createRevision == 400);
     CHECK(page->nextAfter == "a");
     const auto changes = readWatch(replyOf(200, R"({"events":[{"private-key":"a","value":"",
         "revision":413,"made":413,"lease":0},{"private-key":"b","revision":414,"gone":true}],
@@ -391,7 +391,7 @@
     CHECK(readPut(replyOf(200, R"({"revision":9})")).result == WriteResult::Done);
     CHECK(readPut(replyOf(200, R"({"revision":9})")).revision == 9);
     CHECK(readPut(replyOf(412, "{}")).result == WriteResult::ConditionFailed);
-    CHECK(readPut(replyOf(404, "")).result == WriteResult::LeaseOver);
+    CHECK(readPut(replyOf(404, "")).result == WriteResult::LeaseExpired);
     CHECK(readPut(replyOf(503, "")).result == WriteResult::Refused);
     CHECK(readPut(replyOf(200, "?")).result == WriteResult::Unknown);
     CHECK(readPut(tl::unexpected(node::HttpFailure::NoAnswer)).result == WriteResult::Unknown);
@@ -532,7 +532,7 @@
 
 TEST_CASE("peers: what relays tell survives its encoding; other bytes are none [relays][bad-input]")
 {
-    const std::vector<StorePosition> positions{{1, 2, 3}, {0xffffffffffffffffULL, 0, 0}};
+    const std::vector<ContextStorePosition> positions{{1, 2, 3}, {0xffffffffffffffffULL, 0, 0}};
     const auto asked = node::readContextNewsTarget(node::contextNewsTarget(positions));
     REQUIRE(asked);
     REQUIRE(asked->size() == 2);
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -240,8 +240,8 @@
     node.dispatcher = std::make_unique<Dispatcher>(fleet.clock, limits);
     node.book = std::make_unique<PermitBook>(fleet.clock, PermitLimits{kPermitLife, 64});
     node.allowances = std::make_unique<AllowanceBook>(fleet.clock, AllowanceBook::Limits{});
-    node.loads = std::make_unique<LoadPlanner>(fleet.member(index).name, boot, fleet.clock,
-                                               LoadPlanner::Limits{}, boot);
+    node.loads = std::make_unique<WeightLoadPlanner>(fleet.member(index).name, boot, fleet.clock,
+                                                     WeightLoadPlanner::Limits{}, boot);
     node.keys = std::make_unique<KeyRegistry>(KeyHolder{fleet.member(index).name, boot},
                                               fleet.clock, KeyRegistry::Limits{});
 }
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -18,8 +18,8 @@
 #include "fordwood/dispatcher.hpp"
 #include "fordwood/fleet_view.hpp"
 #include "fordwood/key_registry.hpp"
-#include "fordwood/load_planner.hpp"
 #include "fordwood/permit_book.hpp"
+#include "fordwood/weight_load_planner.hpp"
 #include "support/replica_fleet.hpp"
 
 namespace fordwood::support {
@@ -160,7 +160,7 @@
         std::unique_ptr<PermitBook> book;
         std::unique_ptr<AllowanceBook> allowances;
         std::unique_ptr<KeyRegistry> keys;
-        std::unique_ptr<LoadPlanner> loads;
+        std::unique_ptr<WeightLoadPlanner> loads;
         std::shared_ptr<const FleetView> view;
         std::string viewMark; // what the view was made of
         std::map<CallId, std::size_t> calls; // to requests
--- a/tests/support/world_engines.cpp
+++ b/tests/support/world_engines.cpp
@@ -130,7 +130,7 @@
         const auto stored = fleet.store.get(kLoadTableKey, kHop);
         if (!reachable || !stored)
             return node.loads->tableRead(std::nullopt);
-        LoadPlanner::StoredTable table;
+        WeightLoadPlanner::StoredTable table;
         if (*stored)
             table = {adapters::decodeLoadTable((*stored)->value).value(), (*stored)->revision};
         const std::string self = fleet.member(index).name;
--- a/tests/system/suspended_clock_test.cpp
+++ b/tests/system/suspended_clock_test.cpp
@@ -47,13 +47,13 @@
 {
     const adapters::SystemClock clock;
     FencedLock::Limits limits;
-    limits.life = 1h;
+    limits.ttl = 1h;
     FencedLock lock("lock", "n1", clock, limits);
     lock.keyChanged(nullptr);
     REQUIRE(lock.tick().size() == 1);
-    lock.leaseGranted(7, limits.life, clock.now());
+    lock.leaseGranted(7, limits.ttl, clock.now());
     REQUIRE(lock.tick().size() == 1);
-    lock.lockTaken(WriteResult::Done, 9);
+    lock.acquireAnswered(WriteResult::Done, 9);
     REQUIRE(lock.holding());
     suspended += 2h;
     CHECK_FALSE(lock.holding());
--- a/tests/unit/engine_chooser_test.cpp
+++ b/tests/unit/engine_chooser_test.cpp
@@ -9,8 +9,8 @@
 #include "fordwood/engine_groups.hpp"
 #include "fordwood/manual_clock.hpp"
 #include "fordwood/mechanisms.hpp"
+#include "fordwood/old_context_cleaner.hpp"
 #include "fordwood/rendezvous.hpp"
-#include "fordwood/store_keeper.hpp"
 
 using namespace fordwood;
 using namespace std::chrono_literals;
@@ -71,7 +71,7 @@
     }
 
     ManualClock m_clock;
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     UpstreamHealth m_health;
     ContextDirectory m_contexts;
     EngineChooser m_chooser;
@@ -114,11 +114,11 @@
     for (int n = 0; n < 5; ++n)
         view.m_loads.begin(home, {0, 500});
     CHECK(view.choose(prompt)->instanceId == home); // six runs slow it less than a cold read
-    view.m_loads.setPeer("peer", {{home, {11, 0, 0}}});
+    view.m_loads.setPeerLoads("peer", {{home, {11, 0, 0}}});
     const std::string next = view.choose(prompt)->instanceId;
     CHECK(next != home); // it has no place left
     View other;
-    other.m_loads.setPeer("peer", {{home, {17, 0, 0}}});
+    other.m_loads.setPeerLoads("peer", {{home, {17, 0, 0}}});
     CHECK(other.choose(prompt)->instanceId == next); // the same one by another node's choice
 }
 
@@ -135,7 +135,7 @@
 {
     View view;
     const std::string home = view.choose(longPrompt())->instanceId;
-    view.m_loads.setPeer("peer", {{home, {3, 40'000, 40'000}}});
+    view.m_loads.setPeerLoads("peer", {{home, {3, 40'000, 40'000}}});
     CHECK(view.choose(longPrompt("c1"))->instanceId != home);
     view.m_clock.advance(5s);
     view.tellStore({});
@@ -203,7 +203,7 @@
     View one;
     View other;
     const std::string home = one.send(longPrompt())->instanceId;
-    other.m_loads.setPeer("one", {{home, {1, 17'000, 17'000}}});
+    other.m_loads.setPeerLoads("one", {{home, {1, 17'000, 17'000}}});
     CHECK(other.choose(longPrompt())->instanceId != home); // it computes, and would do it again
     other.m_contexts.peerSent(one.m_contexts.recentSends());
     const auto choice = other.choose(longPrompt());
@@ -262,10 +262,10 @@
 {
     View view;
     view.m_records[3].weightVersions["m"] = 2;
-    view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(1, {EventTime::at(view.m_clock.now() - 1h), 0});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_clock.advance(5s);
-    view.m_weights.note(
+    view.m_weights.record(
         3, {EventTime::at(view.m_clock.now()), 2}); // does not make version 1 any younger
     view.m_clock.advance(6s);
     for (int n = 0; n < 20; ++n)
@@ -278,8 +278,8 @@
           "[weights]")
 {
     View view;
-    view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(1, {EventTime::at(view.m_clock.now() - 1h), 0});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     const auto mayBegin = [&] { return view.choose(shortPrompt()).has_value(); };
     const auto fillAll = [&](const RequestLoad &load) {
         for (const UpstreamRecord &it : view.m_records)
@@ -309,8 +309,8 @@
     const Prompt prompt = longPrompt();
     const std::string salt = contextSalt("m", 1, "");
     view.tellStore({{salt, "c1", true, 12'800}});
-    view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(1, {EventTime::at(view.m_clock.now() - 1h), 0});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_clock.advance(9s);
     view.tellStore({});
     CHECK(view.choose(prompt)->isFetching());
@@ -399,7 +399,7 @@
     "store keeper: context of old weights is freed only when nobody can read it any more [stores]")
 {
     ManualClock clock;
-    StoreKeeper keeper(clock);
+    OldContextCleaner keeper(clock);
     const std::string old = contextSalt("m", 1, "");
     const std::string current = contextSalt("m", 2, "");
     StoreNews news;
@@ -408,10 +408,10 @@
     news.changes = {{old, "a", true, 10}, {current, "a", true, 10}, {"foreign", "b", true, 10}};
     keeper.storeAnswered(news);
     WeightHistory history;
-    history.note(2, {EventTime::at(clock.now()), 1});
+    history.record(2, {EventTime::at(clock.now()), 1});
     keeper.setWeights("m", history);
     const FencedLock::Holding holding{1, {}, {}, TimePoint::max()};
-    clock.advance(OldContext::unusedAfter("a") - 1ms);
+    clock.advance(OldContextTimes::unusedAfter("a") - 1ms);
     CHECK(keeper.tick(holding).empty());
     clock.advance(1ms);
     CHECK(keeper.tick(std::nullopt).empty()); // only the holder of the lock
@@ -420,10 +420,10 @@
     CHECK(actions.front().epoch == 5);
     CHECK(actions.front().parts == std::vector<std::pair<std::string, std::string>>{{old, "a"}});
     CHECK(keeper.tick(holding).empty()); // the call is on its way
-    keeper.freed(actions.front(), false);
+    keeper.freeAnswered(actions.front(), false);
     clock.advance(1s);
     REQUIRE(keeper.tick(holding).size() == 1); // it is tried again
-    keeper.freed(actions.front(), true);
+    keeper.freeAnswered(actions.front(), true);
     clock.advance(1s);
     CHECK(keeper.tick(holding).empty());
 }
@@ -437,10 +437,10 @@
     view.m_contexts.setInformed(false);
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
     view.m_contexts.setInformed(true);
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_contexts.setWeights("m", view.m_weights);
     CHECK(view.choose(longPrompt())->isFetching());
-    view.m_clock.advance(OldContext::useOf("c1"));
+    view.m_clock.advance(OldContextTimes::useTimeOf("c1"));
     view.tellStore({});
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
 }
@@ -456,7 +456,7 @@
     for (std::size_t n = 0; n < kParts; ++n)
         changes.push_back({salt, "c" + std::to_string(n), true, 1'200});
     view.tellStore(changes);
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_contexts.setWeights("m", view.m_weights);
     const auto stillFetched = [&] {
         int sum = 0;
@@ -465,11 +465,11 @@
         return sum;
     };
     CHECK(stillFetched() == 100);
-    view.m_clock.advance((OldContext::kShortestUse + OldContext::kLongestUse) / 2);
+    view.m_clock.advance((OldContextTimes::kMinUseTime + OldContextTimes::kMaxUseTime) / 2);
     view.tellStore({});
     CHECK(stillFetched() > 30);
     CHECK(stillFetched() < 70);
-    view.m_clock.advance((OldContext::kLongestUse - OldContext::kShortestUse) / 2);
+    view.m_clock.advance((OldContextTimes::kMaxUseTime - OldContextTimes::kMinUseTime) / 2);
     view.tellStore({});
     CHECK(stillFetched() == 0);
     CHECK(view.m_contexts.storeForSave(salt, {"new", 5'000}, 5'000, "even").empty());
@@ -610,7 +610,7 @@
                 {prompt, "", view.m_weights, view.m_traits, view.m_tried, view.m_shortGroup},
                 engines, view.m_loads, view.m_health, view.m_contexts);
             view.m_loads.begin(choice->instanceId, choice->load);
-            most = std::max(most, view.m_loads.ownAt(choice->instanceId).running);
+            most = std::max(most, view.m_loads.ownLoad(choice->instanceId).running);
         }
         return most;
     };
--- a/tests/unit/engine_versions_test.cpp
+++ b/tests/unit/engine_versions_test.cpp
@@ -48,8 +48,8 @@
             m_clock.advance(20ms);
             m_upstreams.tick();
             for (const RolloutAction &it : m_rollout.tick(m_holding, m_loads)) {
-                if (std::holds_alternative<AskReport>(it)) {
-                    m_rollout.reportRead("e", EngineReport{{{"m", m_runs}}, false, m_taken});
+                if (std::holds_alternative<FetchReport>(it)) {
+                    m_rollout.reportReceived("e", EngineReport{{{"m", m_runs}}, false, m_taken});
                     continue;
                 }
                 ++orders;
@@ -69,7 +69,7 @@
 private:
     void takeShown()
     {
-        for (const auto &[id, models] : m_rollout.shown()) {
+        for (const auto &[id, models] : m_rollout.reportedVersions()) {
             for (const auto &[model, weights] : models)
                 m_upstreams.setWeightVersion(id, model, weights);
         }
@@ -78,7 +78,7 @@
     }
 
     ManualClock m_clock;
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     UpstreamDirectory m_upstreams;
     WeightRollout m_rollout;
     std::uint64_t m_runs = 1;
--- a/tests/unit/event_time_test.cpp
+++ b/tests/unit/event_time_test.cpp
@@ -2,9 +2,9 @@
 // What a node may believe of the age of what it has heard of.
 #include <doctest/doctest.h>
 
-#include "fordwood/copy_freshness.hpp"
 #include "fordwood/event_time.hpp"
 #include "fordwood/manual_clock.hpp"
+#include "fordwood/replica_freshness.hpp"
 
 using namespace fordwood;
 using namespace std::chrono_literals;
@@ -58,61 +58,61 @@
 TEST_CASE("freshness: a copy is whole as of the question, not of the answer [beliefs]")
 {
     ManualClock clock;
-    CopyFreshness freshness(clock);
-    CHECK_FALSE(freshness.wholeAt());
-    CHECK_FALSE(freshness.ageByStore());
+    ReplicaFreshness freshness(clock);
+    CHECK_FALSE(freshness.completeAsOf());
+    CHECK_FALSE(freshness.ageFromStore());
     const TimePoint asked = clock.now();
     clock.advance(800ms);
     freshness.storeAnswered(asked);
-    CHECK(freshness.wholeAt() == asked);
-    CHECK(freshness.ageByStore() == 800ms);
+    CHECK(freshness.completeAsOf() == asked);
+    CHECK(freshness.ageFromStore() == 800ms);
     freshness.storeAnswered(asked - 5s); // a watch that waited for long
-    CHECK(freshness.wholeAt() == asked);
+    CHECK(freshness.completeAsOf() == asked);
 }
 
 TEST_CASE("freshness: a call that waited for news dates them [beliefs]")
 {
     ManualClock clock;
-    CopyFreshness freshness(clock);
+    ReplicaFreshness freshness(clock);
     for (int n = 0; n < 50; ++n) {
         clock.advance(100ms);
         freshness.tick();
     }
-    freshness.storeWasQuiet(clock.now() - 2s);
-    CHECK(freshness.wholeAt() == clock.now() - 2s);
+    freshness.storeHadNoChanges(clock.now() - 2s);
+    CHECK(freshness.completeAsOf() == clock.now() - 2s);
     clock.advance(3s); // the process stood still, and the next answer lay in its socket
-    const auto before = freshness.wholeAt();
-    freshness.storeWasQuiet(clock.now() - 2s);
-    CHECK(freshness.wholeAt() == before);
+    const auto before = freshness.completeAsOf();
+    freshness.storeHadNoChanges(clock.now() - 2s);
+    CHECK(freshness.completeAsOf() == before);
 }
 
 TEST_CASE("freshness: peers' words count from when the store told them [beliefs]")
 {
     ManualClock clock;
-    CopyFreshness freshness(clock);
-    freshness.peerHasNoMore(300ms);
-    CHECK(freshness.wholeAt() == clock.now() - 300ms);
-    CHECK_FALSE(freshness.ageByStore()); // only its own word is told on
+    ReplicaFreshness freshness(clock);
+    freshness.peerHadNoChanges(300ms);
+    CHECK(freshness.completeAsOf() == clock.now() - 300ms);
+    CHECK_FALSE(freshness.ageFromStore()); // only its own word is told on
 }
 
 TEST_CASE("freshness: words that lay in the sockets of a process that stood still say nothing "
           "[beliefs][standstill]")
 {
     ManualClock clock;
-    CopyFreshness freshness(clock);
+    ReplicaFreshness freshness(clock);
     freshness.tick();
-    freshness.peerHasNoMore(0ms);
-    const auto before = freshness.wholeAt();
+    freshness.peerHadNoChanges(0ms);
+    const auto before = freshness.completeAsOf();
     clock.advance(3s);
-    freshness.peerHasNoMore(0ms);
-    CHECK(freshness.wholeAt() == before);
+    freshness.peerHadNoChanges(0ms);
+    CHECK(freshness.completeAsOf() == before);
     freshness.tick();
-    freshness.peerHasNoMore(0ms);
-    CHECK(freshness.wholeAt() == before);
+    freshness.peerHadNoChanges(0ms);
+    CHECK(freshness.completeAsOf() == before);
     for (int n = 0; n < 5; ++n) {
         clock.advance(100ms);
         freshness.tick();
     }
-    freshness.peerHasNoMore(0ms);
-    CHECK(freshness.wholeAt() == clock.now());
+    freshness.peerHadNoChanges(0ms);
+    CHECK(freshness.completeAsOf() == clock.now());
 }
--- a/tests/unit/fenced_lock_test.cpp
+++ b/tests/unit/fenced_lock_test.cpp
@@ -13,8 +13,8 @@
 FencedLock::Limits limitsOf()
 {
     FencedLock::Limits limits;
-    limits.life = 1500ms;
-    limits.keepEvery = 400ms;
+    limits.ttl = 1500ms;
+    limits.renewEvery = 400ms;
     limits.quietTime = 3s;
     limits.margin = 200ms;
     return limits;
@@ -36,8 +36,8 @@
         lock.leaseGranted(7, 1500ms, clock.now());
         const auto actions = lock.tick();
         REQUIRE(actions.size() == 1);
-        const auto &taking = std::get<TakeLock>(actions.front());
-        lock.lockTaken(result, revision);
+        const auto &taking = std::get<AcquireLock>(actions.front());
+        lock.acquireAnswered(result, revision);
         return taking.value;
     }
 
@@ -73,7 +73,7 @@
     late.take(42);
     const TimePoint asked = clock.now();
     clock.advance(5s);
-    late.lock.leaseKept(1500ms, asked);
+    late.lock.leaseRenewed(1500ms, asked);
     CHECK_FALSE(late.lock.holding());
 }
 
@@ -84,7 +84,7 @@
     node.take(41);
     const TimePoint asked = clock.now();
     clock.advance(1s);
-    node.lock.leaseKept(1500ms, asked);
+    node.lock.leaseRenewed(1500ms, asked);
     clock.advance(400ms);
     CHECK_FALSE(node.lock.holding());
 }
@@ -105,7 +105,7 @@
     clock.advance(3s); // it never showed
     const auto actions = other.lock.tick();
     REQUIRE(actions.size() == 1);
-    CHECK(std::holds_alternative<EndLease>(actions.front()));
+    CHECK(std::holds_alternative<RevokeLease>(actions.front()));
     CHECK_FALSE(other.lock.holding());
 }
 
@@ -141,9 +141,9 @@
     CHECK(node.lock.predecessor() == "a");
     CHECK(node.lock.holding()->actFrom == taken + 3s);
     // The predecessor tells that it has acted last two seconds ago.
-    node.lock.predecessorActed(taken - 2s);
+    node.lock.setPredecessorLastActed(taken - 2s);
     CHECK(node.lock.holding()->actFrom == taken + 1s);
-    node.lock.predecessorActed(taken - 10s);
+    node.lock.setPredecessorLastActed(taken - 10s);
     CHECK(node.lock.holding()->actFrom == taken);
 }
 
@@ -166,7 +166,7 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    node.lock.setPatience(300ms);
+    node.lock.setAcquireDelay(300ms);
     CHECK(node.lock.tick().empty());
     clock.advance(300ms);
     CHECK(node.lock.tick().size() == 1);
@@ -203,13 +203,13 @@
     clock.advance(200ms);
     const auto asking = node.lock.tick();
     REQUIRE(asking.size() == 1);
-    CHECK(std::holds_alternative<KeepLease>(asking.front()));
-    node.lock.leaseNotKept(true);
+    CHECK(std::holds_alternative<RenewLease>(asking.front()));
+    node.lock.leaseNotRenewed(true);
     clock.advance(500ms);
     node.lock.keyChanged(nullptr);
     const auto anew = node.lock.tick();
     REQUIRE(anew.size() == 2);
-    CHECK(std::holds_alternative<EndLease>(anew.front()));
+    CHECK(std::holds_alternative<RevokeLease>(anew.front()));
     CHECK(std::holds_alternative<GrantLease>(anew.back()));
     CHECK_FALSE(node.lock.holding());
 }
@@ -225,7 +225,7 @@
     const StoredItem shown{"lock", 41, 41, value};
     node.lock.keyChanged(&shown);
     clock.advance(4s); // orders may be sent by now
-    node.lock.leaseKept(1500ms, clock.now());
+    node.lock.leaseRenewed(1500ms, clock.now());
     const auto before = node.lock.holding();
     REQUIRE(before);
 
@@ -234,14 +234,14 @@
     for (int n = 0; n < 8; ++n) {
         clock.advance(500ms);
         for (const LockAction &it : node.lock.tick()) {
-            CHECK(std::holds_alternative<KeepLease>(it));
-            node.lock.leaseNotKept(false);
+            CHECK(std::holds_alternative<RenewLease>(it));
+            node.lock.leaseNotRenewed(false);
         }
     }
     CHECK_FALSE(node.lock.holding());
 
     // Leases waited with the store, so nobody can have held the lock since.
-    node.lock.leaseKept(1500ms, clock.now());
+    node.lock.leaseRenewed(1500ms, clock.now());
     REQUIRE(node.lock.holding());
     CHECK(node.lock.holding()->fence == 41);
     CHECK(node.lock.holding()->actFrom == before->actFrom);
@@ -256,8 +256,8 @@
     node.lock.keyChanged(&shown);
     clock.advance(4s);
     node.lock.tick();
-    node.lock.leaseNotKept(true);
-    node.lock.leaseKept(1500ms, clock.now()); // an older answer that was late
+    node.lock.leaseNotRenewed(true);
+    node.lock.leaseRenewed(1500ms, clock.now()); // an older answer that was late
     CHECK_FALSE(node.lock.holding());
     node.lock.keyChanged(nullptr);
     clock.advance(500ms);
@@ -310,6 +310,6 @@
     node.lock.keyChanged(nullptr, 2);
     clock.advance(500ms);
     node.take(7);
-    node.lock.predecessorActed(clock.now() - 10s);
+    node.lock.setPredecessorLastActed(clock.now() - 10s);
     CHECK(node.lock.holding()->actFrom == clock.now() + 2500ms);
 }
--- a/tests/unit/health_patterns_test.cpp
+++ b/tests/unit/health_patterns_test.cpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "fordwood/load_book.hpp"
 #include "fordwood/manual_clock.hpp"
 #include "fordwood/rendezvous.hpp"
 #include "fordwood/service_chooser.hpp"
 #include "fordwood/upstream_health.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 
 using namespace fordwood;
 using namespace std::chrono_literals;
@@ -113,7 +113,7 @@
 
     const Duration m_pause;
     ManualClock m_clock;
-    LoadBook m_loads{m_clock};
+    UpstreamLoadTracker m_loads{m_clock};
     UpstreamHealth m_health{m_clock};
     Behaviour m_behaviour;
     std::vector<UpstreamRecord> m_records;
--- a/tests/unit/belief_ages_test.cpp
+++ b/tests/unit/information_age_test.cpp
@@ -3,9 +3,9 @@
 #include <doctest/doctest.h>
 
 #include "fordwood/cold_gate.hpp"
+#include "fordwood/context_store_log.hpp"
 #include "fordwood/manual_clock.hpp"
-#include "fordwood/standstill_watch.hpp"
-#include "fordwood/store_news_log.hpp"
+#include "fordwood/stall_detector.hpp"
 #include "fordwood/upstream_directory.hpp"
 
 using namespace fordwood;
@@ -15,13 +15,13 @@
 {
     ManualClock clock;
     clock.advance(1h);
-    StandstillWatch watch(clock);
-    CHECK(watch.turn() == 0ms);
+    StallDetector detector(clock);
+    CHECK(detector.poll() == 0ms);
     clock.advance(999ms);
-    CHECK(watch.turn() == 0ms);
+    CHECK(detector.poll() == 0ms);
     clock.advance(3s);
-    CHECK(watch.turn() == 3s);
-    CHECK(watch.turn() == 0ms);
+    CHECK(detector.poll() == 3s);
+    CHECK(detector.poll() == 0ms);
 }
 
 // A node that has heard of a store of kept context from a relay, and then becomes one itself, tells
@@ -32,34 +32,34 @@
 {
     ManualClock clock;
     clock.advance(1h);
-    StoreNewsLog log(clock);
+    ContextStoreLog log(clock);
     StoreNews news;
     news.store = "s";
     news.epoch = 1;
     news.age = 800ms;
-    log.told(news);
+    log.storeAnswered(news);
     clock.advance(100ms);
-    REQUIRE(log.since({}).size() == 1);
-    CHECK(log.since({}).front().age == 900ms);
+    REQUIRE(log.updatesSince({}).size() == 1);
+    CHECK(log.updatesSince({}).front().age == 900ms);
     // The other side: the store's own answer is news.
     news.age = 0ms;
-    log.told(news);
-    CHECK(log.since({}).front().age == 0ms);
+    log.storeAnswered(news);
+    CHECK(log.updatesSince({}).front().age == 0ms);
 }
 
 TEST_CASE("ages: an older word of a store that comes later makes no newer one older [relays]")
 {
     ManualClock clock;
     clock.advance(1h);
-    StoreNewsLog log(clock);
+    ContextStoreLog log(clock);
     StoreNews news;
     news.store = "s";
     news.epoch = 1;
-    log.told(news);
+    log.storeAnswered(news);
     clock.advance(100ms);
     news.age = 800ms;
-    log.told(news);
-    CHECK(log.since({}).front().age == 100ms);
+    log.storeAnswered(news);
+    CHECK(log.updatesSince({}).front().age == 100ms);
 }
 
 // Ruled out: a record says for how long the upstream stays cold from its writing on, and a node
--- a/tests/unit/late_begin_test.cpp
+++ b/tests/unit/late_begin_test.cpp
@@ -64,7 +64,7 @@
         : loads(clock), health(clock), contexts(clock), chooser(clock, limits)
     { }
 
-    LoadBook loads;
+    UpstreamLoadTracker loads;
     UpstreamHealth health;
     ContextDirectory contexts;
     EngineChooser chooser;
@@ -179,8 +179,8 @@
         while (m_clock.now() < warm)
             step();
         m_named = m_clock.now();
-        m_weights.note(1, {EventTime::at(*m_named - 1h), 0});
-        m_weights.note(2, {EventTime::at(*m_named), 1});
+        m_weights.record(1, {EventTime::at(*m_named - 1h), 0});
+        m_weights.record(2, {EventTime::at(*m_named), 1});
         while (m_clock.now() < *m_named + kBound + 10s)
             step();
         return m_seen;
@@ -255,7 +255,7 @@
         if (!choice.isShort)
             sent.node->pace.observe(choice.found.tokensToCompute + choice.load.tokensToCompute,
                                     sent.begun - sent.at);
-        sent.node->loads.computed(choice.instanceId, choice.load);
+        sent.node->loads.promptComputed(choice.instanceId, choice.load);
         if (!m_named)
             return;
         if (isBeforeBound())
@@ -277,7 +277,7 @@
             const UpstreamLoads own(m_nodes[n]->loads.own());
             for (std::size_t to = 0; to < m_nodes.size(); ++to) {
                 if (to != n)
-                    m_nodes[to]->loads.setPeer("n" + std::to_string(n), own);
+                    m_nodes[to]->loads.setPeerLoads("n" + std::to_string(n), own);
             }
         }
     }
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -4,10 +4,10 @@
 
 #include <doctest/doctest.h>
 
+#include "fordwood/context_store_log.hpp"
 #include "fordwood/manual_clock.hpp"
 #include "fordwood/relay_role.hpp"
 #include "fordwood/rendezvous.hpp"
-#include "fordwood/store_news_log.hpp"
 
 using namespace fordwood;
 using namespace std::chrono_literals;
@@ -86,7 +86,7 @@
     return told;
 }
 
-StorePosition position(std::uint64_t next, std::uint64_t epoch = 7)
+ContextStorePosition position(std::uint64_t next, std::uint64_t epoch = 7)
 {
     return {stableHash("s"), epoch, next};
 }
@@ -155,13 +155,13 @@
 TEST_CASE("relays: a reader is told what it lacks, and all when that is not known [relays][stores]")
 {
     ManualClock clock;
-    StoreNewsLog log(clock, {3});
-    log.told(news(10, {}));
-    log.told(news(12, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
-    log.told(news(13, {{"salt", "a", false, 0}}));
+    ContextStoreLog log(clock, {3});
+    log.storeAnswered(news(10, {}));
+    log.storeAnswered(news(12, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
+    log.storeAnswered(news(13, {{"salt", "a", false, 0}}));
     clock.advance(300ms);
 
-    const auto lacking = log.since({position(12)});
+    const auto lacking = log.updatesSince({position(12)});
     REQUIRE(lacking.size() == 1);
     CHECK_FALSE(lacking[0].restated);
     REQUIRE(lacking[0].changes.size() == 1);
@@ -170,32 +170,32 @@
     CHECK(lacking[0].next == 13);
     CHECK(lacking[0].age == 300ms); // the store's word is as old as it is for the relay
 
-    CHECK(log.since({position(13)})[0].changes.empty());
-    for (const StorePosition &unknown : {position(9), position(13, 6)}) {
-        const auto whole = log.since({unknown});
+    CHECK(log.updatesSince({position(13)})[0].changes.empty());
+    for (const ContextStorePosition &unknown : {position(9), position(13, 6)}) {
+        const auto whole = log.updatesSince({unknown});
         CHECK(whole[0].restated);
         REQUIRE(whole[0].changes.size() == 1);
         CHECK(whole[0].changes[0].partId == "b");
     }
-    CHECK(log.since({})[0].restated);
+    CHECK(log.updatesSince({})[0].restated);
 
-    log.told(news(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
-    CHECK(log.since({position(10)})[0].restated); // the oldest changes are no longer known
-    CHECK_FALSE(log.since({position(13)})[0].restated);
+    log.storeAnswered(news(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
+    CHECK(log.updatesSince({position(10)})[0].restated); // the oldest changes are no longer known
+    CHECK_FALSE(log.updatesSince({position(13)})[0].restated);
 }
 
 TEST_CASE("relays: a reader that is ahead is not set back; a silent store is not told of "
           "[relays][stores]")
 {
     ManualClock clock;
-    StoreNewsLog log(clock);
-    log.told(news(10, {}));
-    const auto told = log.since({position(14)});
+    ContextStoreLog log(clock);
+    log.storeAnswered(news(10, {}));
+    const auto told = log.updatesSince({position(14)});
     REQUIRE(told.size() == 1);
     CHECK(told[0].next == 14);
     CHECK(told[0].changes.empty());
-    log.silent("s");
-    CHECK(log.since({position(10)}).empty());
+    log.storeFailed("s");
+    CHECK(log.updatesSince({position(10)}).empty());
 }
 
 TEST_CASE("relays: a relay's word of a store is no fresher than the store's own [relays][stores]")
--- a/tests/unit/rollout_simulation_test.cpp
+++ b/tests/unit/rollout_simulation_test.cpp
@@ -143,7 +143,7 @@
             advance(id, engine);
         deliver();
         for (const RolloutAction &it : m_rollout.tick(m_holding, m_loads)) {
-            if (const auto *asked = std::get_if<AskReport>(&it))
+            if (const auto *asked = std::get_if<FetchReport>(&it))
                 ask(asked->instanceId);
             else
                 order(std::get<OrderWeights>(it));
@@ -233,7 +233,7 @@
             if (it.order)
                 m_rollout.orderAnswered(it.instanceId, *it.order);
             else
-                m_rollout.reportRead(it.instanceId, it.report);
+                m_rollout.reportReceived(it.instanceId, it.report);
         }
     }
 
@@ -285,7 +285,7 @@
     std::mt19937 m_random;
     ManualClock m_clock;
     const TimePoint m_start = m_clock.now();
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     WeightRollout m_rollout;
     std::vector<UpstreamRecord> m_records;
     std::map<std::string, SimulatedEngine> m_engines;
--- a/tests/unit/serving_parts_test.cpp
+++ b/tests/unit/serving_parts_test.cpp
@@ -3,12 +3,12 @@
 #include <doctest/doctest.h>
 
 #include "fordwood/event_splitter.hpp"
-#include "fordwood/load_book.hpp"
 #include "fordwood/manual_clock.hpp"
 #include "fordwood/prefill_pace.hpp"
 #include "fordwood/route_table.hpp"
 #include "fordwood/service_chooser.hpp"
 #include "fordwood/upstream_health.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/weight_history.hpp"
 #include "fordwood/window_budget.hpp"
 
@@ -100,11 +100,11 @@
 TEST_CASE("loads: what has ended or was computed counts no more [routing]")
 {
     const ManualClock clock;
-    LoadBook loads(clock);
+    UpstreamLoadTracker loads(clock);
     loads.begin("a", {100, 150});
     loads.begin("a", {50, 70});
     CHECK(loads.total("a") == UpstreamLoad{2, 150, 220});
-    loads.computed("a", {100, 150});
+    loads.promptComputed("a", {100, 150});
     CHECK(loads.total("a") == UpstreamLoad{2, 50, 220});
     loads.end("a", {100, 150}, true);
     loads.end("a", {50, 70}, false);
@@ -151,7 +151,7 @@
 TEST_CASE("services: the upstream with the most room is chosen, a near one among equals [routing]")
 {
     const ManualClock clock;
-    LoadBook loads(clock);
+    UpstreamLoadTracker loads(clock);
     UpstreamHealth health(clock);
     const UpstreamRecord near = upstreamOf("near", "home");
     const UpstreamRecord far = upstreamOf("far", "away");
@@ -193,29 +193,29 @@
     const TimePoint start{1h};
     WeightHistory history;
     CHECK(history.newest() == 0);
-    CHECK(history.note(2, {EventTime::at(start), 1}));
-    CHECK(history.note(3, {EventTime::at(start + 4s), 2}));
+    CHECK(history.record(2, {EventTime::at(start), 1}));
+    CHECK(history.record(3, {EventTime::at(start + 4s), 2}));
     CHECK(history.newest() == 3);
-    CHECK(history.superseded(1) == EventTime::at(start));
-    CHECK(history.superseded(2) == EventTime::at(start + 4s));
-    CHECK_FALSE(history.superseded(3));
-    CHECK_FALSE(history.note(2, {EventTime::at(start + 1s), 1})); // another node saw it later
-    CHECK(history.note(2, {EventTime::at(start - 1s), 1})); // or earlier
-    CHECK(history.superseded(1) == EventTime::at(start - 1s));
+    CHECK(history.supersededAt(1) == EventTime::at(start));
+    CHECK(history.supersededAt(2) == EventTime::at(start + 4s));
+    CHECK_FALSE(history.supersededAt(3));
+    CHECK_FALSE(history.record(2, {EventTime::at(start + 1s), 1})); // another node saw it later
+    CHECK(history.record(2, {EventTime::at(start - 1s), 1})); // or earlier
+    CHECK(history.supersededAt(1) == EventTime::at(start - 1s));
 }
 
 TEST_CASE("weights: the age of a naming bounds only what it may have replaced [weights]")
 {
     const TimePoint start{1h};
     WeightHistory history;
-    history.note(3, {EventTime::at(start), 2});
-    CHECK(history.superseded(2) == EventTime::at(start));
-    CHECK_FALSE(history.superseded(1)->earliest); // by version 2, which may have come long before
+    history.record(3, {EventTime::at(start), 2});
+    CHECK(history.supersededAt(2) == EventTime::at(start));
+    CHECK_FALSE(history.supersededAt(1)->earliest); // by version 2, which may have come long before
     // Both were named while somebody did not look.
-    history.note(3, {{start - 9s, start}, 1});
-    CHECK_FALSE(history.superseded(1)->earliest);
-    history.note(2, {{start - 2s, start}, 1});
-    CHECK(history.superseded(1)->earliest == start - 2s);
+    history.record(3, {{start - 9s, start}, 1});
+    CHECK_FALSE(history.supersededAt(1)->earliest);
+    history.record(2, {{start - 2s, start}, 1});
+    CHECK(history.supersededAt(1)->earliest == start - 2s);
 }
 
 TEST_CASE("pace: is learned from long prompts [routing]")
--- a/tests/unit/store_replica_test.cpp
+++ b/tests/unit/store_replica_test.cpp
@@ -139,6 +139,6 @@
     REQUIRE(replica.merge({0, 85, {itemOf("a", 80, "x")}, 2}));
     CHECK(replica.find("a") == nullptr);
     REQUIRE(replica.merge({0, 95, {}, 2}));
-    CHECK(replica.settle().empty());
+    CHECK(replica.acceptDeferred().empty());
     CHECK(replica.find("a") == nullptr);
 }
--- a/tests/unit/load_planner_test.cpp
+++ b/tests/unit/weight_load_planner_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "fordwood/load_planner.hpp"
+#include "fordwood/weight_load_planner.hpp"
 
 #include <doctest/doctest.h>
 
@@ -14,8 +14,8 @@
 struct Bench
 {
     ManualClock clock;
-    LoadPlanner planner{"n1", 7, clock, {}, 1};
-    LoadPlanner::StoredTable stored;
+    WeightLoadPlanner planner{"n1", 7, clock, {}, 1};
+    WeightLoadPlanner::StoredTable stored;
 
     Bench() { planner.setTargets({{"e", "127.0.0.1:1", "m", "v2"}}, 2, 1, 3); }
 
--- a/tests/unit/weight_rollout_test.cpp
+++ b/tests/unit/weight_rollout_test.cpp
@@ -45,8 +45,8 @@
         std::vector<OrderWeights> orders;
         for (Duration passed{0}; passed < time; passed += 20ms) {
             for (const RolloutAction &it : tick()) {
-                if (const auto *ask = std::get_if<AskReport>(&it))
-                    m_rollout.reportRead(ask->instanceId, report);
+                if (const auto *ask = std::get_if<FetchReport>(&it))
+                    m_rollout.reportReceived(ask->instanceId, report);
                 else
                     orders.push_back(std::get<OrderWeights>(it));
             }
@@ -55,7 +55,7 @@
     }
 
     ManualClock m_clock;
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     WeightRollout m_rollout;
     std::vector<UpstreamRecord> m_records;
     std::optional<FencedLock::Holding> m_holding
@@ -125,8 +125,8 @@
     REQUIRE(orders.size() == 1);
     const std::string first = orders.front().instanceId;
     rollout.m_rollout.orderAnswered(first, OrderResult::Accepted);
-    rollout.m_rollout.reportRead(first, EngineReport{{{"m", 2}}, false, 1});
-    CHECK(rollout.m_rollout.shown().at(first).at("m").version == 2);
+    rollout.m_rollout.reportReceived(first, EngineReport{{{"m", 2}}, false, 1});
+    CHECK(rollout.m_rollout.reportedVersions().at(first).at("m").version == 2);
     orders = rollout.run(400ms, kOld);
     REQUIRE(orders.size() == 1);
     CHECK(orders.front().instanceId != first);
@@ -184,15 +184,15 @@
     std::vector<OrderWeights> next;
     for (Duration passed{0}; passed < 2s; passed += 20ms) {
         for (const RolloutAction &it : fleet.tick()) {
-            const auto *ask = std::get_if<AskReport>(&it);
+            const auto *ask = std::get_if<FetchReport>(&it);
             if (ask == nullptr) {
                 next.push_back(std::get<OrderWeights>(it));
                 continue;
             }
             const bool loaded
                 = ask->instanceId == first[0].instanceId || ask->instanceId == first[1].instanceId;
-            fleet.m_rollout.reportRead(ask->instanceId,
-                                       EngineReport{{{"m", loaded ? 2U : 1U}}, false, loaded});
+            fleet.m_rollout.reportReceived(ask->instanceId,
+                                           EngineReport{{{"m", loaded ? 2U : 1U}}, false, loaded});
         }
     }
     REQUIRE(next.size() == 2);
@@ -211,7 +211,7 @@
     REQUIRE(orders.size() == 1);
     const std::string first = orders.front().instanceId;
     rollout.m_rollout.orderAnswered(first, OrderResult::Accepted);
-    rollout.m_rollout.reportRead(first, std::nullopt);
+    rollout.m_rollout.reportReceived(first, std::nullopt);
     CHECK(rollout.run(800ms, {{{"m", 1}}, true, 1}).empty());
     CHECK(rollout.m_rollout.loading().contains(first));
 }
@@ -222,10 +222,10 @@
     rollout.m_rollout.setTarget("m", 2);
     for (Duration passed{0}; passed < 1s; passed += 20ms) {
         for (const RolloutAction &it : rollout.tick()) {
-            const auto *ask = std::get_if<AskReport>(&it);
+            const auto *ask = std::get_if<FetchReport>(&it);
             REQUIRE(ask != nullptr);
             const bool busy = ask->instanceId == "e0" || ask->instanceId == "e1";
-            rollout.m_rollout.reportRead(ask->instanceId, EngineReport{{{"m", 1}}, busy, busy});
+            rollout.m_rollout.reportReceived(ask->instanceId, EngineReport{{{"m", 1}}, busy, busy});
         }
     }
     CHECK(rollout.m_rollout.loading().size() == 4); // two load and two are drained
@@ -235,19 +235,19 @@
 {
     Rollout rollout(6);
     rollout.m_rollout.setTarget("m", 2);
-    const auto behind = [&] { return rollout.m_rollout.behind(*rollout.m_holding); };
+    const auto behind = [&] { return rollout.m_rollout.outdatedEngines(*rollout.m_holding); };
     const auto waitOf = [&](const std::string &id) { return behind().at(id).waitsFor; };
 
     rollout.m_holding = FencedLock::Holding{9, {}, rollout.m_clock.now() + 1s, TimePoint::max()};
-    CHECK(behind().at("e0") == EngineBehind{"m", 1, 2, RolloutWait::QuietTime});
+    CHECK(behind().at("e0") == OutdatedEngine{"m", 1, 2, RolloutWait::QuietTime});
     rollout.m_holding->actFrom = TimePoint{};
 
     rollout.tick();
     CHECK(waitOf("e0") == RolloutWait::Report);
     CHECK(waitOf("e3") == RolloutWait::Turn);
-    rollout.m_rollout.reportRead("e0", kOld);
-    rollout.m_rollout.reportRead("e1", kOld);
-    rollout.m_rollout.reportRead("e2", std::nullopt);
+    rollout.m_rollout.reportReceived("e0", kOld);
+    rollout.m_rollout.reportReceived("e1", kOld);
+    rollout.m_rollout.reportReceived("e2", std::nullopt);
     CHECK(waitOf("e0") == RolloutWait::Drain);
     CHECK(waitOf("e2") == RolloutWait::Silent);
 
@@ -257,6 +257,6 @@
     CHECK(waitOf("e0") == RolloutWait::Answer);
     rollout.m_rollout.orderAnswered("e1", OrderResult::Refused);
     CHECK(waitOf("e1") == RolloutWait::Pause);
-    rollout.m_rollout.reportRead("e0", EngineReport{{{"m", 2}}, false, 1});
+    rollout.m_rollout.reportReceived("e0", EngineReport{{{"m", 2}}, false, 1});
     CHECK_FALSE(behind().contains("e0"));
 }
