--- a/include/fordwood/context_store_log.hpp
+++ b/include/fordwood/context_store_log.hpp
@@ -15,22 +15,23 @@
 
 namespace fordwood {
 
-// How far a reader has come in what a store of kept context tells.
+// How far a reader has followed the events of a context store.
 struct ContextStorePosition
 {
-    std::uint64_t store = 0; // hash of its name
+    std::uint64_t store = 0; // hash of the store's name
     std::uint64_t epoch = 0;
-    std::uint64_t next = 0; // number of the first event that the reader lacks
+    std::uint64_t next = 0; // number of the first event that the reader does not have
 };
 
-// What a relay has heard of the stores of kept context, for nodes that do not ask them themselves.
-// It keeps what each store holds, and the newest changes one by one.
+// The state of the context stores as a relay has read it, for nodes that do not poll the stores
+// themselves. Keeps the content of each store and its most recent changes.
 class ContextStoreLog
 {
 public:
     struct Limits
     {
-        std::size_t recentChanges = 2'000; // kept for each store; older ones are told as a whole
+        std::size_t recentChanges
+            = 2'000; // for each store; readers that are further behind get a snapshot
     };
 
     explicit ContextStoreLog(const Clock &clock) : ContextStoreLog(clock, Limits{}) { }
@@ -39,13 +40,13 @@
     void storeAnswered(const StoreNews &news);
     void storeFailed(const std::string &store);
 
-    // What the reader lacks, for each store that answers this node.
+    // The changes that the reader does not have yet, for each store that answers this node.
     std::vector<StoreNews> updatesSince(const std::vector<ContextStorePosition> &positions) const;
 
 private:
     struct Batch
     {
-        std::uint64_t from = 0; // number of its first event
+        std::uint64_t from = 0; // number of the first event
         std::vector<StorePartChange> changes;
     };
     struct Store
@@ -57,7 +58,8 @@
         std::chrono::milliseconds clock{0};
         std::deque<Batch> recent;
         std::size_t recentChanges = 0;
-        std::map<std::pair<std::string, std::string>, std::size_t> parts; // by salt and id
+        std::map<std::pair<std::string, std::string>, std::size_t>
+            parts; // tokens by salt and part id
     };
 
     void appendRecent(Store &store, const StoreNews &news) const;
--- a/include/fordwood/event_time.hpp
+++ b/include/fordwood/event_time.hpp
@@ -8,19 +8,20 @@
 
 namespace fordwood {
 
-// When something happened, as far as a node can tell. It has heard of it at some moment, which says
-// nothing of how long ago it happened; only a moment at which it surely had not happened yet does.
-// A decision that must not come too late counts from `earliest`, one that must not come too soon
-// from `latest`.
+// Bounds on the time of an event that a node did not see itself. The moment at which the node
+// learns of the event only bounds it from above; a lower bound is a moment at which the event
+// cannot have happened yet. A deadline that must not be missed counts from `earliest`, a waiting
+// time that must not be too short from `latest`.
 struct EventTime
 {
-    std::optional<TimePoint> earliest; // nothing: it may be any time ago
+    std::optional<TimePoint> earliest; // empty: no lower bound
     TimePoint latest{};
 
-    // For what this node was there to see.
+    // For an event that this node saw itself.
     static EventTime at(TimePoint moment) { return {moment, moment}; }
 
-    // Takes in what another one knows of the same event. False when that tells nothing new.
+    // Narrows the bounds with those of another node for the same event. Returns false if that
+    // changes nothing.
     bool narrow(const EventTime &other);
 
     bool operator==(const EventTime &) const = default;
--- a/include/fordwood/fenced_lock.hpp
+++ b/include/fordwood/fenced_lock.hpp
@@ -13,13 +13,12 @@
 
 namespace fordwood {
 
-// Asks the store for a lease.
 struct GrantLease
 {
     Duration ttl;
 };
 
-// Writes the lock's key under the lease, if the key is absent.
+// Creates the lock's key under the lease if it does not exist.
 struct AcquireLock
 {
     std::string key;
@@ -27,13 +26,12 @@
     std::int64_t lease;
 };
 
-// Renews the lease.
 struct RenewLease
 {
     std::int64_t lease;
 };
 
-// Gives the lease up, and the lock with it.
+// Revokes the lease, which also deletes the lock's key.
 struct RevokeLease
 {
     std::int64_t lease;
@@ -41,41 +39,44 @@
 
 using LockAction = std::variant<GrantLease, AcquireLock, RenewLease, RevokeLease>;
 
-// How the store answered a write that had a condition.
+// Result of a conditional write to the store.
 enum class WriteResult {
     Done,
     ConditionFailed,
     LeaseExpired,
-    Unknown, // no answer: it may have been done, or may be done later
-    Refused, // surely not done
+    Unknown, // no answer: the write may have been done or may still be done
+    Refused, // certainly not done
 };
 
-// A lock over the fleet: a key of the platform's store under a lease. The version of the store at
-// which the key was created is the fence: it grows with each holder. Events in, actions out; no
-// I/O.
+// A lock shared by the fleet: a key of the platform's store under a lease. The fence is the version
+// of the store at which the key was created, so it grows with each holder. A state machine that
+// takes events and returns actions, without I/O.
 //
-// The holder counts its lease from the moment at which it *sent* the renewal, on its steady clock,
-// so that it stops before the store gives the lock to another; a holder that was frozen sees on
-// waking that its time is over. It acts again if the store says that the lease is still there. A
-// new holder waits `quietTime` before it acts, in which whatever the one before has sent arrives.
+// The holder counts its lease on its steady clock from the moment at which it *sent* the renewal,
+// so that it stops before the store gives the lock to another node; a holder that was suspended
+// finds its lease expired when it resumes. It may act again if the store confirms that the lease
+// still exists. A new holder waits for `quietTime` before it acts, so that everything its
+// predecessor sent has arrived by then.
 class FencedLock
 {
 public:
     struct Limits
     {
-        // Of the lease: short, since engines wait for their weights until it has run out after a
-        // holder's death. A renewal takes milliseconds, some hundred on a bad day.
+        // Of the lease. Short, because after the death of a holder engines get no new weights until
+        // its lease has expired. A renewal usually takes milliseconds, and a few hundred in the
+        // worst case.
         Duration ttl = std::chrono::milliseconds(1'500);
         Duration renewEvery = std::chrono::milliseconds(400);
         Duration quietTime = std::chrono::seconds(3);
-        // Before the end of the lease in which the holder no longer acts.
+        // The holder stops acting this long before the end of its lease.
         Duration margin = std::chrono::milliseconds(200);
-        // A write without an answer is waited for so long before a new attempt.
+        // Time to wait for an answer, or for an unanswered write to show in the replica, before a
+        // new attempt.
         Duration answerTimeout = std::chrono::seconds(2);
         Duration retryEvery = std::chrono::milliseconds(500);
     };
 
-    // The lock as it is held by this node.
+    // This node's hold of the lock.
     struct Holding
     {
         std::int64_t fence = 0;
@@ -84,18 +85,19 @@
         TimePoint actUntil{};
     };
 
-    // `owner` must differ between nodes and between the lives of a node.
+    // `owner` must be unique for each start of each node.
     FencedLock(std::string key, std::string owner, const Clock &clock, Limits limits);
 
-    // How long this node waits before it tries to take a lock that is free: nodes that would rather
-    // have another one hold it wait longer.
+    // How long the lock must have been free before this node tries to take it. Less preferred
+    // holders get a longer delay.
     void setAcquireDelay(Duration delay) { m_acquireDelay = delay; }
 
-    // The key as the node's copy of the store shows it; null when it is absent. `epoch`: of the
-    // copy.
+    // The state of the lock's key in the node's replica of the store; null if it does not exist.
+    // `epoch` is that of the replica.
     void keyChanged(const StoredItem *item, std::uint64_t epoch = 0);
 
-    // The store is in this epoch. A lock of an earlier one is lost, and its lease may be another's.
+    // The store is in this epoch. A lock taken in an earlier epoch is lost, and the id of its lease
+    // may have been assigned to another node.
     void storeRestored(std::uint64_t epoch);
 
     void leaseGranted(std::int64_t lease, Duration ttl, TimePoint sentAt);
@@ -104,22 +106,23 @@
     void leaseRenewed(Duration ttl, TimePoint sentAt);
     void leaseNotRenewed(bool hasExpired);
 
-    // A higher fence was seen where orders go: the lock is given up and taken anew.
+    // An engine has already seen a higher fence: the lock is given up and taken again.
     void fenceRefused();
 
-    // Gives the lock up for good, at a planned stop.
+    // Gives up the lock permanently, for a planned shutdown.
     void release();
 
     std::vector<LockAction> tick();
 
-    // Nothing while this node does not hold the lock, or may not act.
+    // Empty while this node does not hold the lock or must not act.
     std::optional<Holding> holding() const;
 
-    // The owner of the lock before this node, as far as seen; empty: none was seen.
+    // The last other owner of the lock that was seen; empty if there was none.
     const std::string &predecessor() const { return m_predecessor; }
 
-    // The owner before has acted last at this moment, by its own word after its time was over, or
-    // as far as it can have: `quietTime` counts from there instead of from the taking of the lock.
+    // The predecessor acted last at this time, as it reported after its lease had ended, or cannot
+    // have acted later. `quietTime` then counts from this time instead of from when the lock was
+    // taken.
     void setPredecessorLastActed(TimePoint lastAction);
 
 private:
@@ -136,17 +139,17 @@
     Duration m_acquireDelay{0};
     Stage m_stage = Stage::Idle;
     std::uint64_t m_attempt = 0;
-    std::optional<TimePoint> m_freeSince; // the key is absent
+    std::optional<TimePoint> m_freeSince; // since the key does not exist
     TimePoint m_notBefore{};
-    TimePoint m_waitUntil{}; // for an answer, or for a write to show
+    TimePoint m_waitUntil{}; // for an answer, or for a write to appear in the replica
     std::int64_t m_lease = 0;
     TimePoint m_leaseEnd{};
     TimePoint m_nextRenewal{};
     bool m_isRenewing = false;
-    std::uint64_t m_epoch = 0; // of the store; zero: not known
+    std::uint64_t m_epoch = 0; // of the store; zero: unknown
     std::optional<TimePoint> m_restoredAt;
-    std::int64_t m_createRevision = 0; // revision at which the own key was created
-    bool m_isKeySeen = false; // the copy of the store has shown the own key
+    std::int64_t m_createRevision = 0; // revision at which this node's key was created
+    bool m_isKeySeen = false; // the replica has shown this node's key
     TimePoint m_heldSince{};
     TimePoint m_actFrom{};
     std::string m_predecessor;
--- a/include/fordwood/old_context_cleaner.hpp
+++ b/include/fordwood/old_context_cleaner.hpp
@@ -17,31 +17,34 @@
 
 namespace fordwood {
 
-// Spans that nodes and the keeper of the stores agree on; see OldContextCleaner.
+// Time limits that nodes and the OldContextCleaner must agree on, so that no part is freed while it
+// may still be fetched.
 struct OldContextTimes
 {
-    // How long after the naming of newer weights context of older ones is still fetched: one part
-    // after the other ends, by a hash of its name, about as the engines come to the new weights one
-    // after the other. So the requests for a context go over to the new weights together, those for
-    // others are still served from what is kept, and the stores get room little by little.
+    // How long context of old weights is still fetched after newer weights were named. The time
+    // differs between parts, by a hash of the part's id, because engines change to the new weights
+    // one after the other over about this period. So all requests for one context change over
+    // together, requests for other contexts are still served from the stores, and the stores free
+    // their space gradually.
     static constexpr Duration kMinUseTime = std::chrono::milliseconds(3'500);
     static constexpr Duration kMaxUseTime = std::chrono::seconds(10);
     static Duration useTimeOf(const std::string &partId);
-    // How much later than the first a node may learn of the naming while it fetches at all: it
-    // stops when neither the platform's store nor a peer is heard, which shows within this.
+    // The longest time between the first node that learns of newer weights and the last one that
+    // still fetches: a node stops fetching when it can reach neither the platform's store nor a
+    // peer, which it detects within this time.
     static constexpr Duration kMaxLearnDelay = std::chrono::seconds(3);
-    // How long after its request was sent a fetch may still run; engines throw away later ones.
+    // How long after its request was sent a fetch may still run; engines reject later ones.
     static constexpr Duration kMaxFetchTime = std::chrono::milliseconds(1'500);
-    // For messages on their way.
+    // For messages in transit.
     static constexpr Duration kMargin = std::chrono::milliseconds(500);
-    // From the naming of newer weights on: after this nobody reads the part any more.
+    // No node reads the part any more once this time has passed since newer weights were named.
     static Duration unusedAfter(const std::string &partId)
     {
         return useTimeOf(partId) + kMaxLearnDelay + kMaxFetchTime + kMargin;
     }
 };
 
-// Asks a store to free parts, unless it has restarted.
+// A call that asks a store to free parts; void if the store has restarted since `epoch`.
 struct FreePartsCall
 {
     std::string store;
@@ -49,25 +52,24 @@
     std::vector<std::pair<std::string, std::string>> parts; // salt and id
 };
 
-// Frees context of old weights in the stores, which drop nothing on their own and do not know who
-// reads from them. One node at a time does so, the holder of the lock, and only when the spans of
-// OldContextTimes are over: by then no node asks for such a fetch, and none that was asked for
-// still runs.
+// Frees context of old weights in the context stores, which drop nothing on their own and have no
+// record of their readers. Only the holder of the lock does so, and only after the times in
+// OldContextTimes: by then no node starts such a fetch, and none that was started still runs.
 class OldContextCleaner
 {
 public:
     explicit OldContextCleaner(const Clock &clock) : m_clock(clock) { }
 
-    // The versions that were named for the model.
+    // Sets the weight versions that were named for the model.
     void setWeights(const std::string &model, const WeightHistory &history);
 
     void storeAnswered(const StoreNews &news);
     void storeFailed(const std::string &store);
 
-    // What may be freed now; nothing without the lock.
+    // Calls to send now; none unless this node holds the lock.
     std::vector<FreePartsCall> tick(const std::optional<FencedLock::Holding> &holding);
 
-    // The store has answered the call, or not.
+    // A call has ended; `done`: the store has freed the parts.
     void freeAnswered(const FreePartsCall &asked, bool done);
 
 private:
@@ -75,11 +77,11 @@
     {
         std::uint64_t epoch = 0;
         bool answers = false;
-        bool isCallPending = false; // a call is on its way
-        TimePoint retryAt{}; // after a call that failed
+        bool isCallPending = false; // a call is in progress
+        TimePoint retryAt{}; // pause after each call
         std::map<std::string, std::set<std::string>> parts; // ids by salt
     };
-    // Since when the salt's weights are old; nothing: they are not.
+    // Since when the salt's weights have been old; empty if they are not.
     std::optional<TimePoint> oldSince(const std::string &salt) const;
     void addUnusedParts(const Store &store, FreePartsCall &action) const;
 
--- a/include/fordwood/replica_freshness.hpp
+++ b/include/fordwood/replica_freshness.hpp
@@ -9,37 +9,38 @@
 
 namespace fordwood {
 
-// Until when a node's copy of the platform's store is known to have been whole: whatever it learns
-// next happened after that. Without it a node that starts, wakes, or was cut off would take old
-// news for new.
+// Tracks up to which time a node's replica of the platform's store is known to be complete:
+// whatever the node learns next happened after that time. Without it a node that has just started,
+// resumed or reconnected would take old changes for recent ones.
 class ReplicaFreshness
 {
 public:
     explicit ReplicaFreshness(const Clock &clock) : m_clock(clock), m_stallDetector(clock) { }
 
-    // The copy holds what the store answered to a call that was sent at that time.
+    // The replica contains what the store answered to a call that was sent at that time.
     void storeAnswered(TimePoint asked);
 
-    // The store had nothing new to tell until then. Not believed just after this process stood
-    // still, since the answer may have waited in its sockets.
+    // The store had no changes up to that time. Ignored just after this process was stalled,
+    // because the answer may have waited in its sockets.
     void storeHadNoChanges(TimePoint until);
 
-    // A peer that learnt from the store itself, so long ago, that its copy was whole has nothing
-    // that this node lacks. Not believed just after a standstill either.
+    // A peer's replica, which the store itself showed to be complete `age` ago, has no changes that
+    // this node does not have. Also ignored just after a stall.
     void peerHadNoChanges(Duration age);
 
-    // The store was restored from a snapshot: what showed that the copy was whole says nothing of
-    // what the store holds now.
+    // The store was restored from a snapshot, so earlier evidence of completeness no longer
+    // applies.
     void storeRestored();
 
-    // Regular work, several times a second.
+    // To be called several times a second.
     void tick() { checkStall(); }
 
-    // Nothing: the copy was never known to be whole.
+    // Empty: the replica was never known to be complete.
     std::optional<TimePoint> completeAsOf() const { return m_completeAsOf; }
 
-    // How long ago the store itself showed that the copy was whole; nothing: never. Peers hear this
-    // and not completeAsOf(), in which their own words come back to them.
+    // How long ago the store itself showed that the replica was complete; empty: never. Peers are
+    // sent this value and not completeAsOf(), which includes what peers reported and would return
+    // it to them.
     std::optional<Duration> ageFromStore() const;
 
 private:
--- a/include/fordwood/stall_detector.hpp
+++ b/include/fordwood/stall_detector.hpp
@@ -6,15 +6,15 @@
 
 namespace fordwood {
 
-// Tells a thread that it stood still: its VM was frozen, or it got no processor. What it finds in
-// its sockets and rings then is as old as that.
+// Detects that a thread was stalled, because its VM was frozen or it got no processor time. Data
+// that it finds in its sockets and queues afterwards may be as old as the stall was long.
 class StallDetector
 {
 public:
     explicit StallDetector(const Clock &clock) : m_clock(clock), m_lastPoll(clock.now()) { }
 
-    // A turn of the thread's work, several of which come in a second. Returns how long it stood
-    // still before this one; zero: it ran.
+    // To be called in each iteration of the thread's work, several times a second. Returns how long
+    // the thread was stalled before this call; zero if it was not.
     Duration poll();
 
 private:
--- a/include/fordwood/store_lease.hpp
+++ b/include/fordwood/store_lease.hpp
@@ -6,8 +6,8 @@
 
 namespace fordwood {
 
-// A lease of the platform's store. After a restore of the store its id may be given out again: it
-// is its holder's in the epoch in which it was granted only.
+// A lease of the platform's store. After a restore the store may assign the same id again, so a
+// lease is valid only in the epoch in which it was granted.
 struct StoreLease
 {
     std::int64_t id = 0; // zero: none
--- a/include/fordwood/store_replica.hpp
+++ b/include/fordwood/store_replica.hpp
@@ -13,59 +13,62 @@
 
 namespace fordwood {
 
-// One key of the platform's store as it stood at a revision.
+// A key of the platform's store with its value at some revision.
 struct StoredItem
 {
     std::string key;
-    std::int64_t revision = 0; // of its last change, or of its removal
-    std::int64_t createRevision = 0; // revision of its creation; unchanged while the key exists
-    std::optional<std::string> value; // nothing: the key is gone
+    std::int64_t revision = 0; // of the last change or removal
+    std::int64_t createRevision = 0; // unchanged while the key exists
+    std::optional<std::string> value; // empty: the key was removed
 
     bool operator==(const StoredItem &) const = default;
 };
 
-// Items that bring a replica from `since` to `revision`.
+// Changes that bring a replica from the revision `since` to `revision`.
 struct StoreChanges
 {
-    std::int64_t since = 0; // zero: the items are all keys there are
+    std::int64_t since = 0; // zero: `items` is a snapshot of all existing keys
     std::int64_t revision = 0;
     std::vector<StoredItem> items;
-    std::uint64_t epoch = 0; // of all revisions here
+    std::uint64_t epoch = 0; // the store epoch that the revisions belong to
 
     StoreVersion version() const { return {epoch, revision}; }
 };
 
-// A node's copy of the platform's store. Copies are merged by the revisions of the store, so that
-// it does not matter whether a change came from the store or from a peer, nor in which order: a
-// copy never goes back. A later epoch begins with all keys there are; what is of an earlier one is
-// not taken.
+// A node's replica of the platform's store. Changes are merged by their store revisions, so they
+// may come from the store or from a peer and in any order; an item is never replaced by an older
+// one. A new epoch can only start with a snapshot of all keys, and changes of an earlier epoch are
+// ignored.
 //
-// Of keys that a restored store shows in an older state the copy keeps what it held: between two
-// values for good, where the key is gone in one of the two until it is written again or settle() is
-// called.
+// When a restored store returns a key in a state that the RestorePolicy considers older than the
+// replica's, the replica keeps its own. If both states have a value, it keeps it until the key is
+// written again. If the key is removed in one of the two states, it keeps it only until the key is
+// written again or acceptDeferred() is called.
 class StoreReplica
 {
 public:
     StoreReplica() = default;
-    // `policy` must outlive the copy.
+    // `policy` must outlive the replica.
     explicit StoreReplica(const RestorePolicy &policy) : m_policy(&policy) { }
 
-    // Takes in changes of the store. Returns what has changed here, gone keys included. Changes
-    // that begin after this copy's version leave a gap and are not taken: nothing is returned.
+    // Merges changes and returns the items that changed here, including removed keys. Returns
+    // nothing, and merges nothing, if the changes start after the replica's version, because those
+    // in between would be missing.
     std::optional<std::vector<StoredItem>> merge(const StoreChanges &changes);
 
-    // Whoever was to write again after a restore has done so: takes what the store has shown since.
-    // Returns what has changed here.
+    // To be called when all writers have had time to write their keys again after a restore:
+    // accepts the states read from the restored store that were deferred so far. Returns the items
+    // that changed here.
     std::vector<StoredItem> acceptDeferred();
 
-    // All changes after a version; everything when the copy no longer remembers so far back, or the
-    // version is of another epoch.
+    // All changes after `version`, or a snapshot if the replica no longer has the removals since
+    // then or `version` is of another epoch.
     StoreChanges changesSince(const StoreVersion &version) const;
 
-    // The value of a key; null when it is absent.
+    // Null if the key does not exist.
     const StoredItem *find(const std::string &key) const;
 
-    // Every change up to this version is in the copy.
+    // The replica contains every change up to this version.
     const StoreVersion &version() const { return m_version; }
     bool isEmpty() const { return m_version.revision == 0; }
 
@@ -76,12 +79,13 @@
     bool apply(const StoredItem &item);
     void dropOldestRemovals();
 
-    std::map<std::string, StoredItem> m_items; // with the keys that are gone
+    std::map<std::string, StoredItem> m_items; // including removed keys
     const RestorePolicy *m_policy = nullptr;
     bool m_wasRestored = false;
-    std::map<std::string, StoredItem> m_deferredReads; // as read; m_items has what was held
+    std::map<std::string, StoredItem>
+        m_deferredReads; // read from the restored store; m_items keeps the replica's own state
     StoreVersion m_version;
-    std::int64_t m_historyStart = 0; // removals up to here may be forgotten
+    std::int64_t m_historyStart = 0; // removals up to this revision may have been dropped
 };
 
 } // namespace fordwood
--- a/include/fordwood/store_version.hpp
+++ b/include/fordwood/store_version.hpp
@@ -8,12 +8,12 @@
 
 namespace fordwood {
 
-// A moment of the platform's store. The store may be restored from a snapshot: then its epoch rises
-// by one, its revisions go back and are given out again, so that revisions alone order nothing.
+// A version of the platform's store. When the store is restored from a snapshot, its epoch rises by
+// one and its revisions go back and are assigned again, so revisions alone do not define an order.
 struct StoreVersion
 {
     std::uint64_t epoch = 0;
-    std::int64_t revision = 0; // zero: nothing was read yet
+    std::int64_t revision = 0; // zero: nothing was read so far
 
     bool operator==(const StoreVersion &) const = default;
     std::strong_ordering operator<=>(const StoreVersion &other) const
@@ -22,8 +22,8 @@
     }
 };
 
-// One number that orders versions as they order themselves, for engines that know fences as such.
-// Room for 2^40 writes in an epoch.
+// Encodes a version as one number with the same order, for engines that expect a plain number as a
+// fence. There is room for 2^40 writes in an epoch.
 constexpr std::int64_t fenceOf(const StoreVersion &version)
 {
     constexpr int kRevisionBits = 40;
--- a/include/fordwood/upstream_load_tracker.hpp
+++ b/include/fordwood/upstream_load_tracker.hpp
@@ -13,15 +13,15 @@
 
 namespace fordwood {
 
-// What one request adds to the load of its upstream.
+// The load that one request adds to its upstream.
 struct RequestLoad
 {
     std::size_t tokensToCompute = 0;
     std::size_t tokensHeld = 0;
 };
 
-// The load of each upstream: this node's own requests exactly, those of its peers as they told
-// last. A peer that has fallen silent counts for nothing after a while.
+// Tracks the load of each upstream: exactly for this node's own requests, and for those of its
+// peers as they last reported. The report of a peer counts until `peerTimeout` has passed.
 class UpstreamLoadTracker
 {
 public:
@@ -33,16 +33,16 @@
 
     void begin(const std::string &instanceId, const RequestLoad &load);
 
-    // The prompt has been computed: the first part of the answer is there.
+    // The prompt has been computed: the first part of the answer has arrived.
     void promptComputed(const std::string &instanceId, const RequestLoad &load);
 
-    // The request has ended. `wasComputed`: computed() was called for it.
+    // The request has ended. `wasComputed`: promptComputed() was called for it.
     void end(const std::string &instanceId, const RequestLoad &load, bool wasComputed);
 
-    // Replaces what a peer has told of its own requests.
+    // Replaces the loads that a peer has reported for its own requests.
     void setPeerLoads(const std::string &peer, UpstreamLoads loads);
 
-    // What all nodes together have sent there.
+    // The load from the requests of all nodes.
     UpstreamLoad total(const std::string &instanceId) const;
 
     const Loads &own() const { return m_own; }
--- a/include/fordwood/weight_history.hpp
+++ b/include/fordwood/weight_history.hpp
@@ -11,37 +11,36 @@
 
 namespace fordwood {
 
-// What is known of when weights were named.
+// What is known about when a weight version was named.
 struct WeightNaming
 {
     EventTime named;
-    // The newest weights that had been named at `named.earliest`, which bounds the age of what came
-    // after them only: what was replaced before may have been so for long. Zero: none had been
-    // named. Nothing: not known.
+    // The newest version that had already been named at `named.earliest`, so `named.earliest`
+    // bounds the time of replacement only for this version and newer ones; an older version may
+    // have been replaced long before. Zero: none had been named. Empty: unknown.
     std::optional<std::uint64_t> newestBefore;
 
-    // Takes in what another one knows. False when that tells nothing new.
+    // Merges what another node knows. Returns false if that changes nothing.
     bool narrow(const WeightNaming &other);
 
     bool operator==(const WeightNaming &) const = default;
 };
 
-// The weight versions that were named for one model, each with the time of its naming as far as it
-// is known. A version counts as old from the naming of the first newer one, also when further ones
-// follow.
+// The weight versions that were named for one model, with the known bounds on the time of each
+// naming. A version is old from the naming of the next newer one, no matter how many follow.
 class WeightHistory
 {
 public:
-    // False when it tells nothing new.
+    // Returns false if that changes nothing.
     bool record(std::uint64_t version, const WeightNaming &naming);
 
-    // Nothing where the version was not named, as far as known.
+    // Empty if the version is not known to be named.
     std::optional<WeightNaming> find(std::uint64_t version) const;
 
-    // Zero while none was named.
+    // Zero if none was named.
     std::uint64_t newest() const;
 
-    // When the first version above this one was named; nothing when it is the newest.
+    // When the next newer version was named; empty if this is the newest.
     std::optional<EventTime> supersededAt(std::uint64_t version) const;
 
     const std::map<std::uint64_t, WeightNaming> &named() const { return m_named; }
--- a/include/fordwood/weight_load_planner.hpp
+++ b/include/fordwood/weight_load_planner.hpp
@@ -15,7 +15,7 @@
 
 namespace fordwood {
 
-// One model that an engine owned by this node must serve, with its weight version.
+// A model and weight version that an engine owned by this node must serve.
 struct LoadTarget
 {
     std::string upstream;
@@ -26,32 +26,32 @@
     bool operator==(const LoadTarget &) const = default;
 };
 
-// What an engine says of its weights.
+// The state that an engine reports.
 struct EngineState
 {
-    std::map<std::string, std::string> versions; // by model; empty: it does not tell
+    std::map<std::string, std::string> versions; // by model; empty: not reported
     bool loading = false;
 };
 
-// Asks an engine for its state.
+// Requests an engine's state.
 struct ReadEngine
 {
     std::string upstream;
     std::string address;
 };
 
-// Reads the table of slots from the platform.
+// Reads the table of load slots from the platform's store.
 struct ReadLoadTable
 { };
 
-// Writes the table, if its revision is still the expected one.
+// Writes the table if its revision is still `expectedRevision`.
 struct SwapLoadTable
 {
     std::int64_t expectedRevision;
     LoadTable table;
 };
 
-// Orders an engine to load, unless `sendBy` has passed; gives up waiting at `endBy`.
+// Orders an engine to load, unless `sendBy` has passed; the wait for an answer ends at `endBy`.
 struct OrderLoad
 {
     std::string upstream;
@@ -63,7 +63,7 @@
     TimePoint endBy;
 };
 
-// Whether an engine must get no new work for the moment, since its weights are not those wanted.
+// Sets whether an engine gets no new requests because its weights are not the wanted ones.
 struct HoldEngine
 {
     std::string upstream;
@@ -72,14 +72,14 @@
 
 using LoadAction = std::variant<ReadEngine, ReadLoadTable, SwapLoadTable, OrderLoad, HoldEngine>;
 
-// Brings the engines that one node owns to their weight versions, one after the other: takes a slot
-// in the table, looks at the engine again, orders, reads back, gives the slot up. Events in,
-// actions out; no I/O and no threads.
+// Brings the engines that one node owns to their weight versions, one at a time: takes a slot in
+// the table, reads the engine's state again, sends the order, reads the state back and releases the
+// slot. A state machine that takes events and returns actions, without I/O or threads.
 //
-// What makes an order safe where the engine does not check fences: it is only sent within
-// `startWithin` of the moment at which the write of its slot *began*; and a slot is only taken away
-// from a holder that seems gone after it was *seen* unchanged for longer than an order may start
-// and last. Both are spans on one node's own clock.
+// Orders are safe even for engines that do not check fences: an order is only sent within
+// `startWithin` of the moment at which the write of its slot *began*, and a slot is only taken from
+// a holder that seems gone after it was *seen* unchanged for longer than an order may take to start
+// and to run. Both times are measured on one node's own clock.
 class WeightLoadPlanner
 {
 public:
@@ -89,23 +89,24 @@
         Duration maxOrderTime = std::chrono::seconds(30);
         Duration margin = std::chrono::seconds(5);
         Duration readEvery = std::chrono::seconds(10); // of each engine
-        Duration minRetryPause = std::chrono::milliseconds(500); // of a look at the table
+        Duration minRetryPause = std::chrono::milliseconds(500); // pause between reads of the table
         Duration retryPausePerMember
-            = std::chrono::milliseconds(5); // so that the fleet's rate is bounded
+            = std::chrono::milliseconds(5); // bounds the read rate of the fleet
     };
 
     WeightLoadPlanner(std::string node, std::uint64_t boot, const Clock &clock, Limits limits,
                       std::uint64_t seed);
 
-    // Replaces what the owned engines must serve, by which configuration, and how many may load at
-    // once in a fleet of so many members. Engines whose wanted version is new are held at once.
+    // Replaces the targets of the owned engines, the version of the configuration that they come
+    // from, the number of engines that may load at once and the number of members of the fleet.
+    // Engines whose wanted version has changed are held at once.
     void setTargets(std::vector<LoadTarget> targets, std::uint64_t configVersion,
                     std::size_t maxConcurrentLoads, std::size_t members);
 
-    // An engine has answered; nothing: it has not.
+    // The state that an engine reported; empty: it did not answer.
     void engineRead(const std::string &upstream, const std::optional<EngineState> &state);
 
-    // The table as it stands, with its revision (zero: there is none); nothing: no answer came.
+    // The stored table and its revision (zero: there is none); empty: no answer.
     struct StoredTable
     {
         LoadTable table;
@@ -113,17 +114,17 @@
     };
     void tableRead(const std::optional<StoredTable> &stored);
 
-    // A swap took effect, or did not; nothing: its reply was lost.
+    // Whether a swap took effect; empty: its reply was lost.
     void tableSwapped(std::optional<bool> done);
 
-    // An order has ended, in whatever way: the engine's state tells.
+    // An order has ended with any result; the engine's state shows which.
     void orderEnded(const std::string &upstream);
 
     void tick();
     std::vector<LoadAction> takeActions();
 
     bool isHeld(const std::string &upstream) const;
-    // Engines that do not serve what they must, as far as known.
+    // Number of engines known not to serve their target versions.
     std::size_t pending() const;
 
 private:
@@ -142,7 +143,7 @@
     {
         std::vector<LoadTarget> targets; // by model
         WeightsState weights = WeightsState::Unknown;
-        bool loading = false; // by its own word
+        bool loading = false; // as reported by the engine
         bool held = false;
         std::optional<LoadTarget> nextTarget; // the target to load next
         TimePoint nextRead{};
@@ -160,7 +161,8 @@
     void readTable();
     void trackSlots(const LoadTable &table);
     bool isStale(const LoadSlot &slot) const;
-    // The engine to load next; each has its turn, so that one that fails does not stop the others.
+    // The engine to load next. Engines take turns, so that one that fails does not block the
+    // others.
     std::optional<std::string> nextOutdatedEngine() const;
     void takeSlot(const StoredTable &stored);
     void releaseSlot(const StoredTable &stored);
@@ -180,11 +182,11 @@
     std::size_t m_maxConcurrentLoads = 1;
     std::size_t m_members = 1;
     Stage m_stage = Stage::Idle;
-    std::optional<LoadSlot> m_slot; // wanted or held
+    std::optional<LoadSlot> m_slot; // being taken, or held
     TimePoint m_takeStarted{};
-    TimePoint m_orderEnd{}; // the slot is kept so long for an engine that is still loading
+    TimePoint m_orderEnd{}; // until then the slot is kept for an engine that is still loading
     std::string m_lastTried;
-    bool m_releasing = false; // the own slot must go
+    bool m_releasing = false; // this node's slot must be released
     TimePoint m_nextTableRead{};
     std::map<std::int64_t, SeenSlot> m_seenSlots; // by fence
     std::vector<LoadAction> m_actions;
--- a/include/fordwood/weight_rollout.hpp
+++ b/include/fordwood/weight_rollout.hpp
@@ -20,22 +20,22 @@
 
 namespace fordwood {
 
-// What an engine says of itself when asked.
+// The state that an engine reports.
 struct EngineReport
 {
     std::map<std::string, std::uint64_t> weightVersions; // by model
-    bool busy = false; // an order is under way
-    std::int64_t ordersTaken = 0; // since its start
+    bool busy = false; // it carries out an order
+    std::int64_t ordersTaken = 0; // since the engine started
 };
 
-// Asks an engine for its report.
+// Requests an engine's report.
 struct FetchReport
 {
     std::string instanceId;
     std::string address;
 };
 
-// Orders an engine to load weights, if it has taken no order since its report.
+// Orders an engine to load weights, provided it has taken no order since its report.
 struct OrderWeights
 {
     std::string instanceId;
@@ -48,32 +48,32 @@
 
 using RolloutAction = std::variant<FetchReport, OrderWeights>;
 
-// How an engine answered an order.
+// An engine's answer to an order.
 enum class OrderResult {
-    Accepted, // it loads now
+    Accepted, // the engine is loading
     AlreadyDone,
-    Conflict, // another order is under way, or was taken since the report
-    Fenced, // it has seen a higher fence
-    Refused, // for another reason; not done
-    Unknown, // no answer: it may be carried out, now or later
+    Conflict, // another order is in progress or was taken since the report
+    Fenced, // the engine has seen a higher fence
+    Refused, // for another reason; not carried out
+    Unknown, // no answer: the order may be carried out now or later
 };
 
-// What an engine with old weights waits for.
+// What an engine with outdated weights is waiting for.
 enum class RolloutWait : std::uint8_t {
-    QuietTime, // orders of the holder before may still arrive
+    QuietTime, // orders of the previous lock holder may still arrive
     Turn,
-    Report, // it was asked, and has not answered yet
-    Silent, // it did not answer when asked last; it is asked again now and then
-    Pause, // it refused an order, or did not come to its weights in time
-    Drain, // it is kept free of requests, for an order as soon as others have loaded
-    Answer, // to its order; none has come in time
-    Load, // it was ordered
+    Report, // its report was requested and has not arrived
+    Silent, // it did not answer the last request for a report; requests are repeated at intervals
+    Pause, // it refused an order or did not load its weights in time
+    Drain, // it gets no requests, so that it can be ordered as soon as others have loaded
+    Answer, // to its order; none has arrived in time
+    Load, // it was ordered to load
 };
 
 struct OutdatedEngine
 {
     std::string model;
-    std::uint64_t version = 0; // that it has
+    std::uint64_t version = 0; // that it serves
     std::uint64_t target = 0;
     RolloutWait waitsFor = RolloutWait::Turn;
 
@@ -81,27 +81,28 @@
 };
 
 // Brings the engines to the weight versions that were named, a few at a time, while this node holds
-// the lock for it. Events in, actions out; no I/O.
+// the lock. A state machine that takes events and returns actions, without I/O.
 class WeightRollout
 {
 public:
     struct Limits
     {
-        // Engines that may load at once, as a part of all and at least so many: beyond it each load
-        // takes longer.
+        // Share of all engines that may load at once, and the least value of that limit. Above it
+        // each load takes longer.
         double loadingShare = 0.2;
         std::size_t minLoadingLimit = 2;
-        // From the announcement that an engine is about to load to the order: no node sends it
-        // requests that it would turn away, and what runs there ends, which the load waits for.
+        // Time from announcing that an engine will load until the order. Meanwhile nodes stop
+        // sending it requests that it would reject, and its running requests finish, which the load
+        // waits for.
         Duration announceLead = std::chrono::milliseconds(60);
         Duration maxDrainTime = std::chrono::milliseconds(1'500);
         Duration reportEvery = std::chrono::milliseconds(120); // while an engine loads
-        // Reports tell of some hundred milliseconds ago: one that does not count the last order
-        // yet is passed over for so long.
+        // Reports describe the state of a few hundred milliseconds ago: one that does not yet count
+        // the last order is ignored for this long.
         Duration reportLag = std::chrono::milliseconds(1'000);
-        // An engine that loads and misses so many reports in a row is taken for down.
+        // A loading engine that misses this many reports in a row is considered down.
         int maxMissedReports = 2;
-        // An engine that does not come to its version in time is put behind the others.
+        // An engine that has not loaded its version in this time has to wait behind the others.
         Duration maxLoadTime = std::chrono::seconds(8);
         Duration retryPause = std::chrono::seconds(1);
     };
@@ -109,61 +110,62 @@
     explicit WeightRollout(const Clock &clock) : WeightRollout(clock, Limits{}) { }
     WeightRollout(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    // The engines that are in service, with the weights that they are known to run.
+    // Sets the engines in service, with the weight versions in their records.
     void setEngines(const std::vector<const UpstreamRecord *> &engines);
 
-    // The version that a model must come to.
+    // Sets the version that all engines must serve for the model.
     void setTarget(const std::string &model, std::uint64_t version);
 
     void reportReceived(const std::string &instanceId, const std::optional<EngineReport> &report);
     void orderAnswered(const std::string &instanceId, OrderResult result);
 
-    // What is to be done now under the lock; nothing without it.
+    // Actions to take now; none unless this node holds the lock.
     std::vector<RolloutAction> tick(const std::optional<FencedLock::Holding> &holding,
                                     const UpstreamLoadTracker &loads);
 
-    // The engines that load or are about to.
+    // The engines that are loading or being drained for it.
     std::set<std::string> loading() const;
 
-    // The engines that have not come to their weights, by id.
+    // The engines without their target versions, by id.
     std::map<std::string, OutdatedEngine> outdatedEngines(const FencedLock::Holding &holding) const;
 
-    // Versions of engines by model that reports have shown, and that the records may not say yet.
+    // Versions from engine reports that the engines' records may not contain yet, by instance and
+    // model.
     using ReportedVersions = std::map<std::string, std::map<std::string, SeenWeights>>;
     const ReportedVersions &reportedVersions() const { return m_reportedVersions; }
 
-    // The engine's record has said what was shown, or should have.
+    // Drops a reported version, once the engine's record contains it or should.
     void forgetReported(const std::string &instanceId, const std::string &model);
 
-    // Whether more has been shown since the last call.
+    // Whether there were new reported versions since the last call.
     bool takeNewReports() { return std::exchange(m_hasNewReports, false); }
 
-    // Whether an engine has refused the fence since the last call.
+    // Whether an engine has rejected the fence since the last call.
     bool takeFenceRefused() { return std::exchange(m_fenceRefused, false); }
 
 private:
-    // An engine is asked before it is drained, so that one that does not answer serves on, or is
-    // left to itself, and takes the place of no other.
+    // An engine's report is requested before it is drained. So an engine that does not answer goes
+    // on serving, or is simply left alone, and takes no slot from another.
     enum class Stage : std::uint8_t { Asking, Draining, Loading };
     struct Engine
     {
         std::string address;
         std::map<std::string, std::uint64_t> versions;
         TimePoint retryAt{}; // after a failure
-        bool isSilent = false; // did not answer when asked last
+        bool isSilent = false; // did not answer the last request
     };
     struct Load
     {
         Stage stage = Stage::Asking;
         TimePoint since{};
         TimePoint nextStep{};
-        bool isCallPending = false; // a report is on its way
-        std::optional<TimePoint> orderedAt; // while it loads, or may do so
-        bool isOrderUnanswered = false; // the order
-        int missedReports = 0; // in a row
-        std::string model; // that was ordered, and its version
+        bool isCallPending = false; // a call is in progress
+        std::optional<TimePoint> orderedAt; // set while the engine is or may be loading
+        bool isOrderUnanswered = false; // the order has no answer
+        int missedReports = 0; // consecutive
+        std::string model; // model of the order, with the version below
         std::uint64_t version = 0;
-        std::int64_t ordersTaken = 0; // by the report that the order followed
+        std::int64_t ordersTaken = 0; // as of the last report before the order
     };
 
     RolloutWait waitOf(const std::string &instanceId, const Engine &engine) const;
--- a/src/core/context_store_log.cpp
+++ b/src/core/context_store_log.cpp
@@ -27,7 +27,8 @@
     store.epoch = news.epoch;
     store.next = news.next;
     store.answers = true;
-    // It may come from a relay; readers fetch by it for a while from the store's answer on.
+    // The update may come from a relay and be some time old; readers fetch from a store only for a
+    // limited time after the store's own answer.
     store.answered = std::max(store.answered, m_clock.now() - news.age);
     store.clock = news.clock;
 }
@@ -66,8 +67,8 @@
             news.changes.push_back({part.first, part.second, true, tokens});
         return news;
     }
-    // A reader that comes from another relay may stand within a batch, or be ahead of this node: to
-    // be told a change twice does no harm, in their order.
+    // A reader that followed another relay before may be in the middle of a batch, or ahead of this
+    // node. Getting the same changes twice is harmless as long as they are in order.
     news.next = std::max(store.next, position.next);
     for (std::size_t n = 0; n < store.recent.size(); ++n) {
         const bool isLast = n + 1 == store.recent.size();
--- a/src/core/event_time.cpp
+++ b/src/core/event_time.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Words of others arrive late, so that what they call the earliest moment seems later each time it
-// is passed on. Smaller differences than this are not taken over: two nodes that told each other
-// the same would else move it forward without end.
+// Bounds from other nodes arrive with a delay, so `earliest` appears later each time it is passed
+// on. Smaller gains than this are ignored; otherwise two nodes that send each other the same bound
+// would move it forward without end.
 constexpr Duration kMinGain = std::chrono::milliseconds(500);
 
 } // namespace
@@ -18,12 +18,12 @@
 {
     const EventTime before = *this;
     latest = std::min(latest, other.latest);
-    // A word that calls it younger than it is known to be comes from long ago, and tells nothing.
+    // An earliest time after the known latest one comes from an outdated message and is ignored.
     const bool isPlausible = other.earliest && *other.earliest - latest < kMinGain;
     const bool isBetter = isPlausible && (!earliest || *other.earliest - *earliest >= kMinGain);
     if (isBetter)
         earliest = other.earliest;
-    // Delays only make a moment seem later, and so cannot make the latest one wrong.
+    // Delays only move a bound to a later time, so they cannot make `latest` wrong.
     if (earliest)
         earliest = std::min(*earliest, latest);
     return *this != before;
--- a/src/core/fenced_lock.cpp
+++ b/src/core/fenced_lock.cpp
@@ -35,8 +35,8 @@
     if (epoch < m_epoch)
         return;
     const bool isOwnKey = item != nullptr && item->value == value();
-    // The copy may be merged up to a revision from before this node took the lock: as long as it
-    // has not shown the key, only the lease tells whether the lock is still held.
+    // The replica may be at a revision from before this node took the lock. Until it has shown the
+    // key, only the lease determines whether the lock is still held.
     if (item == nullptr && m_stage == Stage::Held && !m_isKeySeen)
         return;
     if (item == nullptr) {
@@ -85,7 +85,7 @@
         becomeHolder(revision);
         return;
     case WriteResult::Unknown:
-        // The copy of the store will show whether it was done.
+        // The replica will show whether the write was done.
         m_stage = Stage::AwaitingKey;
         m_waitUntil = m_clock.now() + m_limits.answerTimeout;
         return;
@@ -103,7 +103,7 @@
     m_isKeySeen = false;
     m_createRevision = createRevision;
     m_heldSince = m_clock.now();
-    // Also where no predecessor was seen: its key may have gone before this node started.
+    // Applies even if no predecessor was seen: its key may have expired before this node started.
     m_actFrom = m_heldSince + m_limits.quietTime;
     m_nextRenewal = m_clock.now();
     m_isRenewing = false;
@@ -165,8 +165,9 @@
             startOver(m_limits.retryEvery);
         break;
     case Stage::Held:
-        // Also after its own count has ended: a lease may wait while the store is away. If the
-        // store still has it when it is back, nobody else can have held the lock.
+        // Renews even after the lease has ended by the holder's own count: leases may be suspended
+        // while the store is unavailable. If the store still has the lease when it returns, no
+        // other node can have held the lock.
         if (!m_isRenewing && now >= m_nextRenewal) {
             m_isRenewing = true;
             m_nextRenewal = now + m_limits.renewEvery;
@@ -189,7 +190,7 @@
 
 void FencedLock::setPredecessorLastActed(TimePoint lastAction)
 {
-    // After a restore the copy may show an earlier holder than the last one.
+    // After a restore the replica may show an earlier holder than the last one.
     const TimePoint lastActed = std::max(lastAction, m_restoredAt.value_or(lastAction));
     m_actFrom = std::min(m_actFrom, std::max(m_heldSince, lastActed + m_limits.quietTime));
 }
--- a/src/core/old_context_cleaner.cpp
+++ b/src/core/old_context_cleaner.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Parts named in one call: a few kilobytes.
+// A few kilobytes in one call.
 constexpr std::size_t kMaxPartsPerCall = 256;
 
 constexpr Duration kRetryPause = std::chrono::milliseconds(500);
@@ -69,12 +69,13 @@
     const auto replaced = history->second.supersededAt(parsed->weightVersion);
     if (!replaced)
         return std::nullopt;
-    // The latest moment: other nodes may know it better and fetch for so much longer.
+    // Uses the latest bound: other nodes may have a more exact time of the replacement and fetch
+    // until correspondingly later.
     return replaced->latest;
 }
 
-// Looks at the parts of old weights only: turns come many times a second, and mostly nothing is
-// old.
+// Checks single parts only of old weights: tick() runs many times a second and usually no weights
+// are old.
 void OldContextCleaner::addUnusedParts(const Store &store, FreePartsCall &action) const
 {
     for (const auto &[salt, ids] : store.parts) {
--- a/src/core/replica_freshness.cpp
+++ b/src/core/replica_freshness.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// What lies in the sockets of a process that wakes is read within this.
+// Data that waited in the sockets of a stalled process is read within this time after it resumes.
 constexpr Duration kResumeTime = std::chrono::milliseconds(500);
 
 } // namespace
--- a/src/core/stall_detector.cpp
+++ b/src/core/stall_detector.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Between two turns; longer than one takes on the busiest VM.
+// Between two polls; longer than one iteration takes on the busiest VM.
 constexpr Duration kMinStall = std::chrono::seconds(1);
 
 } // namespace
--- a/src/core/store_replica.cpp
+++ b/src/core/store_replica.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Removed keys that are remembered, so that a peer that lags can be told of them. Some hundred
-// upstreams leave in a bad hour; a peer that lags further gets the whole copy instead.
+// Removed keys that are kept so that a lagging peer can be sent the removals. A few hundred
+// upstreams leave in a bad hour; a peer that lags further is sent a snapshot instead.
 constexpr std::size_t kMaxRemovedKeys = 1024;
 
 } // namespace
@@ -31,7 +31,7 @@
             changed.push_back(it);
     }
     if (isComplete && changes.revision > m_version.revision) {
-        // What a whole copy leaves out was removed at some revision up to that of the copy.
+        // A key missing from a snapshot was removed at some revision up to that of the snapshot.
         std::map<std::string, bool> present;
         for (const StoredItem &it : changes.items)
             present[it.key] = true;
@@ -54,8 +54,8 @@
     return changed;
 }
 
-// Which writes were lost is not known, so the copy becomes what the restored store holds, but for
-// what is known to be older.
+// It is not known which writes the restore lost, so the replica takes over the state of the
+// restored store, except where that is known to be older than its own.
 std::vector<StoredItem> StoreReplica::beginEpoch(const StoreChanges &changes)
 {
     const std::map<std::string, StoredItem> held = std::exchange(m_items, {});
@@ -89,7 +89,7 @@
     return m_policy != nullptr && m_wasRestored && m_policy->isOlder(held, read);
 }
 
-// At the revision of what was read, so that whatever is written next takes its place.
+// Stored at the revision that was read, so that any later write replaces it.
 void StoreReplica::keepHeld(const StoredItem &held, const StoredItem &read)
 {
     m_items[held.key] = {held.key, read.revision, read.createRevision, held.value};
@@ -115,7 +115,7 @@
     changes.revision = m_version.revision;
     changes.epoch = m_version.epoch;
     for (const auto &[key, held] : m_items) {
-        // Each reader goes by what it knows itself.
+        // Peers are sent the state read from the store and apply their own restore policy to it.
         const auto deferred = m_deferredReads.find(key);
         const StoredItem &item = deferred == m_deferredReads.end() ? held : deferred->second;
         if (changes.since == 0 ? item.value.has_value() : item.revision > version.revision)
@@ -137,7 +137,8 @@
         return true;
     if (item.revision <= it->second.revision)
         return false;
-    // Operators write again in their order: older values may come first.
+    // After a restore operators repeat their writes in the original order, so older values may come
+    // first.
     if (item.value && it->second.value && isOlder(it->second, item)) {
         keepHeld(StoredItem(it->second), item);
         return false;
--- a/src/core/weight_history.cpp
+++ b/src/core/weight_history.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Versions that are remembered: engines are at most a few behind.
+// Versions that are kept: engines are at most a few versions behind.
 constexpr std::size_t kMaxVersions = 8;
 
 } // namespace
@@ -48,8 +48,9 @@
     return m_named.empty() ? 0 : m_named.rbegin()->first;
 }
 
-// Versions are named in their order, so the first newer one came no later than any other; but it
-// may not be known here, or less of it than of a later one.
+// Versions are named in ascending order, so the next newer one was named no later than any other
+// newer one. But that version may not be known here, or its time less exactly than that of a later
+// one.
 std::optional<EventTime> WeightHistory::supersededAt(std::uint64_t version) const
 {
     const auto first = m_named.upper_bound(version);
--- a/src/core/weight_load_planner.cpp
+++ b/src/core/weight_load_planner.cpp
@@ -30,8 +30,8 @@
         engine.weights = WeightsState::Unknown;
         engine.nextTarget.reset();
         engine.nextRead = m_clock.now();
-        // Of an engine that is new to this node nothing speaks against its weights; of one whose
-        // wanted version has changed, its own word was that it serves the old one.
+        // Nothing indicates that an engine new to this node has the wrong weights. An engine whose
+        // wanted version has changed last reported the old version.
         if (!isNewEngine)
             hold(upstream, engine, true);
     }
@@ -46,7 +46,7 @@
         if (state)
             updateState(upstream, it->second, *state);
         else
-            it->second.weights = WeightsState::Unknown; // there is no use in ordering it now
+            it->second.weights = WeightsState::Unknown; // it cannot be ordered now
     }
     const bool own = m_slot && m_slot->upstream == upstream;
     if (m_stage == Stage::Verifying && own)
@@ -84,7 +84,8 @@
         m_releasing = false;
         return takeSlot(*stored);
     }
-    // A write whose reply was lost has taken effect after all, or a slot is still to be given up.
+    // Either a write whose reply was lost took effect after all, or a slot still has to be
+    // released.
     const bool inTime = m_clock.now() < m_takeStarted + m_limits.startWithin;
     if (!m_releasing && m_slot && *own == *m_slot && inTime)
         return verify();
@@ -125,20 +126,20 @@
     if (m_stage != Stage::Taking && m_stage != Stage::Releasing)
         return;
     if (!done || (!*done && m_stage == Stage::Releasing))
-        return readTable(); // reading back settles it
+        return readTable(); // reading the table shows the result
     if (!*done)
         return scheduleRetry();
     if (m_stage == Stage::Releasing) {
         m_releasing = false;
         m_slot.reset();
         m_stage = Stage::Idle;
-        m_nextTableRead = m_clock.now(); // the next engine
+        m_nextTableRead = m_clock.now(); // go on with the next engine
         return;
     }
     verify();
 }
 
-// Looks at the engine once more, with the slot in hand: nobody else orders it now.
+// Reads the engine's state again while holding the slot: no other node can order it now.
 void WeightLoadPlanner::verify()
 {
     const auto engine = m_engines.find(m_slot->upstream);
@@ -181,7 +182,7 @@
     }
     const bool isAwaitingEngine = m_stage == Stage::Verifying || m_stage == Stage::ReadingBack;
     if (isAwaitingEngine && m_engines.count(m_slot->upstream) == 0)
-        startRelease(); // it belongs to another node now
+        startRelease(); // another node owns the engine now
     const bool wanted = m_releasing || nextOutdatedEngine();
     if (m_stage == Stage::Idle && wanted && now >= m_nextTableRead)
         readTable();
@@ -216,7 +217,7 @@
 {
     if (std::exchange(engine.held, held) != held)
         m_actions.emplace_back(HoldEngine{upstream, held});
-    // An engine that is held is looked at more often: each look may bring it back.
+    // A held engine is read more often, since each read may end the hold.
     if (held)
         engine.nextRead = std::min(engine.nextRead, m_clock.now() + m_limits.minRetryPause);
 }
@@ -227,7 +228,7 @@
     m_actions.emplace_back(ReadLoadTable{});
 }
 
-// Remembers since when each slot of another process has been seen.
+// Records since when each slot has been seen unchanged.
 void WeightLoadPlanner::trackSlots(const LoadTable &table)
 {
     std::map<std::int64_t, SeenSlot> seen;
@@ -266,8 +267,8 @@
     readTable();
 }
 
-// Looks at the table again after a while that grows with the fleet, so that all nodes together read
-// it at a bounded rate.
+// Schedules the next read of the table. The pause grows with the fleet, so that all nodes together
+// read it at a bounded rate.
 void WeightLoadPlanner::scheduleRetry()
 {
     m_stage = Stage::Idle;
--- a/src/core/weight_rollout.cpp
+++ b/src/core/weight_rollout.cpp
@@ -15,7 +15,8 @@
         if (known != m_engines.end())
             engine = known->second;
         engine.address = it->address;
-        // Also when it is older than before: the engine has gone back, and is to be ordered again.
+        // Even if the version is older than before: the engine has gone back to it and has to be
+        // ordered again.
         engine.versions = it->weightVersions;
     }
     m_engines = std::move(next);
@@ -50,7 +51,7 @@
     return std::nullopt;
 }
 
-// How far the engine's weights lie back, by version numbers.
+// The largest number of versions that the engine is behind for any model.
 std::uint64_t WeightRollout::versionsBehind(const Engine &engine) const
 {
     std::uint64_t most = 0;
@@ -114,8 +115,8 @@
         it->second.retryAt = m_clock.now() + m_limits.retryPause;
 }
 
-// Whether the engine serves what it was ordered to load. If newer weights were named meanwhile, it
-// waits for its turn like the others.
+// Whether the engine serves the version it was ordered to load. If newer weights were named in the
+// meantime, it waits for its turn like the others.
 bool WeightRollout::isDone(const Engine &engine, const Load &load) const
 {
     if (!outdatedModel(engine))
@@ -124,7 +125,8 @@
     return load.orderedAt && version != engine.versions.end() && version->second >= load.version;
 }
 
-// Of few engines half go on serving, however many might load without slowing each other down.
+// In a small fleet half of the engines go on serving, even if more could load without slowing each
+// other down.
 std::size_t WeightRollout::maxConcurrentLoads() const
 {
     const auto part
@@ -133,7 +135,7 @@
                                    std::max(m_limits.minLoadingLimit, part));
 }
 
-// Those that load, and those that are drained for their turn.
+// Counts engines that are loading and engines that are being drained to load next.
 std::size_t WeightRollout::maxDrainedOrLoading() const
 {
     return std::max(maxConcurrentLoads(), std::min(2 * maxConcurrentLoads(), m_engines.size() / 2));
@@ -154,9 +156,10 @@
         }));
 }
 
-// While some engines load, others are drained for their turn. Those with the oldest weights
-// come first: an engine that has just loaded what was replaced since is of use for longer. Engines
-// that did not answer are asked beside the others, since they may be down for long.
+// While some engines load, others are drained to load next. Those with the oldest weights come
+// first, because an engine that has just loaded weights that were replaced since then stays useful
+// for longer. Engines that did not answer are counted separately, since they may be down for a long
+// time.
 void WeightRollout::startLoads(const UpstreamLoadTracker &loads)
 {
     struct Candidate
@@ -203,7 +206,7 @@
         m_actions.clear();
         return {};
     }
-    // What has come to its weights without an order of this holder.
+    // Engines that have reached their weights without an order of this holder.
     std::erase_if(m_loads, [this](const auto &it) {
         return !it.second.orderedAt && !outdatedModel(m_engines.at(it.first));
     });
@@ -235,7 +238,7 @@
         order(instanceId, load, fence);
 }
 
-// The order bears the count of orders that was reported, so the report may be of a while ago.
+// The order contains the reported count of orders, so the report need not be recent.
 void WeightRollout::order(const std::string &instanceId, Load &load, std::int64_t fence)
 {
     const Engine &engine = m_engines.at(instanceId);
@@ -280,12 +283,12 @@
         return;
     }
     if (load.stage == Stage::Asking && drainedOrLoading() >= maxDrainedOrLoading())
-        m_loads.erase(it); // it waits for its turn like the others
+        m_loads.erase(it); // waits for its turn like the others
     else
         handleReport(load, *report);
 }
 
-// One that has gone down leaves its turn to another; one that loads may miss a report.
+// An engine that is down gives its turn to another; a loading engine may miss a report.
 void WeightRollout::handleMissedReport(const std::string &instanceId, Load &load)
 {
     load.missedReports += 1;
@@ -303,7 +306,7 @@
     }
     if (report.busy) {
         load.stage = Stage::Loading;
-        load.orderedAt = load.orderedAt.value_or(now); // by an earlier order that was late
+        load.orderedAt = load.orderedAt.value_or(now); // by an earlier order that arrived late
         return;
     }
     const bool isFromBeforeOrder = load.orderedAt && !load.isOrderUnanswered
@@ -311,8 +314,9 @@
                                    && now - *load.orderedAt < m_limits.reportLag;
     if (isFromBeforeOrder)
         return;
-    // An order that got no answer and was not taken leaves the turn to any engine that is ready; on
-    // the same count of orders a repeat is safe, since the engine does only one of the two.
+    // An order without an answer that was not taken gives the turn to any engine that is ready.
+    // Repeating it with the same count of orders is safe, since the engine carries out only one of
+    // the two.
     load.orderedAt.reset();
     load.ordersTaken = report.ordersTaken;
     if (load.stage == Stage::Loading)
