--- a/include/fordwood/old_context_cleaner.hpp
+++ b/include/fordwood/old_context_cleaner.hpp
@@ -70,7 +70,7 @@
     std::vector<FreePartsCall> tick(const std::optional<FencedLock::Holding> &holding);
 
     // A call has ended; `done`: the store has freed the parts.
-    void freeAnswered(const FreePartsCall &asked, bool done);
+    void freeAnswered(const FreePartsCall &call, bool done);
 
 private:
     struct Store
--- a/include/fordwood/replica_freshness.hpp
+++ b/include/fordwood/replica_freshness.hpp
@@ -18,7 +18,7 @@
     explicit ReplicaFreshness(const Clock &clock) : m_clock(clock), m_stallDetector(clock) { }
 
     // The replica contains what the store answered to a call that was sent at that time.
-    void storeAnswered(TimePoint asked);
+    void storeAnswered(TimePoint sentAt);
 
     // The store had no changes up to that time. Ignored just after this process was stalled,
     // because the answer may have waited in its sockets.
--- a/src/core/context_store_log.cpp
+++ b/src/core/context_store_log.cpp
@@ -84,18 +84,18 @@
 std::vector<StoreNews>
 ContextStoreLog::updatesSince(const std::vector<ContextStorePosition> &positions) const
 {
-    std::vector<StoreNews> told;
+    std::vector<StoreNews> updates;
     for (const auto &[name, store] : m_stores) {
         if (!store.answers)
             continue;
         const std::uint64_t hash = stableHash(name);
-        const auto known
+        const auto position
             = std::find_if(positions.begin(), positions.end(),
                            [&](const ContextStorePosition &it) { return it.store == hash; });
-        told.push_back(
-            updateFor(name, store, known == positions.end() ? ContextStorePosition{} : *known));
+        updates.push_back(updateFor(
+            name, store, position == positions.end() ? ContextStorePosition{} : *position));
     }
-    return told;
+    return updates;
 }
 
 } // namespace fordwood
--- a/src/core/old_context_cleaner.cpp
+++ b/src/core/old_context_cleaner.cpp
@@ -110,14 +110,14 @@
     return actions;
 }
 
-void OldContextCleaner::freeAnswered(const FreePartsCall &asked, bool done)
+void OldContextCleaner::freeAnswered(const FreePartsCall &call, bool done)
 {
-    Store &store = m_stores[asked.store];
+    Store &store = m_stores[call.store];
     store.isCallPending = false;
     store.retryAt = m_clock.now() + kRetryPause;
-    if (!done || store.epoch != asked.epoch)
+    if (!done || store.epoch != call.epoch)
         return;
-    for (const auto &[salt, id] : asked.parts)
+    for (const auto &[salt, id] : call.parts)
         erasePart(store.parts, salt, id);
 }
 
--- a/src/core/replica_freshness.cpp
+++ b/src/core/replica_freshness.cpp
@@ -18,10 +18,10 @@
     m_confirmedByStore.reset();
 }
 
-void ReplicaFreshness::storeAnswered(TimePoint asked)
+void ReplicaFreshness::storeAnswered(TimePoint sentAt)
 {
-    m_confirmedByStore = std::max(m_confirmedByStore.value_or(asked), asked);
-    m_completeAsOf = std::max(m_completeAsOf.value_or(asked), asked);
+    m_confirmedByStore = std::max(m_confirmedByStore.value_or(sentAt), sentAt);
+    m_completeAsOf = std::max(m_completeAsOf.value_or(sentAt), sentAt);
 }
 
 void ReplicaFreshness::storeHadNoChanges(TimePoint until)
--- a/src/core/upstream_load_tracker.cpp
+++ b/src/core/upstream_load_tracker.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-void subtract(std::size_t &from, std::size_t n)
+void subtract(std::size_t &from, std::size_t amount)
 {
-    from -= std::min(from, n);
+    from -= std::min(from, amount);
 }
 
 } // namespace
--- a/src/core/weight_rollout.cpp
+++ b/src/core/weight_rollout.cpp
@@ -11,9 +11,9 @@
     std::map<std::string, Engine> next;
     for (const UpstreamRecord *it : engines) {
         Engine &engine = next[it->instanceId];
-        const auto known = m_engines.find(it->instanceId);
-        if (known != m_engines.end())
-            engine = known->second;
+        const auto existing = m_engines.find(it->instanceId);
+        if (existing != m_engines.end())
+            engine = existing->second;
         engine.address = it->address;
         // Even if the version is older than before: the engine has gone back to it and has to be
         // ordered again.
@@ -54,13 +54,13 @@
 // The largest number of versions that the engine is behind for any model.
 std::uint64_t WeightRollout::versionsBehind(const Engine &engine) const
 {
-    std::uint64_t most = 0;
+    std::uint64_t maxBehind = 0;
     for (const auto &[model, version] : engine.versions) {
         const auto target = m_targets.find(model);
         if (target != m_targets.end() && version < target->second)
-            most = std::max(most, target->second - version);
+            maxBehind = std::max(maxBehind, target->second - version);
     }
-    return most;
+    return maxBehind;
 }
 
 std::set<std::string> WeightRollout::loading() const
@@ -211,15 +211,15 @@
         return !it.second.orderedAt && !outdatedModel(m_engines.at(it.first));
     });
     startLoads(loads);
-    std::vector<std::string> late;
+    std::vector<std::string> overdue;
     for (auto &[id, load] : m_loads) {
         const bool mayAct = now >= holding->actFrom || load.stage == Stage::Asking;
         if (now - load.since >= m_limits.maxLoadTime)
-            late.push_back(id);
+            overdue.push_back(id);
         else if (mayAct && now >= load.nextStep && !load.isCallPending)
             step(id, load, loads, holding->fence);
     }
-    for (const std::string &it : late)
+    for (const std::string &it : overdue)
         giveUp(it);
     return std::exchange(m_actions, {});
 }
--- a/tests/unit/fenced_lock_test.cpp
+++ b/tests/unit/fenced_lock_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-FencedLock::Limits limitsOf()
+FencedLock::Limits makeLimits()
 {
     FencedLock::Limits limits;
     limits.ttl = 1500ms;
@@ -23,14 +23,14 @@
 // A node that follows the lock, and what the store would hold.
 struct Node
 {
-    explicit Node(const std::string &name, const ManualClock &usedClock)
-        : clock(usedClock), lock("lock", name, usedClock, limitsOf())
+    explicit Node(const std::string &name, const ManualClock &manualClock)
+        : clock(manualClock), lock("lock", name, manualClock, makeLimits())
     {
         lock.keyChanged(nullptr);
     }
 
     // Goes through the steps of taking the lock; gives the value that it writes.
-    std::string take(std::int64_t revision, WriteResult result = WriteResult::Done)
+    std::string takeLock(std::int64_t revision, WriteResult result = WriteResult::Done)
     {
         REQUIRE(lock.tick().size() == 1); // GrantLease
         lock.leaseGranted(7, 1500ms, clock.now());
@@ -53,7 +53,7 @@
 {
     const ManualClock clock;
     Node node("a", clock);
-    node.take(41);
+    node.takeLock(41);
     const auto holding = node.lock.holding();
     REQUIRE(holding);
     CHECK(holding->fence == 41);
@@ -65,12 +65,12 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    node.take(41);
+    node.takeLock(41);
     clock.advance(1400ms); // the lease, less the margin
     CHECK_FALSE(node.lock.holding());
     // The answer to a renewal that was sent before the freeze counts from its send.
     Node late("b", clock);
-    late.take(42);
+    late.takeLock(42);
     const TimePoint asked = clock.now();
     clock.advance(5s);
     late.lock.leaseRenewed(1500ms, asked);
@@ -81,7 +81,7 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    node.take(41);
+    node.takeLock(41);
     const TimePoint asked = clock.now();
     clock.advance(1s);
     node.lock.leaseRenewed(1500ms, asked);
@@ -93,7 +93,7 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    const std::string value = node.take(0, WriteResult::Unknown);
+    const std::string value = node.takeLock(0, WriteResult::Unknown);
     CHECK_FALSE(node.lock.holding());
     const StoredItem shown{"lock", 44, 44, value};
     node.lock.keyChanged(&shown);
@@ -101,7 +101,7 @@
     CHECK(node.lock.holding()->fence == 44);
 
     Node other("b", clock);
-    other.take(0, WriteResult::Unknown);
+    other.takeLock(0, WriteResult::Unknown);
     clock.advance(3s); // it never showed
     const auto actions = other.lock.tick();
     REQUIRE(actions.size() == 1);
@@ -114,12 +114,12 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    const std::string first = node.take(0, WriteResult::Unknown);
+    const std::string first = node.takeLock(0, WriteResult::Unknown);
     clock.advance(3s);
     node.lock.tick(); // gives the attempt up
     clock.advance(1s);
     node.lock.keyChanged(nullptr);
-    const std::string second = node.take(0, WriteResult::Unknown);
+    const std::string second = node.takeLock(0, WriteResult::Unknown);
     CHECK(first != second);
     const StoredItem late{"lock", 50, 50, first};
     node.lock.keyChanged(&late);
@@ -135,7 +135,7 @@
     CHECK(node.lock.tick().empty());
     clock.advance(1s);
     node.lock.keyChanged(nullptr); // its lease has run out
-    node.take(50);
+    node.takeLock(50);
     const TimePoint taken = clock.now();
     REQUIRE(node.lock.holding());
     CHECK(node.lock.predecessor() == "a");
@@ -151,13 +151,13 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    node.take(41);
+    node.takeLock(41);
     const StoredItem other{"lock", 60, 60, "b#1"};
     node.lock.keyChanged(&other);
     CHECK_FALSE(node.lock.holding());
 
     Node fenced("c", clock);
-    fenced.take(41);
+    fenced.takeLock(41);
     fenced.lock.fenceRefused();
     CHECK_FALSE(fenced.lock.holding());
 }
@@ -178,7 +178,7 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    const std::string value = node.take(41);
+    const std::string value = node.takeLock(41);
     node.lock.keyChanged(nullptr); // the copy is merged up to an older revision
     REQUIRE(node.lock.holding());
     CHECK(node.lock.holding()->fence == 41);
@@ -194,7 +194,7 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    node.take(41);
+    node.takeLock(41);
     node.lock.keyChanged(nullptr);
     clock.advance(1300ms);
     CHECK_FALSE(node.lock.holding());
@@ -221,7 +221,7 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    const std::string value = node.take(41);
+    const std::string value = node.takeLock(41);
     const StoredItem shown{"lock", 41, 41, value};
     node.lock.keyChanged(&shown);
     clock.advance(4s); // orders may be sent by now
@@ -251,7 +251,7 @@
 {
     ManualClock clock;
     Node node("a", clock);
-    const std::string value = node.take(41);
+    const std::string value = node.takeLock(41);
     const StoredItem shown{"lock", 41, 41, value};
     node.lock.keyChanged(&shown);
     clock.advance(4s);
@@ -272,13 +272,13 @@
     ManualClock clock;
     Node node("a", clock);
     node.lock.storeRestored(1);
-    node.take(41);
+    node.takeLock(41);
     const std::int64_t before = node.lock.holding()->fence;
     node.lock.storeRestored(2);
     CHECK_FALSE(node.lock.holding());
     node.lock.keyChanged(nullptr, 2);
     clock.advance(500ms);
-    node.take(7);
+    node.takeLock(7);
     REQUIRE(node.lock.holding());
     CHECK(node.lock.holding()->fence > before);
 }
@@ -289,7 +289,7 @@
     ManualClock clock;
     Node node("a", clock);
     node.lock.storeRestored(1);
-    node.take(41);
+    node.takeLock(41);
     node.lock.storeRestored(2);
     const auto actions = node.lock.tick();
     CHECK(actions.empty());
@@ -309,7 +309,7 @@
     node.lock.storeRestored(2);
     node.lock.keyChanged(nullptr, 2);
     clock.advance(500ms);
-    node.take(7);
+    node.takeLock(7);
     node.lock.setPredecessorLastActed(clock.now() - 10s);
     CHECK(node.lock.holding()->actFrom == clock.now() + 2500ms);
 }
--- a/tests/unit/rollout_simulation_test.cpp
+++ b/tests/unit/rollout_simulation_test.cpp
@@ -18,26 +18,26 @@
 
 constexpr Duration kStep = 20ms;
 constexpr Duration kAnswerTime = 10ms;
-constexpr Duration kReportPatience = 700ms;
-constexpr Duration kOrderPatience = 500ms;
-constexpr Duration kReportAge = 100ms;
+constexpr Duration kReportTimeout = 700ms;
+constexpr Duration kOrderTimeout = 500ms;
+constexpr Duration kReportLag = 100ms;
 constexpr Duration kLoadTime = 900ms;
 
 // Loads take longer once more engines load at the same time.
-std::size_t loadsWithoutSlowing(std::size_t engines)
+std::size_t maxUnslowedLoads(std::size_t engines)
 {
     return std::max<std::size_t>(2, engines / 5);
 }
 
 // What goes on in an engine, beside what its reports tell.
-struct LateOrder
+struct DelayedOrder
 {
-    TimePoint when{};
+    TimePoint due{};
     std::int64_t ordersTaken = 0;
     std::uint64_t version = 0;
 };
 
-struct EngineState
+struct SimulatedState
 {
     std::uint64_t version = 1;
     std::int64_t ordersTaken = 0;
@@ -46,20 +46,20 @@
 
 struct SimulatedEngine
 {
-    EngineState state;
-    EngineState before; // as reports tell until the last change is old enough
+    SimulatedState state;
+    SimulatedState before; // as reports tell until the last change is old enough
     TimePoint changed{};
     TimePoint loadEnd{};
-    std::uint64_t loads = 0; // the version that it loads
-    std::vector<LateOrder> late;
+    std::uint64_t loadingVersion = 0; // the version that it loads
+    std::vector<DelayedOrder> delayedOrders;
     TimePoint downFrom = TimePoint::max();
     TimePoint downUntil = TimePoint::max();
-    bool hasRun = true;
-    std::optional<TimePoint> runEnd;
+    bool hasRequests = true;
+    std::optional<TimePoint> requestsEnd;
 
     bool isDown(TimePoint now) const { return now >= downFrom && now < downUntil; }
 
-    void change(TimePoint now, const EngineState &next)
+    void change(TimePoint now, const SimulatedState &next)
     {
         before = state;
         state = next;
@@ -69,11 +69,12 @@
 
 struct Outcome
 {
-    std::optional<Duration> toLast; // from the naming until all engines have the new weights
-    Duration toUp{0}; // the same of those that are not down
-    Duration idle{0}; // engines that are kept free of requests and do not load
-    std::size_t mostLoads = 0; // at the same time
-    std::size_t mostKept = 0; // free of requests at the same time, loading or not
+    std::optional<Duration>
+        untilAllUpdated; // from the naming until all engines have the new weights
+    Duration untilRunningUpdated{0}; // the same of those that are not down
+    Duration idleTime{0}; // engines that are kept free of requests and do not load
+    std::size_t maxLoads = 0; // at the same time
+    std::size_t maxKeptFree = 0; // free of requests at the same time, loading or not
     std::size_t reports = 0;
     std::size_t orders = 0;
 };
@@ -83,7 +84,7 @@
 {
 public:
     Simulation(std::size_t engines, double unanswered, unsigned seed)
-        : m_unanswered(unanswered), m_random(seed), m_loads(m_clock), m_rollout(m_clock)
+        : m_unanswered(unanswered), m_random(seed), m_upstreamLoads(m_clock), m_rollout(m_clock)
     {
         for (std::size_t n = 0; n < engines; ++n) {
             UpstreamRecord record;
@@ -91,7 +92,7 @@
             record.weightVersions["m"] = 1;
             m_records.push_back(record);
             m_engines[record.instanceId] = {};
-            m_loads.begin(record.instanceId, {0, 0});
+            m_upstreamLoads.begin(record.instanceId, {0, 0});
         }
         std::vector<const UpstreamRecord *> known;
         for (const UpstreamRecord &it : m_records)
@@ -104,14 +105,14 @@
     TimePoint start() const { return m_start; }
 
     // The first engines that load go down while they do so, for good.
-    void endInLoad(std::size_t engines) { m_endInLoad = engines; }
+    void failDuringLoad(std::size_t engines) { m_failuresDuringLoad = engines; }
 
     // Newer weights are named meanwhile; all times count from the first naming.
-    void nameAgain(Duration after) { m_nextNaming = m_start + after; }
+    void nameNewerVersion(Duration after) { m_nextNaming = m_start + after; }
 
-    Outcome run(Duration longest)
+    Outcome run(Duration limit)
     {
-        while (m_clock.now() < m_start + longest && !m_outcome.toLast)
+        while (m_clock.now() < m_start + limit && !m_outcome.untilAllUpdated)
             step();
         return m_outcome;
     }
@@ -119,13 +120,13 @@
 private:
     struct Answer
     {
-        TimePoint when{};
+        TimePoint due{};
         std::string instanceId;
         std::optional<OrderResult> order; // nothing: a report
         std::optional<EngineReport> report;
     };
 
-    Duration between(Duration least, Duration most)
+    Duration randomDuration(Duration least, Duration most)
     {
         std::uniform_int_distribution<std::int64_t> draw(least.count(), most.count());
         return Duration(draw(m_random));
@@ -141,14 +142,14 @@
         }
         for (auto &[id, engine] : m_engines)
             advance(id, engine);
-        deliver();
-        for (const RolloutAction &it : m_rollout.tick(m_holding, m_loads)) {
+        deliverAnswers();
+        for (const RolloutAction &it : m_rollout.tick(m_holding, m_upstreamLoads)) {
             if (const auto *asked = std::get_if<FetchReport>(&it))
-                ask(asked->instanceId);
+                requestReport(asked->instanceId);
             else
-                order(std::get<OrderWeights>(it));
+                sendOrder(std::get<OrderWeights>(it));
         }
-        noteRuns();
+        updateRequests();
         measure();
     }
 
@@ -158,73 +159,74 @@
         if (engine.state.busy && engine.isDown(now))
             engine.change(now, {engine.state.version, 0, false});
         if (engine.state.busy && now >= engine.loadEnd)
-            engine.change(now, {engine.loads, engine.state.ordersTaken, false});
-        for (const LateOrder &it : engine.late) {
-            if (now >= it.when && !engine.isDown(now))
-                take(engine, it);
+            engine.change(now, {engine.loadingVersion, engine.state.ordersTaken, false});
+        for (const DelayedOrder &it : engine.delayedOrders) {
+            if (now >= it.due && !engine.isDown(now))
+                takeOrder(engine, it);
         }
-        std::erase_if(engine.late, [&](const LateOrder &it) { return now >= it.when; });
-        if (engine.runEnd && now >= *engine.runEnd) {
-            m_loads.end(id, {0, 0}, true);
-            engine.runEnd.reset();
-            engine.hasRun = false;
+        std::erase_if(engine.delayedOrders, [&](const DelayedOrder &it) { return now >= it.due; });
+        if (engine.requestsEnd && now >= *engine.requestsEnd) {
+            m_upstreamLoads.end(id, {0, 0}, true);
+            engine.requestsEnd.reset();
+            engine.hasRequests = false;
         }
     }
 
-    OrderResult take(SimulatedEngine &engine, const LateOrder &order)
+    OrderResult takeOrder(SimulatedEngine &engine, const DelayedOrder &order)
     {
         if (engine.state.busy || engine.state.ordersTaken != order.ordersTaken)
             return OrderResult::Conflict;
         if (engine.state.version >= order.version)
             return OrderResult::AlreadyDone;
-        const std::size_t others = loadsNow() + 1;
-        const std::size_t most = loadsWithoutSlowing(m_engines.size());
+        const std::size_t loads = countLoads() + 1;
+        const std::size_t maxUnslowed = maxUnslowedLoads(m_engines.size());
         const double slower
-            = std::max(1.0, static_cast<double>(others) / static_cast<double>(most));
-        engine.loads = order.version;
+            = std::max(1.0, static_cast<double>(loads) / static_cast<double>(maxUnslowed));
+        engine.loadingVersion = order.version;
         engine.loadEnd = m_clock.now() + std::chrono::duration_cast<Duration>(slower * kLoadTime);
         engine.change(m_clock.now(), {engine.state.version, order.ordersTaken + 1, true});
-        if (m_endInLoad > 0) {
-            m_endInLoad -= 1;
+        if (m_failuresDuringLoad > 0) {
+            m_failuresDuringLoad -= 1;
             engine.downFrom = m_clock.now() + kLoadTime / 2;
         }
         return OrderResult::Accepted;
     }
 
-    void ask(const std::string &id)
+    void requestReport(const std::string &id)
     {
         m_outcome.reports += 1;
         const SimulatedEngine &engine = m_engines.at(id);
         const TimePoint now = m_clock.now();
         if (engine.isDown(now)) {
-            m_answers.push_back({now + kReportPatience, id, {}, {}});
+            m_answers.push_back({now + kReportTimeout, id, {}, {}});
             return;
         }
-        const EngineState &told = now - engine.changed < kReportAge ? engine.before : engine.state;
-        const EngineReport report{{{"m", told.version}}, told.busy, told.ordersTaken};
+        const SimulatedState &reported
+            = now - engine.changed < kReportLag ? engine.before : engine.state;
+        const EngineReport report{{{"m", reported.version}}, reported.busy, reported.ordersTaken};
         m_answers.push_back({now + kAnswerTime, id, {}, report});
     }
 
-    void order(const OrderWeights &order)
+    void sendOrder(const OrderWeights &order)
     {
         m_outcome.orders += 1;
         SimulatedEngine &engine = m_engines.at(order.instanceId);
         const TimePoint now = m_clock.now();
-        LateOrder taken{now, order.ordersTaken, order.version};
+        DelayedOrder taken{now, order.ordersTaken, order.version};
         if (engine.isDown(now) || std::bernoulli_distribution(m_unanswered)(m_random)) {
-            taken.when = now + between(2s, 12s);
-            engine.late.push_back(taken);
-            m_answers.push_back({now + kOrderPatience, order.instanceId, OrderResult::Unknown, {}});
+            taken.due = now + randomDuration(2s, 12s);
+            engine.delayedOrders.push_back(taken);
+            m_answers.push_back({now + kOrderTimeout, order.instanceId, OrderResult::Unknown, {}});
             return;
         }
-        m_answers.push_back({now + kAnswerTime, order.instanceId, take(engine, taken), {}});
+        m_answers.push_back({now + kAnswerTime, order.instanceId, takeOrder(engine, taken), {}});
     }
 
-    void deliver()
+    void deliverAnswers()
     {
         std::vector<Answer> due;
         std::erase_if(m_answers, [&](const Answer &it) {
-            if (it.when > m_clock.now())
+            if (it.due > m_clock.now())
                 return false;
             due.push_back(it);
             return true;
@@ -238,20 +240,20 @@
     }
 
     // What runs at an engine ends some time after nobody sends it requests any more.
-    void noteRuns()
+    void updateRequests()
     {
-        const auto kept = m_rollout.loading();
+        const auto keptFree = m_rollout.loading();
         for (auto &[id, engine] : m_engines) {
-            if (kept.contains(id) && engine.hasRun && !engine.runEnd)
-                engine.runEnd = m_clock.now() + between(100ms, 1500ms);
-            if (!kept.contains(id) && !engine.hasRun) {
-                m_loads.begin(id, {0, 0});
-                engine.hasRun = true;
+            if (keptFree.contains(id) && engine.hasRequests && !engine.requestsEnd)
+                engine.requestsEnd = m_clock.now() + randomDuration(100ms, 1500ms);
+            if (!keptFree.contains(id) && !engine.hasRequests) {
+                m_upstreamLoads.begin(id, {0, 0});
+                engine.hasRequests = true;
             }
         }
     }
 
-    std::size_t loadsNow() const
+    std::size_t countLoads() const
     {
         return static_cast<std::size_t>(
             std::count_if(m_engines.begin(), m_engines.end(),
@@ -261,31 +263,32 @@
     void measure()
     {
         const TimePoint now = m_clock.now();
-        m_outcome.mostLoads = std::max(m_outcome.mostLoads, loadsNow());
-        const auto kept = m_rollout.loading();
-        m_outcome.mostKept = std::max(m_outcome.mostKept, kept.size());
-        for (const std::string &it : kept) {
+        m_outcome.maxLoads = std::max(m_outcome.maxLoads, countLoads());
+        const auto keptFree = m_rollout.loading();
+        m_outcome.maxKeptFree = std::max(m_outcome.maxKeptFree, keptFree.size());
+        for (const std::string &it : keptFree) {
             const SimulatedEngine &engine = m_engines.at(it);
-            if (!engine.state.busy && !engine.hasRun && !engine.isDown(now))
-                m_outcome.idle += kStep;
+            if (!engine.state.busy && !engine.hasRequests && !engine.isDown(now))
+                m_outcome.idleTime += kStep;
         }
-        const auto isNew = [this](const auto &it) { return it.second.state.version == m_newest; };
-        const auto isOldAndUp
-            = [&](const auto &it) { return !isNew(it) && !it.second.isDown(now); };
-        if (std::any_of(m_engines.begin(), m_engines.end(), isOldAndUp))
-            m_outcome.toUp = now - m_start;
-        if (!m_nextNaming && std::all_of(m_engines.begin(), m_engines.end(), isNew))
-            m_outcome.toLast = now - m_start;
+        const auto isUpdated
+            = [this](const auto &it) { return it.second.state.version == m_newest; };
+        const auto isOutdatedAndUp
+            = [&](const auto &it) { return !isUpdated(it) && !it.second.isDown(now); };
+        if (std::any_of(m_engines.begin(), m_engines.end(), isOutdatedAndUp))
+            m_outcome.untilRunningUpdated = now - m_start;
+        if (!m_nextNaming && std::all_of(m_engines.begin(), m_engines.end(), isUpdated))
+            m_outcome.untilAllUpdated = now - m_start;
     }
 
     const double m_unanswered;
-    std::size_t m_endInLoad = 0;
+    std::size_t m_failuresDuringLoad = 0;
     std::uint64_t m_newest = 2;
     std::optional<TimePoint> m_nextNaming;
     std::mt19937 m_random;
     ManualClock m_clock;
     const TimePoint m_start = m_clock.now();
-    UpstreamLoadTracker m_loads;
+    UpstreamLoadTracker m_upstreamLoads;
     WeightRollout m_rollout;
     std::vector<UpstreamRecord> m_records;
     std::map<std::string, SimulatedEngine> m_engines;
@@ -297,7 +300,7 @@
 
 constexpr unsigned kSeeds = 20;
 
-double inSeconds(Duration duration)
+double toSeconds(Duration duration)
 {
     return std::chrono::duration<double>(duration).count();
 }
@@ -307,12 +310,13 @@
 {
     Outcome worst = outcomes.front();
     for (const Outcome &it : outcomes) {
-        if (!it.toLast || (worst.toLast && *it.toLast > *worst.toLast))
-            worst.toLast = it.toLast;
-        worst.toUp = std::max(worst.toUp, it.toUp);
-        worst.idle = std::max(worst.idle, it.idle);
-        worst.mostLoads = std::max(worst.mostLoads, it.mostLoads);
-        worst.mostKept = std::max(worst.mostKept, it.mostKept);
+        if (!it.untilAllUpdated
+            || (worst.untilAllUpdated && *it.untilAllUpdated > *worst.untilAllUpdated))
+            worst.untilAllUpdated = it.untilAllUpdated;
+        worst.untilRunningUpdated = std::max(worst.untilRunningUpdated, it.untilRunningUpdated);
+        worst.idleTime = std::max(worst.idleTime, it.idleTime);
+        worst.maxLoads = std::max(worst.maxLoads, it.maxLoads);
+        worst.maxKeptFree = std::max(worst.maxKeptFree, it.maxKeptFree);
         worst.reports = std::max(worst.reports, it.reports);
         worst.orders = std::max(worst.orders, it.orders);
     }
@@ -320,8 +324,8 @@
 }
 
 // The worst of all seeds; the first `down` engines are down for the time given from the naming on.
-Outcome worstRollout(std::size_t engines, double unanswered, std::size_t down = 0,
-                     Duration downFor = 6s)
+Outcome simulateWorst(std::size_t engines, double unanswered, std::size_t down = 0,
+                      Duration downFor = 6s)
 {
     std::vector<Outcome> outcomes;
     for (unsigned seed = 1; seed <= kSeeds; ++seed) {
@@ -334,10 +338,10 @@
     }
     const Outcome worst = worstOf(outcomes);
     INFO(engines, " engines, part of orders without answer ", unanswered, ", down ", down,
-         ": s to the last ", inSeconds(worst.toLast.value_or(Duration(0))),
-         ", to the last that is up ", inSeconds(worst.toUp), ", idle engine-s ",
-         inSeconds(worst.idle), ", loads at once ", worst.mostLoads, ", kept free ", worst.mostKept,
-         ", reports ", worst.reports, ", orders ", worst.orders);
+         ": s to the last ", toSeconds(worst.untilAllUpdated.value_or(Duration(0))),
+         ", to the last that is up ", toSeconds(worst.untilRunningUpdated), ", idle engine-s ",
+         toSeconds(worst.idleTime), ", loads at once ", worst.maxLoads, ", kept free ",
+         worst.maxKeptFree, ", reports ", worst.reports, ", orders ", worst.orders);
     CHECK(worst.orders > 0);
     return worst;
 }
@@ -353,20 +357,20 @@
         Duration bound;
     };
     for (const Case &it : {Case{6, 7s}, Case{9, 9s}, Case{18, 10s}, Case{112, 10s}}) {
-        const Outcome worst = worstRollout(it.engines, 0.0);
-        REQUIRE(worst.toLast);
-        CHECK_MESSAGE(*worst.toLast < it.bound, it.engines);
-        CHECK(worst.mostLoads <= loadsWithoutSlowing(it.engines));
-        CHECK(worst.idle < static_cast<std::int64_t>(it.engines) * 1s);
+        const Outcome worst = simulateWorst(it.engines, 0.0);
+        REQUIRE(worst.untilAllUpdated);
+        CHECK_MESSAGE(*worst.untilAllUpdated < it.bound, it.engines);
+        CHECK(worst.maxLoads <= maxUnslowedLoads(it.engines));
+        CHECK(worst.idleTime < static_cast<std::int64_t>(it.engines) * 1s);
     }
 }
 
 TEST_CASE("rollout simulation: half of few engines go on serving [weights][simulation]")
 {
     for (const std::size_t engines : {2U, 3U, 4U, 5U, 6U, 9U}) {
-        const Outcome worst = worstRollout(engines, 0.0);
-        REQUIRE(worst.toLast);
-        CHECK_MESSAGE(worst.mostKept <= engines / 2, engines);
+        const Outcome worst = simulateWorst(engines, 0.0);
+        REQUIRE(worst.untilAllUpdated);
+        CHECK_MESSAGE(worst.maxKeptFree <= engines / 2, engines);
     }
 }
 
@@ -379,10 +383,10 @@
         Duration bound;
     };
     for (const Case &it : {Case{6, 14s}, Case{9, 14s}, Case{18, 21s}, Case{112, 21s}}) {
-        const Outcome worst = worstRollout(it.engines, 0.5);
-        REQUIRE(worst.toLast);
-        CHECK_MESSAGE(*worst.toLast < it.bound, it.engines);
-        CHECK(worst.idle < static_cast<std::int64_t>(it.engines) * 3s);
+        const Outcome worst = simulateWorst(it.engines, 0.5);
+        REQUIRE(worst.untilAllUpdated);
+        CHECK_MESSAGE(*worst.untilAllUpdated < it.bound, it.engines);
+        CHECK(worst.idleTime < static_cast<std::int64_t>(it.engines) * 3s);
         CHECK(worst.orders < 4 * it.engines);
     }
 }
@@ -391,8 +395,8 @@
           "[weights][simulation]")
 {
     for (const std::size_t engines : {9U, 18U, 112U}) {
-        const Outcome worst = worstRollout(engines, 0.0);
-        REQUIRE(worst.toLast);
+        const Outcome worst = simulateWorst(engines, 0.0);
+        REQUIRE(worst.untilAllUpdated);
         CHECK(worst.reports < 11 * engines);
     }
 }
@@ -402,20 +406,21 @@
 {
     for (const std::size_t engines : {6U, 9U, 18U, 112U}) {
         const std::size_t down = engines / 3;
-        const Outcome calm = worstRollout(engines, 0.0);
-        const Outcome others = worstRollout(engines, 0.0, down, 120s);
-        REQUIRE(calm.toLast);
+        const Outcome allUp = simulateWorst(engines, 0.0);
+        const Outcome someDown = simulateWorst(engines, 0.0, down, 120s);
+        REQUIRE(allUp.untilAllUpdated);
         const double share = static_cast<double>(engines - down) / static_cast<double>(engines);
-        CHECK(inSeconds(others.toUp) < share * inSeconds(*calm.toLast) + 2.0);
+        CHECK(toSeconds(someDown.untilRunningUpdated)
+              < share * toSeconds(*allUp.untilAllUpdated) + 2.0);
     }
 }
 
 TEST_CASE("rollout simulation: engines that come back load soon after [weights][simulation]")
 {
     for (const std::size_t engines : {6U, 9U, 18U, 112U}) {
-        const Outcome worst = worstRollout(engines, 0.0, engines / 3, 10s);
-        REQUIRE(worst.toLast);
-        CHECK(*worst.toLast < 10s + 5s);
+        const Outcome worst = simulateWorst(engines, 0.0, engines / 3, 10s);
+        REQUIRE(worst.untilAllUpdated);
+        CHECK(*worst.untilAllUpdated < 10s + 5s);
     }
 }
 
@@ -424,8 +429,8 @@
 {
     for (unsigned seed = 1; seed <= kSeeds; ++seed) {
         Simulation simulation(9, 0.0, seed);
-        simulation.endInLoad(2);
-        CHECK(simulation.run(30s).toUp < 9s);
+        simulation.failDuringLoad(2);
+        CHECK(simulation.run(30s).untilRunningUpdated < 9s);
     }
 }
 
@@ -442,13 +447,13 @@
             std::vector<Outcome> outcomes;
             for (unsigned seed = 1; seed <= kSeeds; ++seed) {
                 Simulation simulation(it.engines, 0.0, seed);
-                simulation.nameAgain(after);
+                simulation.nameNewerVersion(after);
                 outcomes.push_back(simulation.run(60s));
             }
             const Outcome worst = worstOf(outcomes);
-            REQUIRE(worst.toLast);
-            CHECK_MESSAGE(*worst.toLast < after + it.bound, it.engines);
-            CHECK(worst.mostLoads <= loadsWithoutSlowing(it.engines));
+            REQUIRE(worst.untilAllUpdated);
+            CHECK_MESSAGE(*worst.untilAllUpdated < after + it.bound, it.engines);
+            CHECK(worst.maxLoads <= maxUnslowedLoads(it.engines));
         }
     }
 }
--- a/tests/unit/store_replica_test.cpp
+++ b/tests/unit/store_replica_test.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-StoredItem itemOf(const std::string &key, std::int64_t revision, const std::string &value)
+StoredItem makeItem(const std::string &key, std::int64_t revision, const std::string &value)
 {
     return {key, revision, revision, value};
 }
 
-StoredItem goneAt(const std::string &key, std::int64_t revision)
+StoredItem removedItem(const std::string &key, std::int64_t revision)
 {
     return {key, revision, 0, std::nullopt};
 }
@@ -22,8 +22,8 @@
 TEST_CASE("replica: an older value never replaces a newer one [versions]")
 {
     StoreReplica replica;
-    REQUIRE(replica.merge({0, 10, {itemOf("config", 10, "new")}}));
-    const auto changed = replica.merge({5, 9, {itemOf("config", 9, "old")}});
+    REQUIRE(replica.merge({0, 10, {makeItem("config", 10, "new")}}));
+    const auto changed = replica.merge({5, 9, {makeItem("config", 9, "old")}});
     REQUIRE(changed);
     CHECK(changed->empty());
     CHECK(replica.find("config")->value == "new");
@@ -33,9 +33,9 @@
 TEST_CASE("replica: an older whole read does not bring back what is gone [versions][leaving]")
 {
     StoreReplica replica;
-    REQUIRE(replica.merge({0, 10, {itemOf("upstream", 8, "ready")}}));
-    REQUIRE(replica.merge({10, 12, {goneAt("upstream", 12)}}));
-    const auto changed = replica.merge({0, 10, {itemOf("upstream", 8, "ready")}});
+    REQUIRE(replica.merge({0, 10, {makeItem("upstream", 8, "ready")}}));
+    REQUIRE(replica.merge({10, 12, {removedItem("upstream", 12)}}));
+    const auto changed = replica.merge({0, 10, {makeItem("upstream", 8, "ready")}});
     REQUIRE(changed);
     CHECK(changed->empty());
     CHECK(replica.find("upstream") == nullptr);
@@ -44,8 +44,8 @@
 TEST_CASE("replica: a whole read shows what was removed in a gap [history]")
 {
     StoreReplica replica;
-    REQUIRE(replica.merge({0, 10, {itemOf("a", 8, "1"), itemOf("b", 9, "2")}}));
-    const auto changed = replica.merge({0, 20, {itemOf("a", 8, "1"), itemOf("c", 15, "3")}});
+    REQUIRE(replica.merge({0, 10, {makeItem("a", 8, "1"), makeItem("b", 9, "2")}}));
+    const auto changed = replica.merge({0, 20, {makeItem("a", 8, "1"), makeItem("c", 15, "3")}});
     REQUIRE(changed);
     CHECK(changed->size() == 2);
     CHECK(replica.find("a") != nullptr);
@@ -57,17 +57,17 @@
 {
     StoreReplica replica;
     REQUIRE(replica.merge({0, 10, {}}));
-    CHECK_FALSE(replica.merge({15, 20, {itemOf("a", 20, "1")}}));
+    CHECK_FALSE(replica.merge({15, 20, {makeItem("a", 20, "1")}}));
     CHECK(replica.version().revision == 10);
 }
 
 TEST_CASE("replica: a peer that lags is told what it lacks, removals too [peers]")
 {
     StoreReplica ahead;
-    REQUIRE(ahead.merge({0, 10, {itemOf("a", 8, "1"), itemOf("b", 9, "2")}}));
+    REQUIRE(ahead.merge({0, 10, {makeItem("a", 8, "1"), makeItem("b", 9, "2")}}));
     StoreReplica behind;
     REQUIRE(behind.merge(ahead.changesSince({})));
-    REQUIRE(ahead.merge({10, 12, {goneAt("a", 11), itemOf("b", 12, "3")}}));
+    REQUIRE(ahead.merge({10, 12, {removedItem("a", 11), makeItem("b", 12, "3")}}));
     const StoreChanges changes = ahead.changesSince(behind.version());
     CHECK(changes.since == 10);
     REQUIRE(behind.merge(changes));
@@ -80,14 +80,14 @@
 {
     constexpr int kKeys = 3'000;
     StoreReplica ahead;
-    REQUIRE(ahead.merge({0, 1, {itemOf("kept", 1, "1")}}));
+    REQUIRE(ahead.merge({0, 1, {makeItem("kept", 1, "1")}}));
     StoreReplica behind;
-    REQUIRE(behind.merge({0, 2, {itemOf("kept", 1, "1"), itemOf("key0", 2, "x")}}));
+    REQUIRE(behind.merge({0, 2, {makeItem("kept", 1, "1"), makeItem("key0", 2, "x")}}));
     std::int64_t revision = 1;
     for (int n = 0; n < kKeys; ++n) {
         const std::string key = "key" + std::to_string(n);
-        REQUIRE(ahead.merge({revision, revision + 1, {itemOf(key, revision + 1, "x")}}));
-        REQUIRE(ahead.merge({revision + 1, revision + 2, {goneAt(key, revision + 2)}}));
+        REQUIRE(ahead.merge({revision, revision + 1, {makeItem(key, revision + 1, "x")}}));
+        REQUIRE(ahead.merge({revision + 1, revision + 2, {removedItem(key, revision + 2)}}));
         revision += 2;
     }
     const StoreChanges changes = ahead.changesSince(behind.version());
@@ -101,17 +101,17 @@
           "[store][restored]")
 {
     StoreReplica replica;
-    REQUIRE(replica.merge({0, 90, {itemOf("a", 80, "x"), itemOf("b", 90, "x")}, 1}));
-    CHECK_FALSE(replica.merge({70, 71, {itemOf("c", 71, "x")}, 2})); // the rest is not known
-    const auto changed = replica.merge({0, 60, {itemOf("a", 40, "w")}, 2});
+    REQUIRE(replica.merge({0, 90, {makeItem("a", 80, "x"), makeItem("b", 90, "x")}, 1}));
+    CHECK_FALSE(replica.merge({70, 71, {makeItem("c", 71, "x")}, 2})); // the rest is not known
+    const auto changed = replica.merge({0, 60, {makeItem("a", 40, "w")}, 2});
     REQUIRE(changed);
     CHECK(replica.version() == StoreVersion{2, 60});
     CHECK(replica.find("b") == nullptr);
-    REQUIRE(replica.merge({60, 61, {itemOf("a", 61, "y")}, 2}));
+    REQUIRE(replica.merge({60, 61, {makeItem("a", 61, "y")}, 2}));
     CHECK(replica.find("a")->revision == 61);
     SUBCASE("what is of the time before is not taken")
     {
-        CHECK(replica.merge({0, 99, {itemOf("a", 95, "z")}, 1})->empty());
+        CHECK(replica.merge({0, 99, {makeItem("a", 95, "z")}, 1})->empty());
         CHECK(replica.find("a")->revision == 61);
         CHECK(replica.changesSince({1, 61}).since == 0);
     }
@@ -134,9 +134,9 @@
         }
     } policy;
     StoreReplica replica(policy);
-    REQUIRE(replica.merge({0, 90, {itemOf("a", 80, "x")}, 1}));
-    REQUIRE(replica.merge({90, 91, {goneAt("a", 91)}, 1}));
-    REQUIRE(replica.merge({0, 85, {itemOf("a", 80, "x")}, 2}));
+    REQUIRE(replica.merge({0, 90, {makeItem("a", 80, "x")}, 1}));
+    REQUIRE(replica.merge({90, 91, {removedItem("a", 91)}, 1}));
+    REQUIRE(replica.merge({0, 85, {makeItem("a", 80, "x")}, 2}));
     CHECK(replica.find("a") == nullptr);
     REQUIRE(replica.merge({0, 95, {}, 2}));
     CHECK(replica.acceptDeferred().empty());
--- a/tests/unit/weight_rollout_test.cpp
+++ b/tests/unit/weight_rollout_test.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 // Engines that load when ordered, and a node that holds the lock.
-class Rollout
+class RolloutFixture
 {
 public:
-    explicit Rollout(int engines) : m_loads(m_clock), m_rollout(m_clock)
+    explicit RolloutFixture(int engines) : m_loads(m_clock), m_rollout(m_clock)
     {
         for (int n = 0; n < engines; ++n) {
             UpstreamRecord record;
@@ -22,10 +22,10 @@
             record.weightVersions["m"] = 1;
             m_records.push_back(record);
         }
-        publish();
+        setEngines();
     }
 
-    void publish()
+    void setEngines()
     {
         std::vector<const UpstreamRecord *> engines;
         for (const UpstreamRecord &it : m_records)
@@ -62,15 +62,15 @@
         = FencedLock::Holding{9, TimePoint{}, TimePoint{}, TimePoint::max()};
 };
 
-const EngineReport kOld{{{"m", 1}}, false, 0};
+const EngineReport kOldReport{{{"m", 1}}, false, 0};
 
 } // namespace
 
 TEST_CASE("rollout: only so many engines load at once [weights]")
 {
-    Rollout rollout(18);
+    RolloutFixture rollout(18);
     rollout.m_rollout.setTarget("m", 2);
-    const auto orders = rollout.run(900ms, kOld);
+    const auto orders = rollout.run(900ms, kOldReport);
     CHECK(orders.size() == 3);
     for (const OrderWeights &it : orders) {
         CHECK(it.fence == 9);
@@ -83,60 +83,60 @@
 TEST_CASE(
     "rollout: without the lock nothing is ordered, nor before or after its time [weights][lock]")
 {
-    Rollout rollout(3);
+    RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
     rollout.m_holding.reset();
-    CHECK(rollout.run(1s, kOld).empty());
+    CHECK(rollout.run(1s, kOldReport).empty());
     rollout.m_holding = FencedLock::Holding{9, {}, rollout.m_clock.now() + 5s, TimePoint::max()};
-    CHECK(rollout.run(4s, kOld).empty());
+    CHECK(rollout.run(4s, kOldReport).empty());
     rollout.m_holding = FencedLock::Holding{9, {}, {}, rollout.m_clock.now()};
-    CHECK(rollout.run(1s, kOld).empty());
+    CHECK(rollout.run(1s, kOldReport).empty());
 }
 
 TEST_CASE("rollout: a report from before the order does not bring a second one [weights]")
 {
-    Rollout rollout(3);
+    RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
-    auto orders = rollout.run(200ms, kOld);
+    auto orders = rollout.run(200ms, kOldReport);
     REQUIRE(orders.size() == 1);
     rollout.m_rollout.orderAnswered(orders.front().instanceId, OrderResult::Accepted);
-    CHECK(rollout.run(700ms, kOld).empty()); // reports lag
+    CHECK(rollout.run(700ms, kOldReport).empty()); // reports lag
 }
 
 TEST_CASE("rollout: an order without an answer is repeated only on the same count of orders "
           "[weights][lost-reply]")
 {
-    Rollout rollout(3);
+    RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
-    auto orders = rollout.run(200ms, kOld);
+    auto orders = rollout.run(200ms, kOldReport);
     REQUIRE(orders.size() == 1);
     CHECK(orders.front().ordersTaken == 0);
     rollout.m_rollout.orderAnswered(orders.front().instanceId, OrderResult::Unknown);
-    orders = rollout.run(3s, kOld);
+    orders = rollout.run(3s, kOldReport);
     REQUIRE_FALSE(orders.empty());
     CHECK(orders.front().ordersTaken == 0); // one that is late is then turned away by the engine
 }
 
 TEST_CASE("rollout: what a report shows is known at once, and the next engine follows [weights]")
 {
-    Rollout rollout(3);
+    RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
-    auto orders = rollout.run(200ms, kOld);
+    auto orders = rollout.run(200ms, kOldReport);
     REQUIRE(orders.size() == 1);
     const std::string first = orders.front().instanceId;
     rollout.m_rollout.orderAnswered(first, OrderResult::Accepted);
     rollout.m_rollout.reportReceived(first, EngineReport{{{"m", 2}}, false, 1});
     CHECK(rollout.m_rollout.reportedVersions().at(first).at("m").version == 2);
-    orders = rollout.run(400ms, kOld);
+    orders = rollout.run(400ms, kOldReport);
     REQUIRE(orders.size() == 1);
     CHECK(orders.front().instanceId != first);
 }
 
 TEST_CASE("rollout: a refused fence is told, once [weights][lock]")
 {
-    Rollout rollout(3);
+    RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
-    const auto orders = rollout.run(200ms, kOld);
+    const auto orders = rollout.run(200ms, kOldReport);
     REQUIRE(orders.size() == 1);
     rollout.m_rollout.orderAnswered(orders.front().instanceId, OrderResult::Fenced);
     CHECK(rollout.m_rollout.takeFenceRefused());
@@ -145,11 +145,11 @@
 
 TEST_CASE("rollout: a version named meanwhile is ordered instead of the one before [weights]")
 {
-    Rollout rollout(3);
+    RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
     rollout.m_rollout.setTarget("m", 3);
     rollout.m_rollout.setTarget("m", 2);
-    const auto orders = rollout.run(200ms, kOld);
+    const auto orders = rollout.run(200ms, kOldReport);
     REQUIRE(orders.size() == 1);
     CHECK(orders.front().version == 3);
 }
@@ -157,14 +157,14 @@
 TEST_CASE("rollout: engines with the oldest weights load first, however idle the others are "
           "[weights]")
 {
-    Rollout fleet(10);
+    RolloutFixture rollout(10);
     for (int n = 0; n < 4; ++n)
-        fleet.m_records[static_cast<std::size_t>(n)].weightVersions["m"] = 2;
-    fleet.publish();
+        rollout.m_records[static_cast<std::size_t>(n)].weightVersions["m"] = 2;
+    rollout.setEngines();
     for (int n = 4; n < 10; ++n)
-        fleet.m_loads.begin("e" + std::to_string(n), {0, 0}); // those with version 1 are busy
-    fleet.m_rollout.setTarget("m", 3);
-    const auto orders = fleet.run(2s, {{{"m", 1}}, false, 0});
+        rollout.m_loads.begin("e" + std::to_string(n), {0, 0}); // those with version 1 are busy
+    rollout.m_rollout.setTarget("m", 3);
+    const auto orders = rollout.run(2s, {{{"m", 1}}, false, 0});
     REQUIRE(!orders.empty());
     for (const OrderWeights &it : orders)
         CHECK_MESSAGE(it.instanceId >= "e4", it.instanceId);
@@ -173,17 +173,17 @@
 TEST_CASE("rollout: an engine that has loaded what was replaced meanwhile waits for its turn "
           "[weights]")
 {
-    Rollout fleet(10);
-    fleet.m_rollout.setTarget("m", 2);
-    const auto first = fleet.run(200ms, {{{"m", 1}}, false, 0});
+    RolloutFixture rollout(10);
+    rollout.m_rollout.setTarget("m", 2);
+    const auto first = rollout.run(200ms, {{{"m", 1}}, false, 0});
     REQUIRE(first.size() == 2);
     for (const OrderWeights &it : first)
-        fleet.m_rollout.orderAnswered(it.instanceId, OrderResult::Accepted);
-    fleet.m_rollout.setTarget("m", 3);
+        rollout.m_rollout.orderAnswered(it.instanceId, OrderResult::Accepted);
+    rollout.m_rollout.setTarget("m", 3);
     // All reports say version 2: those two have loaded it.
     std::vector<OrderWeights> next;
     for (Duration passed{0}; passed < 2s; passed += 20ms) {
-        for (const RolloutAction &it : fleet.tick()) {
+        for (const RolloutAction &it : rollout.tick()) {
             const auto *ask = std::get_if<FetchReport>(&it);
             if (ask == nullptr) {
                 next.push_back(std::get<OrderWeights>(it));
@@ -191,8 +191,8 @@
             }
             const bool loaded
                 = ask->instanceId == first[0].instanceId || ask->instanceId == first[1].instanceId;
-            fleet.m_rollout.reportReceived(ask->instanceId,
-                                           EngineReport{{{"m", loaded ? 2U : 1U}}, false, loaded});
+            rollout.m_rollout.reportReceived(
+                ask->instanceId, EngineReport{{{"m", loaded ? 2U : 1U}}, false, loaded});
         }
     }
     REQUIRE(next.size() == 2);
@@ -205,9 +205,9 @@
 
 TEST_CASE("rollout: an engine that loads keeps its turn over a report that was not read [weights]")
 {
-    Rollout rollout(3);
+    RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
-    const auto orders = rollout.run(200ms, kOld);
+    const auto orders = rollout.run(200ms, kOldReport);
     REQUIRE(orders.size() == 1);
     const std::string first = orders.front().instanceId;
     rollout.m_rollout.orderAnswered(first, OrderResult::Accepted);
@@ -218,7 +218,7 @@
 
 TEST_CASE("rollout: engines that a holder before has ordered count as loading [weights][lock]")
 {
-    Rollout rollout(9);
+    RolloutFixture rollout(9);
     rollout.m_rollout.setTarget("m", 2);
     for (Duration passed{0}; passed < 1s; passed += 20ms) {
         for (const RolloutAction &it : rollout.tick()) {
@@ -233,7 +233,7 @@
 
 TEST_CASE("rollout: tells of each engine with old weights what it waits for [weights][sight]")
 {
-    Rollout rollout(6);
+    RolloutFixture rollout(6);
     rollout.m_rollout.setTarget("m", 2);
     const auto behind = [&] { return rollout.m_rollout.outdatedEngines(*rollout.m_holding); };
     const auto waitOf = [&](const std::string &id) { return behind().at(id).waitsFor; };
@@ -245,13 +245,13 @@
     rollout.tick();
     CHECK(waitOf("e0") == RolloutWait::Report);
     CHECK(waitOf("e3") == RolloutWait::Turn);
-    rollout.m_rollout.reportReceived("e0", kOld);
-    rollout.m_rollout.reportReceived("e1", kOld);
+    rollout.m_rollout.reportReceived("e0", kOldReport);
+    rollout.m_rollout.reportReceived("e1", kOldReport);
     rollout.m_rollout.reportReceived("e2", std::nullopt);
     CHECK(waitOf("e0") == RolloutWait::Drain);
     CHECK(waitOf("e2") == RolloutWait::Silent);
 
-    rollout.run(100ms, kOld);
+    rollout.run(100ms, kOldReport);
     CHECK(waitOf("e0") == RolloutWait::Load);
     rollout.m_rollout.orderAnswered("e0", OrderResult::Unknown);
     CHECK(waitOf("e0") == RolloutWait::Answer);
