--- a/tests/unit/event_time_test.cpp
+++ b/tests/unit/event_time_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a node may believe of the age of what it has heard of.
+// Which age a node may assume for an event that it learned of, and when its replica was complete.
 #include <doctest/doctest.h>
 
 #include "fordwood/event_time.hpp"
@@ -15,7 +15,8 @@
 
 } // namespace
 
-TEST_CASE("event time: who has only heard of it learns from one who was there [beliefs]")
+TEST_CASE("event time: a node that did not see the event takes the bounds of one that did "
+          "[beliefs]")
 {
     EventTime found{std::nullopt, kStart + 10s};
     CHECK(found.narrow(EventTime::at(kStart + 2s)));
@@ -23,7 +24,7 @@
     CHECK_FALSE(found.narrow({std::nullopt, kStart + 11s}));
 }
 
-TEST_CASE("event time: a word that calls it younger than it is known to be tells nothing [beliefs]")
+TEST_CASE("event time: an earliest time after the known latest one is ignored [beliefs]")
 {
     EventTime found{std::nullopt, kStart};
     CHECK_FALSE(found.narrow(EventTime::at(kStart + 3s)));
@@ -34,15 +35,16 @@
     CHECK(dated == EventTime{kStart - 5s, kStart});
 }
 
-// Words take a while on their way: one from a node that was there seems a little later.
-TEST_CASE("event time: a word that is a little late counts as if it came at once [beliefs]")
+// Messages are delayed, so the time from a node that saw the event appears a little later.
+TEST_CASE("event time: an earliest time that is slightly late is limited to the latest one "
+          "[beliefs]")
 {
     EventTime found{std::nullopt, kStart};
     found.narrow(EventTime::at(kStart + 200ms));
     CHECK(found == EventTime::at(kStart));
 }
 
-TEST_CASE("event time: words that come back again and again move nothing [beliefs]")
+TEST_CASE("event time: bounds that two nodes send each other repeatedly do not drift [beliefs]")
 {
     constexpr Duration kDelay = 90ms;
     EventTime one{kStart, kStart + 4s};
@@ -55,7 +57,8 @@
     CHECK(*other.earliest <= kStart + kDelay);
 }
 
-TEST_CASE("freshness: a copy is whole as of the question, not of the answer [beliefs]")
+TEST_CASE("freshness: a replica is complete as of the time of the call, not of the answer "
+          "[beliefs]")
 {
     ManualClock clock;
     ReplicaFreshness freshness(clock);
@@ -66,11 +69,12 @@
     freshness.storeAnswered(asked);
     CHECK(freshness.completeAsOf() == asked);
     CHECK(freshness.ageFromStore() == 800ms);
-    freshness.storeAnswered(asked - 5s); // a watch that waited for long
+    freshness.storeAnswered(asked - 5s); // a watch call that waited for a long time
     CHECK(freshness.completeAsOf() == asked);
 }
 
-TEST_CASE("freshness: a call that waited for news dates them [beliefs]")
+TEST_CASE("freshness: a watch call without changes shows completeness, unless the process was "
+          "stalled [beliefs]")
 {
     ManualClock clock;
     ReplicaFreshness freshness(clock);
@@ -80,22 +84,23 @@
     }
     freshness.storeHadNoChanges(clock.now() - 2s);
     CHECK(freshness.completeAsOf() == clock.now() - 2s);
-    clock.advance(3s); // the process stood still, and the next answer lay in its socket
+    clock.advance(3s); // the process was stalled, and the next answer waited in its socket
     const auto before = freshness.completeAsOf();
     freshness.storeHadNoChanges(clock.now() - 2s);
     CHECK(freshness.completeAsOf() == before);
 }
 
-TEST_CASE("freshness: peers' words count from when the store told them [beliefs]")
+TEST_CASE("freshness: a peer's report counts from when the store showed the peer's replica to be "
+          "complete [beliefs]")
 {
     ManualClock clock;
     ReplicaFreshness freshness(clock);
     freshness.peerHadNoChanges(300ms);
     CHECK(freshness.completeAsOf() == clock.now() - 300ms);
-    CHECK_FALSE(freshness.ageFromStore()); // only its own word is told on
+    CHECK_FALSE(freshness.ageFromStore()); // only what the store itself showed is passed on
 }
 
-TEST_CASE("freshness: words that lay in the sockets of a process that stood still say nothing "
+TEST_CASE("freshness: reports that waited in the sockets of a stalled process are ignored "
           "[beliefs][standstill]")
 {
     ManualClock clock;
--- a/tests/unit/fenced_lock_test.cpp
+++ b/tests/unit/fenced_lock_test.cpp
@@ -20,7 +20,7 @@
     return limits;
 }
 
-// A node that follows the lock, and what the store would hold.
+// A node that uses the lock; the test plays the store.
 struct Node
 {
     explicit Node(const std::string &name, const ManualClock &manualClock)
@@ -29,7 +29,7 @@
         lock.keyChanged(nullptr);
     }
 
-    // Goes through the steps of taking the lock; gives the value that it writes.
+    // Takes the lock step by step; returns the value that the node writes.
     std::string takeLock(std::int64_t revision, WriteResult result = WriteResult::Done)
     {
         REQUIRE(lock.tick().size() == 1); // GrantLease
@@ -47,9 +47,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "lock: a holder that has seen nobody before it waits all the same with the revision of its key "
-    "as the fence [lock]")
+TEST_CASE("lock: a holder that saw no predecessor still waits, and its fence is the revision of "
+          "its key [lock]")
 {
     const ManualClock clock;
     Node node("a", clock);
@@ -57,18 +56,20 @@
     const auto holding = node.lock.holding();
     REQUIRE(holding);
     CHECK(holding->fence == 41);
-    // The lease of one that ordered a moment ago may have run out before this node started.
+    // The lease of a predecessor that sent an order a moment ago may have expired before this node
+    // started.
     CHECK(holding->actFrom == clock.now() + 3s);
 }
 
-TEST_CASE("lock: a holder that was frozen finds its time over when it wakes [lock][freeze]")
+TEST_CASE("lock: a holder that was suspended finds its lease expired when it resumes "
+          "[lock][freeze]")
 {
     ManualClock clock;
     Node node("a", clock);
     node.takeLock(41);
-    clock.advance(1400ms); // the lease, less the margin
+    clock.advance(1400ms); // past the lease minus the margin
     CHECK_FALSE(node.lock.holding());
-    // The answer to a renewal that was sent before the freeze counts from its send.
+    // The answer to a renewal from before the suspension counts from when the renewal was sent.
     Node late("b", clock);
     late.takeLock(42);
     const TimePoint asked = clock.now();
@@ -77,7 +78,7 @@
     CHECK_FALSE(late.lock.holding());
 }
 
-TEST_CASE("lock: a lease is counted from the send of its renewal, not from the answer [lock]")
+TEST_CASE("lock: a lease counts from when its renewal was sent, not from the answer [lock]")
 {
     ManualClock clock;
     Node node("a", clock);
@@ -89,7 +90,8 @@
     CHECK_FALSE(node.lock.holding());
 }
 
-TEST_CASE("lock: a write without an answer is settled by what the store shows [lock][lost-reply]")
+TEST_CASE("lock: a write without an answer is resolved by what the replica shows "
+          "[lock][lost-reply]")
 {
     ManualClock clock;
     Node node("a", clock);
@@ -102,21 +104,21 @@
 
     Node other("b", clock);
     other.takeLock(0, WriteResult::Unknown);
-    clock.advance(3s); // it never showed
+    clock.advance(3s); // the write never showed
     const auto actions = other.lock.tick();
     REQUIRE(actions.size() == 1);
     CHECK(std::holds_alternative<RevokeLease>(actions.front()));
     CHECK_FALSE(other.lock.holding());
 }
 
-TEST_CASE("lock: a write that is carried out late does not make an abandoned attempt a holder "
-          "[lock][lost-reply]")
+TEST_CASE("lock: a write of an abandoned attempt that is carried out late does not make the node a "
+          "holder [lock][lost-reply]")
 {
     ManualClock clock;
     Node node("a", clock);
     const std::string first = node.takeLock(0, WriteResult::Unknown);
     clock.advance(3s);
-    node.lock.tick(); // gives the attempt up
+    node.lock.tick(); // abandons the attempt
     clock.advance(1s);
     node.lock.keyChanged(nullptr);
     const std::string second = node.takeLock(0, WriteResult::Unknown);
@@ -126,7 +128,7 @@
     CHECK_FALSE(node.lock.holding());
 }
 
-TEST_CASE("lock: a successor waits until what its predecessor may have sent has arrived [lock]")
+TEST_CASE("lock: a new holder waits until what its predecessor may have sent has arrived [lock]")
 {
     ManualClock clock;
     Node node("b", clock);
@@ -134,20 +136,21 @@
     node.lock.keyChanged(&held);
     CHECK(node.lock.tick().empty());
     clock.advance(1s);
-    node.lock.keyChanged(nullptr); // its lease has run out
+    node.lock.keyChanged(nullptr); // the lease of "a" has expired
     node.takeLock(50);
     const TimePoint taken = clock.now();
     REQUIRE(node.lock.holding());
     CHECK(node.lock.predecessor() == "a");
     CHECK(node.lock.holding()->actFrom == taken + 3s);
-    // The predecessor tells that it has acted last two seconds ago.
+    // The predecessor reports that it acted last two seconds ago.
     node.lock.setPredecessorLastActed(taken - 2s);
     CHECK(node.lock.holding()->actFrom == taken + 1s);
     node.lock.setPredecessorLastActed(taken - 10s);
     CHECK(node.lock.holding()->actFrom == taken);
 }
 
-TEST_CASE("lock: what another node takes is lost, and a refused fence gives the lock up [lock]")
+TEST_CASE("lock: it is lost when another node takes it, and given up when a fence is refused "
+          "[lock]")
 {
     ManualClock clock;
     Node node("a", clock);
@@ -162,7 +165,7 @@
     CHECK_FALSE(fenced.lock.holding());
 }
 
-TEST_CASE("lock: nodes further down the order leave a free lock to others for a while [lock]")
+TEST_CASE("lock: less preferred nodes wait before they take a free lock [lock]")
 {
     ManualClock clock;
     Node node("a", clock);
@@ -172,21 +175,21 @@
     CHECK(node.lock.tick().size() == 1);
 }
 
-// A holder gave the lock up 0.2 s after its taking ("OrderLockTaken fence=8", then "ReplicaFetched
-// revision=7" and "OrderLockLost fence=8" in one): its copy of the store was from before.
-TEST_CASE("lock: a copy of the store from before the lock was taken does not end it [lock]")
+// Regression: a holder gave up the lock 0.2 s after taking it, because its replica of the store was
+// still at a revision from before the lock was taken (fence 8, replica at revision 7).
+TEST_CASE("lock: a replica from before the lock was taken does not end it [lock]")
 {
     ManualClock clock;
     Node node("a", clock);
     const std::string value = node.takeLock(41);
-    node.lock.keyChanged(nullptr); // the copy is merged up to an older revision
+    node.lock.keyChanged(nullptr); // the replica is merged up to an older revision
     REQUIRE(node.lock.holding());
     CHECK(node.lock.holding()->fence == 41);
 
     const StoredItem shown{"lock", 41, 41, value};
     node.lock.keyChanged(&shown);
     REQUIRE(node.lock.holding());
-    node.lock.keyChanged(nullptr); // now it is gone indeed
+    node.lock.keyChanged(nullptr); // now the key is really gone
     CHECK_FALSE(node.lock.holding());
 }
 
@@ -199,7 +202,8 @@
     clock.advance(1300ms);
     CHECK_FALSE(node.lock.holding());
 
-    // The store says that its lease is over: it tries anew, since its copy shows the key as free.
+    // The store reports that the lease has expired: the node tries again, since its replica shows
+    // no key.
     clock.advance(200ms);
     const auto asking = node.lock.tick();
     REQUIRE(asking.size() == 1);
@@ -214,23 +218,24 @@
     CHECK_FALSE(node.lock.holding());
 }
 
-// The store was away for 4 s; its key was still there when it was back, yet the first order
-// came 4.7 s later: "OrderLockLost fence=14" at 21.15 s, "OrderLockTaken fence=40" by the same node
-// at 25.76 s, "WeightsOrdered" at 28.77 s.
-TEST_CASE("lock: a holder whose lease outlasts the store's absence goes on at once [lock][store]")
+// Regression: the store was unavailable for 4 s and still had the key when it returned, yet the
+// first order came 4.7 s later: the holder gave up the lock at 21.15 s, took it again at 25.76 s
+// and sent the first order at 28.77 s.
+TEST_CASE("lock: a holder whose lease outlasts an outage of the store continues at once "
+          "[lock][store]")
 {
     ManualClock clock;
     Node node("a", clock);
     const std::string value = node.takeLock(41);
     const StoredItem shown{"lock", 41, 41, value};
     node.lock.keyChanged(&shown);
-    clock.advance(4s); // orders may be sent by now
+    clock.advance(4s); // the quiet time is over
     node.lock.leaseRenewed(1500ms, clock.now());
     const auto before = node.lock.holding();
     REQUIRE(before);
 
-    // The store answers nothing: the holder does not act, but asks whether its lease is still
-    // there.
+    // The store does not answer: the holder does not act, but goes on asking whether its lease
+    // still exists.
     for (int n = 0; n < 8; ++n) {
         clock.advance(500ms);
         for (const LockAction &it : node.lock.tick()) {
@@ -240,14 +245,15 @@
     }
     CHECK_FALSE(node.lock.holding());
 
-    // Leases waited with the store, so nobody can have held the lock since.
+    // Leases were suspended during the outage, so no other node can have held the lock since.
     node.lock.leaseRenewed(1500ms, clock.now());
     REQUIRE(node.lock.holding());
     CHECK(node.lock.holding()->fence == 41);
     CHECK(node.lock.holding()->actFrom == before->actFrom);
 }
 
-TEST_CASE("lock: a holder whose lease ran out while the store was away starts over [lock][store]")
+TEST_CASE("lock: a holder whose lease expired while the store was unavailable starts over "
+          "[lock][store]")
 {
     ManualClock clock;
     Node node("a", clock);
@@ -257,16 +263,16 @@
     clock.advance(4s);
     node.lock.tick();
     node.lock.leaseNotRenewed(true);
-    node.lock.leaseRenewed(1500ms, clock.now()); // an older answer that was late
+    node.lock.leaseRenewed(1500ms, clock.now()); // an older answer that arrived late
     CHECK_FALSE(node.lock.holding());
     node.lock.keyChanged(nullptr);
     clock.advance(500ms);
     CHECK(std::holds_alternative<GrantLease>(node.lock.tick().back()));
 }
 
-// Revisions are given out again: engines that have seen a higher fence would turn all orders away,
-// and two holders could have the same one.
-TEST_CASE("lock: a fence taken after a restore of the store is higher than all before it "
+// A restored store assigns revisions again: engines that have seen a higher fence would reject all
+// orders, and two holders could have the same fence.
+TEST_CASE("lock: a fence from after a restore of the store is higher than all before it "
           "[lock][restored]")
 {
     ManualClock clock;
@@ -283,8 +289,8 @@
     CHECK(node.lock.holding()->fence > before);
 }
 
-TEST_CASE("lock: a lease from before a restore is neither renewed nor ended, since its id may be "
-          "another's by now [lock][restored]")
+TEST_CASE("lock: a lease from before a restore is neither renewed nor revoked, since its id may "
+          "have been assigned to another node [lock][restored]")
 {
     ManualClock clock;
     Node node("a", clock);
@@ -293,14 +299,14 @@
     node.lock.storeRestored(2);
     const auto actions = node.lock.tick();
     CHECK(actions.empty());
-    // What its copy of before the restore shows says nothing of the lock any more.
+    // What a replica from before the restore shows no longer applies to the lock.
     node.lock.keyChanged(nullptr, 1);
     clock.advance(5s);
     CHECK(node.lock.tick().empty());
 }
 
-// The copy may show an earlier holder than the last one, whose orders may still be on their way.
-TEST_CASE("lock: after a restore the word of the holder before does not shorten the quiet time "
+// The replica may show an earlier holder than the last one, whose orders may still be in transit.
+TEST_CASE("lock: after a restore a predecessor's report does not shorten the quiet time "
           "[lock][restored]")
 {
     ManualClock clock;
--- a/tests/unit/information_age_test.cpp
+++ b/tests/unit/information_age_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a node that has just started, or has stood still, takes for the age of what it reads.
+// The age that a node assigns to what it reads, in particular just after it started or was stalled.
 #include <doctest/doctest.h>
 
 #include "fordwood/cold_gate.hpp"
@@ -11,7 +11,7 @@
 using namespace fordwood;
 using namespace std::chrono_literals;
 
-TEST_CASE("ages: a thread that turns slowly has not stood still [standstill]")
+TEST_CASE("information age: a slow thread does not count as stalled [standstill]")
 {
     ManualClock clock;
     clock.advance(1h);
@@ -24,11 +24,11 @@
     CHECK(detector.poll() == 0ms);
 }
 
-// A node that has heard of a store of kept context from a relay, and then becomes one itself, tells
-// others what it has heard. The word of the store was some hundred milliseconds old when it came
-// (800 of them in this test), and was told on as if the store had answered just then; readers
-// fetch by such a word for 1.5 s.
-TEST_CASE("ages: the word of a store that came from a relay is told on as old as it is [relays]")
+// A node that follows a context store through a relay may become a relay itself. It used to pass on
+// the store's answer, some hundred milliseconds old when it arrived (800 in this test), as if the
+// store had answered at that moment, although readers fetch for 1.5 s after a store's answer.
+TEST_CASE("information age: an answer of a store that came through a relay is passed on with its "
+          "age [relays]")
 {
     ManualClock clock;
     clock.advance(1h);
@@ -41,13 +41,14 @@
     clock.advance(100ms);
     REQUIRE(log.updatesSince({}).size() == 1);
     CHECK(log.updatesSince({}).front().age == 900ms);
-    // The other side: the store's own answer is news.
+    // An answer that came from the store itself has no age.
     news.age = 0ms;
     log.storeAnswered(news);
     CHECK(log.updatesSince({}).front().age == 0ms);
 }
 
-TEST_CASE("ages: an older word of a store that comes later makes no newer one older [relays]")
+TEST_CASE("information age: an older answer of a store that arrives later does not replace a newer "
+          "one's age [relays]")
 {
     ManualClock clock;
     clock.advance(1h);
@@ -62,9 +63,11 @@
     CHECK(log.updatesSince({}).front().age == 100ms);
 }
 
-// Ruled out: a record says for how long the upstream stays cold from its writing on, and a node
-// counts from its reading. That is too long for who reads late, never too short.
-TEST_CASE("ages: who reads the record of a cold upstream late is careful for longer [cold]")
+// A record contains for how long the upstream stays cold from when it was written, and a node
+// counts from when it reads it. That may be too long for a node that reads late, but never too
+// short.
+TEST_CASE("information age: a node that reads the record of a cold upstream late limits it for "
+          "longer [cold]")
 {
     ManualClock clock;
     clock.advance(1h);
@@ -78,16 +81,18 @@
     clock.advance(1s);
     CHECK_FALSE(early.isCold("u"));
     CHECK(late.isCold("u"));
-    // The other side: no longer than the record says.
+    // But for no longer than the record says.
     clock.advance(2s);
     CHECK_FALSE(late.isCold("u"));
 }
 
-// Records of upstreams run out while the store is away, and their upstreams write them anew within
-// two seconds of its return; until then nodes keep what may have run out. A node that started just
-// after the return, and hears so from a peer, takes the store for having answered since ever: it
-// drops such an upstream at once (1 of 1), where the others keep it.
-TEST_CASE("ages: a node that starts as the store returns keeps what may have run out [expiry]")
+// Records of upstreams may expire while the store is unavailable, and the upstreams write them
+// again within two seconds of its return; until then nodes keep upstreams whose records may have
+// expired. A node that started just after the return and learned of it from a peer used to assume
+// that the store had been available all along, and dropped such an upstream at once while the other
+// nodes kept it.
+TEST_CASE("information age: a node that starts as the store returns keeps upstreams whose records "
+          "may have expired [expiry]")
 {
     ManualClock clock;
     clock.advance(1h);
@@ -99,7 +104,7 @@
     directory.remove("u", true);
     CHECK(directory.tick().empty());
     CHECK(directory.takesNewWork("u"));
-    // The other side: what does not come back is gone.
+    // An upstream whose record does not return is removed.
     clock.advance(2'500ms);
     directory.tick();
     CHECK_FALSE(directory.takesNewWork("u"));
--- a/tests/unit/rollout_simulation_test.cpp
+++ b/tests/unit/rollout_simulation_test.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Engines were not brought to new weights within 16 s. They were ordered one at a time, 1.0 to 1.5
-// s apart, though two loads at once do not slow each other down; and an order without an answer
-// ("OrderAnswered answer=unknown" at 29.48 s, 0.7 s after it was sent) held up all others until its
-// repeat was answered, at 31.03 s. Engines that are down took the places of others as well.
+// Guards against slow rollouts: engines did not reach new weights within 16 s. They were ordered
+// one at a time, 1.0 to 1.5 s apart, although two loads at once do not slow each other down. An
+// order without an answer (given up as unknown 0.7 s after it was sent, at 29.48 s) blocked all
+// others until its repeat was answered at 31.03 s. Engines that were down also took the slots of
+// others.
 #include <algorithm>
 #include <random>
 
@@ -23,13 +24,13 @@
 constexpr Duration kReportLag = 100ms;
 constexpr Duration kLoadTime = 900ms;
 
-// Loads take longer once more engines load at the same time.
+// Loads take longer if more engines than this load at the same time.
 std::size_t maxUnslowedLoads(std::size_t engines)
 {
     return std::max<std::size_t>(2, engines / 5);
 }
 
-// What goes on in an engine, beside what its reports tell.
+// An order that reaches the engine after the wait for its answer has ended.
 struct DelayedOrder
 {
     TimePoint due{};
@@ -47,10 +48,10 @@
 struct SimulatedEngine
 {
     SimulatedState state;
-    SimulatedState before; // as reports tell until the last change is old enough
+    SimulatedState before; // the state in reports until the last change is kReportLag ago
     TimePoint changed{};
     TimePoint loadEnd{};
-    std::uint64_t loadingVersion = 0; // the version that it loads
+    std::uint64_t loadingVersion = 0;
     std::vector<DelayedOrder> delayedOrders;
     TimePoint downFrom = TimePoint::max();
     TimePoint downUntil = TimePoint::max();
@@ -71,15 +72,15 @@
 {
     std::optional<Duration>
         untilAllUpdated; // from the naming until all engines have the new weights
-    Duration untilRunningUpdated{0}; // the same of those that are not down
-    Duration idleTime{0}; // engines that are kept free of requests and do not load
+    Duration untilRunningUpdated{0}; // from the naming until all engines that are up have them
+    Duration idleTime{0}; // total time of engines that get no requests and do not load
     std::size_t maxLoads = 0; // at the same time
-    std::size_t maxKeptFree = 0; // free of requests at the same time, loading or not
+    std::size_t maxKeptFree = 0; // engines without requests at the same time, loading or not
     std::size_t reports = 0;
     std::size_t orders = 0;
 };
 
-// A holder of the lock and its engines, from the naming of version 2 on.
+// Simulates a holder of the lock and its engines from the naming of version 2 on.
 class Simulation
 {
 public:
@@ -104,10 +105,10 @@
     SimulatedEngine &engine(std::size_t n) { return m_engines.at("e" + std::to_string(n)); }
     TimePoint start() const { return m_start; }
 
-    // The first engines that load go down while they do so, for good.
+    // The first engines that load fail permanently while they do so.
     void failDuringLoad(std::size_t engines) { m_failuresDuringLoad = engines; }
 
-    // Newer weights are named meanwhile; all times count from the first naming.
+    // Newer weights are named during the rollout; all times count from the first naming.
     void nameNewerVersion(Duration after) { m_nextNaming = m_start + after; }
 
     Outcome run(Duration limit)
@@ -122,7 +123,7 @@
     {
         TimePoint due{};
         std::string instanceId;
-        std::optional<OrderResult> order; // nothing: a report
+        std::optional<OrderResult> order; // empty: the answer is a report
         std::optional<EngineReport> report;
     };
 
@@ -239,7 +240,7 @@
         }
     }
 
-    // What runs at an engine ends some time after nobody sends it requests any more.
+    // Running requests of an engine end some time after the nodes stopped sending it new ones.
     void updateRequests()
     {
         const auto keptFree = m_rollout.loading();
@@ -305,7 +306,7 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-// The worst of all seeds.
+// The worst value of each field over all seeds.
 Outcome worstOf(const std::vector<Outcome> &outcomes)
 {
     Outcome worst = outcomes.front();
@@ -323,7 +324,8 @@
     return worst;
 }
 
-// The worst of all seeds; the first `down` engines are down for the time given from the naming on.
+// The worst outcome over all seeds. The first `down` engines are down from the naming on for
+// `downFor`.
 Outcome simulateWorst(std::size_t engines, double unanswered, std::size_t down = 0,
                       Duration downFor = 6s)
 {
@@ -337,11 +339,12 @@
         outcomes.push_back(simulation.run(60s));
     }
     const Outcome worst = worstOf(outcomes);
-    INFO(engines, " engines, part of orders without answer ", unanswered, ", down ", down,
-         ": s to the last ", toSeconds(worst.untilAllUpdated.value_or(Duration(0))),
-         ", to the last that is up ", toSeconds(worst.untilRunningUpdated), ", idle engine-s ",
-         toSeconds(worst.idleTime), ", loads at once ", worst.maxLoads, ", kept free ",
-         worst.maxKeptFree, ", reports ", worst.reports, ", orders ", worst.orders);
+    INFO(engines, " engines, share of orders without an answer ", unanswered, ", down ", down,
+         ": seconds until all are updated ", toSeconds(worst.untilAllUpdated.value_or(Duration(0))),
+         ", until those that are up are updated ", toSeconds(worst.untilRunningUpdated),
+         ", idle engine-seconds ", toSeconds(worst.idleTime), ", concurrent loads ", worst.maxLoads,
+         ", without requests ", worst.maxKeptFree, ", reports ", worst.reports, ", orders ",
+         worst.orders);
     CHECK(worst.orders > 0);
     return worst;
 }
@@ -365,7 +368,8 @@
     }
 }
 
-TEST_CASE("rollout simulation: half of few engines go on serving [weights][simulation]")
+TEST_CASE("rollout simulation: in a small fleet half of the engines go on serving "
+          "[weights][simulation]")
 {
     for (const std::size_t engines : {2U, 3U, 4U, 5U, 6U, 9U}) {
         const Outcome worst = simulateWorst(engines, 0.0);
@@ -391,7 +395,7 @@
     }
 }
 
-TEST_CASE("rollout simulation: engines that wait for their turn are not asked again and again "
+TEST_CASE("rollout simulation: engines that wait for their turn are not polled repeatedly "
           "[weights][simulation]")
 {
     for (const std::size_t engines : {9U, 18U, 112U}) {
@@ -415,7 +419,7 @@
     }
 }
 
-TEST_CASE("rollout simulation: engines that come back load soon after [weights][simulation]")
+TEST_CASE("rollout simulation: engines that come back load soon afterwards [weights][simulation]")
 {
     for (const std::size_t engines : {6U, 9U, 18U, 112U}) {
         const Outcome worst = simulateWorst(engines, 0.0, engines / 3, 10s);
@@ -424,8 +428,8 @@
     }
 }
 
-TEST_CASE(
-    "rollout simulation: engines that end in their load leave their turn [weights][simulation]")
+TEST_CASE("rollout simulation: engines that fail during a load give up their turn "
+          "[weights][simulation]")
 {
     for (unsigned seed = 1; seed <= kSeeds; ++seed) {
         Simulation simulation(9, 0.0, seed);
@@ -434,7 +438,7 @@
     }
 }
 
-TEST_CASE("rollout simulation: weights that are named in a rollout come to all engines "
+TEST_CASE("rollout simulation: weights that are named during a rollout reach all engines "
           "[weights][simulation]")
 {
     struct Case
--- a/tests/unit/store_replica_test.cpp
+++ b/tests/unit/store_replica_test.cpp
@@ -30,7 +30,7 @@
     CHECK(replica.version().revision == 10);
 }
 
-TEST_CASE("replica: an older whole read does not bring back what is gone [versions][leaving]")
+TEST_CASE("replica: an older snapshot does not bring back a removed key [versions][leaving]")
 {
     StoreReplica replica;
     REQUIRE(replica.merge({0, 10, {makeItem("upstream", 8, "ready")}}));
@@ -41,7 +41,7 @@
     CHECK(replica.find("upstream") == nullptr);
 }
 
-TEST_CASE("replica: a whole read shows what was removed in a gap [history]")
+TEST_CASE("replica: a snapshot shows which keys were removed in a gap [history]")
 {
     StoreReplica replica;
     REQUIRE(replica.merge({0, 10, {makeItem("a", 8, "1"), makeItem("b", 9, "2")}}));
@@ -53,7 +53,7 @@
     CHECK(replica.find("c") != nullptr);
 }
 
-TEST_CASE("replica: changes that leave a gap are not taken [history]")
+TEST_CASE("replica: changes that would leave a gap are not merged [history]")
 {
     StoreReplica replica;
     REQUIRE(replica.merge({0, 10, {}}));
@@ -61,7 +61,8 @@
     CHECK(replica.version().revision == 10);
 }
 
-TEST_CASE("replica: a peer that lags is told what it lacks, removals too [peers]")
+TEST_CASE("replica: a lagging peer is sent the changes it does not have, including removals "
+          "[peers]")
 {
     StoreReplica ahead;
     REQUIRE(ahead.merge({0, 10, {makeItem("a", 8, "1"), makeItem("b", 9, "2")}}));
@@ -76,7 +77,7 @@
     CHECK(behind.version().revision == 12);
 }
 
-TEST_CASE("replica: a peer that lags further than removals are remembered gets everything [peers]")
+TEST_CASE("replica: a peer that lags further than removals are kept is sent a snapshot [peers]")
 {
     constexpr int kKeys = 3'000;
     StoreReplica ahead;
@@ -97,25 +98,26 @@
     CHECK(behind.find("kept") != nullptr);
 }
 
-TEST_CASE("replica: a restored store's copy takes the place of one with higher revisions "
+TEST_CASE("replica: a snapshot of a restored store replaces a replica with higher revisions "
           "[store][restored]")
 {
     StoreReplica replica;
     REQUIRE(replica.merge({0, 90, {makeItem("a", 80, "x"), makeItem("b", 90, "x")}, 1}));
-    CHECK_FALSE(replica.merge({70, 71, {makeItem("c", 71, "x")}, 2})); // the rest is not known
+    CHECK_FALSE(replica.merge(
+        {70, 71, {makeItem("c", 71, "x")}, 2})); // not a snapshot, so the other keys are unknown
     const auto changed = replica.merge({0, 60, {makeItem("a", 40, "w")}, 2});
     REQUIRE(changed);
     CHECK(replica.version() == StoreVersion{2, 60});
     CHECK(replica.find("b") == nullptr);
     REQUIRE(replica.merge({60, 61, {makeItem("a", 61, "y")}, 2}));
     CHECK(replica.find("a")->revision == 61);
-    SUBCASE("what is of the time before is not taken")
+    SUBCASE("changes of an earlier epoch are not merged")
     {
         CHECK(replica.merge({0, 99, {makeItem("a", 95, "z")}, 1})->empty());
         CHECK(replica.find("a")->revision == 61);
         CHECK(replica.changesSince({1, 61}).since == 0);
     }
-    SUBCASE("it is restored once more")
+    SUBCASE("the store is restored again")
     {
         REQUIRE(replica.merge({0, 50, {}, 4}));
         CHECK(replica.find("a") == nullptr);
@@ -123,8 +125,8 @@
     }
 }
 
-TEST_CASE("replica: what a restored store showed and then lost is not taken when it settles "
-          "[store][restored]")
+TEST_CASE("replica: a key that a restored store showed and then lost is not accepted with the "
+          "deferred states [store][restored]")
 {
     const struct : RestorePolicy
     {
--- a/tests/unit/weight_load_planner_test.cpp
+++ b/tests/unit/weight_load_planner_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// One planner that must bring engine "e" to "v2".
+// A planner with the target version "v2" for engine "e".
 struct PlannerFixture
 {
     ManualClock clock;
@@ -19,7 +19,8 @@
 
     PlannerFixture() { planner.setTargets({{"e", "127.0.0.1:1", "m", "v2"}}, 2, 1, 3); }
 
-    // Ticks until the planner has done something of the kind; answers reads of the engine.
+    // Ticks until the planner returns an action of this type. Answers its requests for the engine's
+    // state, with `served` as the version, and its reads of the table.
     template <typename T>
     std::optional<T> runUntilAction(const std::string &served = "v1")
     {
@@ -41,7 +42,8 @@
 
 } // namespace
 
-TEST_CASE("load planner: takes a slot, orders with its fence, reads back, gives it up [weights]")
+TEST_CASE("weight load planner: takes a slot, orders with its fence, reads the state back and "
+          "releases the slot [weights]")
 {
     PlannerFixture fixture;
     const auto taken = fixture.runUntilAction<SwapLoadTable>();
@@ -63,12 +65,12 @@
     CHECK_FALSE(fixture.planner.isHeld("e"));
 }
 
-TEST_CASE("load planner: no order after the time in which its slot lets it start [weights]")
+TEST_CASE("weight load planner: sends no order after the start time that the slot allows [weights]")
 {
     PlannerFixture fixture;
     const auto taken = fixture.runUntilAction<SwapLoadTable>();
     REQUIRE(taken);
-    fixture.clock.advance(6s); // the write took so long, or the process was paused
+    fixture.clock.advance(6s); // the write took that long, or the process was suspended
     fixture.stored = {taken->table, 5};
     fixture.planner.tableSwapped(true);
     const auto released = fixture.runUntilAction<SwapLoadTable>();
@@ -76,7 +78,7 @@
     CHECK(released->table.slots.empty());
 }
 
-TEST_CASE("load planner: a lost reply is settled by reading back [weights]")
+TEST_CASE("weight load planner: a lost reply is resolved by reading the table [weights]")
 {
     for (const bool tookEffect : {false, true}) {
         CAPTURE(tookEffect);
@@ -93,12 +95,13 @@
     }
 }
 
-TEST_CASE("load planner: another's slot is respected until it was seen unchanged long enough "
-          "[weights]")
+TEST_CASE("weight load planner: a slot of another node is kept until it was seen unchanged for "
+          "long enough [weights]")
 {
     PlannerFixture fixture;
     fixture.stored = {{9, 2, {{9, "gone", 3, "other"}}}, 4};
-    CHECK_FALSE(fixture.runUntilAction<SwapLoadTable>()); // ten seconds
+    CHECK_FALSE(
+        fixture.runUntilAction<SwapLoadTable>()); // runUntilAction() gives up after ten seconds
     fixture.clock.advance(35s);
     const auto taken = fixture.runUntilAction<SwapLoadTable>();
     REQUIRE(taken);
@@ -106,9 +109,10 @@
     CHECK(taken->table.slots[0].fence == 10);
 }
 
-TEST_CASE("load planner: a node that is behind does not load older weights [weights]")
+TEST_CASE("weight load planner: a node with an older configuration loads no older weights "
+          "[weights]")
 {
     PlannerFixture fixture;
-    fixture.stored = {{9, 3, {}}, 4}; // somebody loads for configuration 3
+    fixture.stored = {{9, 3, {}}, 4}; // another node loads for configuration 3
     CHECK_FALSE(fixture.runUntilAction<SwapLoadTable>());
 }
--- a/tests/unit/weight_rollout_test.cpp
+++ b/tests/unit/weight_rollout_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Engines that load when ordered, and a node that holds the lock.
+// Engines with version 1 of the weights, and a node that holds the lock.
 class RolloutFixture
 {
 public:
@@ -39,7 +39,7 @@
         return m_rollout.tick(m_holding, m_loads);
     }
 
-    // Ticks for a while; reports are answered as `report` says. Gives the orders.
+    // Ticks for `time`, answering each request for a report with `report`. Returns the orders.
     std::vector<OrderWeights> run(Duration time, const EngineReport &report)
     {
         std::vector<OrderWeights> orders;
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("rollout: only so many engines load at once [weights]")
+TEST_CASE("rollout: the number of engines that load at once is limited [weights]")
 {
     RolloutFixture rollout(18);
     rollout.m_rollout.setTarget("m", 2);
@@ -80,8 +80,8 @@
     CHECK(rollout.m_rollout.loading().size() == 6);
 }
 
-TEST_CASE(
-    "rollout: without the lock nothing is ordered, nor before or after its time [weights][lock]")
+TEST_CASE("rollout: nothing is ordered without the lock or outside the time in which it may act "
+          "[weights][lock]")
 {
     RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
@@ -93,17 +93,17 @@
     CHECK(rollout.run(1s, kOldReport).empty());
 }
 
-TEST_CASE("rollout: a report from before the order does not bring a second one [weights]")
+TEST_CASE("rollout: a report from before the order does not cause a second order [weights]")
 {
     RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
     auto orders = rollout.run(200ms, kOldReport);
     REQUIRE(orders.size() == 1);
     rollout.m_rollout.orderAnswered(orders.front().instanceId, OrderResult::Accepted);
-    CHECK(rollout.run(700ms, kOldReport).empty()); // reports lag
+    CHECK(rollout.run(700ms, kOldReport).empty()); // reports lag behind
 }
 
-TEST_CASE("rollout: an order without an answer is repeated only on the same count of orders "
+TEST_CASE("rollout: an order without an answer is repeated only with the same count of orders "
           "[weights][lost-reply]")
 {
     RolloutFixture rollout(3);
@@ -114,10 +114,11 @@
     rollout.m_rollout.orderAnswered(orders.front().instanceId, OrderResult::Unknown);
     orders = rollout.run(3s, kOldReport);
     REQUIRE_FALSE(orders.empty());
-    CHECK(orders.front().ordersTaken == 0); // one that is late is then turned away by the engine
+    CHECK(orders.front().ordersTaken
+          == 0); // the engine then rejects the first order if it arrives late
 }
 
-TEST_CASE("rollout: what a report shows is known at once, and the next engine follows [weights]")
+TEST_CASE("rollout: a version in a report counts at once, and the next engine follows [weights]")
 {
     RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
@@ -132,7 +133,7 @@
     CHECK(orders.front().instanceId != first);
 }
 
-TEST_CASE("rollout: a refused fence is told, once [weights][lock]")
+TEST_CASE("rollout: a refused fence is reported once [weights][lock]")
 {
     RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
@@ -143,7 +144,8 @@
     CHECK_FALSE(rollout.m_rollout.takeFenceRefused());
 }
 
-TEST_CASE("rollout: a version named meanwhile is ordered instead of the one before [weights]")
+TEST_CASE("rollout: a version that is named meanwhile is ordered instead of the previous one "
+          "[weights]")
 {
     RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
@@ -154,7 +156,7 @@
     CHECK(orders.front().version == 3);
 }
 
-TEST_CASE("rollout: engines with the oldest weights load first, however idle the others are "
+TEST_CASE("rollout: engines with the oldest weights load first, even if the others are idle "
           "[weights]")
 {
     RolloutFixture rollout(10);
@@ -170,7 +172,7 @@
         CHECK_MESSAGE(it.instanceId >= "e4", it.instanceId);
 }
 
-TEST_CASE("rollout: an engine that has loaded what was replaced meanwhile waits for its turn "
+TEST_CASE("rollout: an engine that loaded a version that was replaced meanwhile waits for its turn "
           "[weights]")
 {
     RolloutFixture rollout(10);
@@ -180,7 +182,7 @@
     for (const OrderWeights &it : first)
         rollout.m_rollout.orderAnswered(it.instanceId, OrderResult::Accepted);
     rollout.m_rollout.setTarget("m", 3);
-    // All reports say version 2: those two have loaded it.
+    // The two engines that were ordered report version 2, the others version 1.
     std::vector<OrderWeights> next;
     for (Duration passed{0}; passed < 2s; passed += 20ms) {
         for (const RolloutAction &it : rollout.tick()) {
@@ -203,7 +205,7 @@
     }
 }
 
-TEST_CASE("rollout: an engine that loads keeps its turn over a report that was not read [weights]")
+TEST_CASE("rollout: a loading engine keeps its turn when a report is missed [weights]")
 {
     RolloutFixture rollout(3);
     rollout.m_rollout.setTarget("m", 2);
@@ -216,7 +218,7 @@
     CHECK(rollout.m_rollout.loading().contains(first));
 }
 
-TEST_CASE("rollout: engines that a holder before has ordered count as loading [weights][lock]")
+TEST_CASE("rollout: engines that a previous holder ordered count as loading [weights][lock]")
 {
     RolloutFixture rollout(9);
     rollout.m_rollout.setTarget("m", 2);
@@ -231,7 +233,7 @@
     CHECK(rollout.m_rollout.loading().size() == 4); // two load and two are drained
 }
 
-TEST_CASE("rollout: tells of each engine with old weights what it waits for [weights][sight]")
+TEST_CASE("rollout: shows for each engine with outdated weights what it waits for [weights][sight]")
 {
     RolloutFixture rollout(6);
     rollout.m_rollout.setTarget("m", 2);
