--- a/include/fordwood/fenced_lock.hpp
+++ b/include/fordwood/fenced_lock.hpp
@@ -140,7 +140,7 @@
     Stage m_stage = Stage::Idle;
     std::uint64_t m_attempt = 0;
     std::optional<TimePoint> m_freeSince; // since the key does not exist
-    TimePoint m_notBefore{};
+    TimePoint m_retryAt{};
     TimePoint m_waitUntil{}; // for an answer, or for a write to appear in the replica
     std::int64_t m_lease = 0;
     TimePoint m_leaseEnd{};
--- a/include/fordwood/weight_load_planner.hpp
+++ b/include/fordwood/weight_load_planner.hpp
@@ -125,7 +125,7 @@
 
     bool isHeld(const std::string &upstream) const;
     // Number of engines known not to serve their target versions.
-    std::size_t pending() const;
+    std::size_t pendingLoads() const;
 
 private:
     enum class Stage : std::uint8_t {
@@ -186,7 +186,7 @@
     TimePoint m_takeStarted{};
     TimePoint m_orderEnd{}; // until then the slot is kept for an engine that is still loading
     std::string m_lastTried;
-    bool m_releasing = false; // this node's slot must be released
+    bool m_mustRelease = false; // this node's slot must be released
     TimePoint m_nextTableRead{};
     std::map<std::int64_t, SeenSlot> m_seenSlots; // by fence
     std::vector<LoadAction> m_actions;
--- a/include/fordwood/weight_rollout.hpp
+++ b/include/fordwood/weight_rollout.hpp
@@ -146,7 +146,7 @@
 private:
     // An engine's report is requested before it is drained. So an engine that does not answer goes
     // on serving, or is simply left alone, and takes no slot from another.
-    enum class Stage : std::uint8_t { Asking, Draining, Loading };
+    enum class Stage : std::uint8_t { RequestingReport, Draining, Loading };
     struct Engine
     {
         std::string address;
@@ -156,7 +156,7 @@
     };
     struct Load
     {
-        Stage stage = Stage::Asking;
+        Stage stage = Stage::RequestingReport;
         TimePoint since{};
         TimePoint nextStep{};
         bool isCallPending = false; // a call is in progress
@@ -168,22 +168,22 @@
         std::int64_t ordersTaken = 0; // as of the last report before the order
     };
 
-    RolloutWait waitOf(const std::string &instanceId, const Engine &engine) const;
+    RolloutWait waitReason(const std::string &instanceId, const Engine &engine) const;
     std::optional<std::string> outdatedModel(const Engine &engine) const;
     std::uint64_t versionsBehind(const Engine &engine) const;
     void startLoads(const UpstreamLoadTracker &loads);
     std::size_t maxConcurrentLoads() const;
     std::size_t maxDrainedOrLoading() const;
     std::size_t drainedOrLoading() const;
-    std::size_t askedCount(bool silent) const;
+    std::size_t requestingReport(bool silent) const;
     bool canOrder() const;
-    void step(const std::string &instanceId, Load &load, const UpstreamLoadTracker &loads,
-              std::int64_t fence);
-    void order(const std::string &instanceId, Load &load, std::int64_t fence);
+    void advanceLoad(const std::string &instanceId, Load &load, const UpstreamLoadTracker &loads,
+                     std::int64_t fence);
+    void sendOrder(const std::string &instanceId, Load &load, std::int64_t fence);
     void handleMissedReport(const std::string &instanceId, Load &load);
     void handleReport(Load &load, const EngineReport &report);
     bool isDone(const Engine &engine, const Load &load) const;
-    void giveUp(const std::string &instanceId);
+    void abandonLoad(const std::string &instanceId);
 
     const Clock &m_clock;
     const Limits m_limits;
--- a/src/apps/controld/load_duty.cpp
+++ b/src/apps/controld/load_duty.cpp
@@ -89,7 +89,7 @@
             for (const LoadAction &action : actions)
                 std::visit([this](const auto &it) { carryOut(it); }, action);
         }
-        m_metrics.setGauge("fordwood_loads_pending", static_cast<double>(m_planner.pending()));
+        m_metrics.setGauge("fordwood_loads_pending", static_cast<double>(m_planner.pendingLoads()));
     }
 }
 
--- a/src/core/fenced_lock.cpp
+++ b/src/core/fenced_lock.cpp
@@ -144,7 +144,7 @@
         m_actions.emplace_back(RevokeLease{m_lease});
     m_lease = 0;
     m_stage = Stage::Idle;
-    m_notBefore = m_clock.now() + pause;
+    m_retryAt = m_clock.now() + pause;
 }
 
 std::vector<LockAction> FencedLock::tick()
@@ -152,7 +152,7 @@
     const TimePoint now = m_clock.now();
     switch (m_stage) {
     case Stage::Idle:
-        if (m_freeSince && now >= m_notBefore && now - *m_freeSince >= m_acquireDelay) {
+        if (m_freeSince && now >= m_retryAt && now - *m_freeSince >= m_acquireDelay) {
             m_stage = Stage::Granting;
             m_waitUntil = now + m_limits.answerTimeout;
             m_actions.emplace_back(GrantLease{m_limits.ttl});
--- a/src/core/weight_load_planner.cpp
+++ b/src/core/weight_load_planner.cpp
@@ -81,13 +81,13 @@
     const auto own
         = std::find_if(slots.begin(), slots.end(), [&](const LoadSlot &it) { return isOwn(it); });
     if (own == slots.end()) {
-        m_releasing = false;
+        m_mustRelease = false;
         return takeSlot(*stored);
     }
     // Either a write whose reply was lost took effect after all, or a slot still has to be
     // released.
     const bool inTime = m_clock.now() < m_takeStarted + m_limits.startWithin;
-    if (!m_releasing && m_slot && *own == *m_slot && inTime)
+    if (!m_mustRelease && m_slot && *own == *m_slot && inTime)
         return verify();
     releaseSlot(*stored);
 }
@@ -116,7 +116,7 @@
 {
     LoadTable table = stored.table;
     std::erase_if(table.slots, [&](const LoadSlot &it) { return isOwn(it); });
-    m_releasing = true;
+    m_mustRelease = true;
     m_stage = Stage::Releasing;
     m_actions.emplace_back(SwapLoadTable{stored.revision, std::move(table)});
 }
@@ -130,7 +130,7 @@
     if (!*done)
         return scheduleRetry();
     if (m_stage == Stage::Releasing) {
-        m_releasing = false;
+        m_mustRelease = false;
         m_slot.reset();
         m_stage = Stage::Idle;
         m_nextTableRead = m_clock.now(); // go on with the next engine
@@ -183,7 +183,7 @@
     const bool isAwaitingEngine = m_stage == Stage::Verifying || m_stage == Stage::ReadingBack;
     if (isAwaitingEngine && m_engines.count(m_slot->upstream) == 0)
         startRelease(); // another node owns the engine now
-    const bool wanted = m_releasing || nextOutdatedEngine();
+    const bool wanted = m_mustRelease || nextOutdatedEngine();
     if (m_stage == Stage::Idle && wanted && now >= m_nextTableRead)
         readTable();
 }
@@ -199,7 +199,7 @@
     return it != m_engines.end() && it->second.held;
 }
 
-std::size_t WeightLoadPlanner::pending() const
+std::size_t WeightLoadPlanner::pendingLoads() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_engines.begin(), m_engines.end(),
@@ -263,7 +263,7 @@
 
 void WeightLoadPlanner::startRelease()
 {
-    m_releasing = true;
+    m_mustRelease = true;
     readTable();
 }
 
--- a/src/core/weight_rollout.cpp
+++ b/src/core/weight_rollout.cpp
@@ -67,7 +67,7 @@
 {
     std::set<std::string> ids;
     for (const auto &[id, load] : m_loads) {
-        if (load.stage != Stage::Asking)
+        if (load.stage != Stage::RequestingReport)
             ids.insert(id);
     }
     return ids;
@@ -82,13 +82,13 @@
         const std::optional<std::string> model = outdatedModel(engine);
         if (!model)
             continue;
-        const RolloutWait wait = isQuiet ? RolloutWait::QuietTime : waitOf(id, engine);
+        const RolloutWait wait = isQuiet ? RolloutWait::QuietTime : waitReason(id, engine);
         found[id] = {*model, engine.versions.at(*model), m_targets.at(*model), wait};
     }
     return found;
 }
 
-RolloutWait WeightRollout::waitOf(const std::string &instanceId, const Engine &engine) const
+RolloutWait WeightRollout::waitReason(const std::string &instanceId, const Engine &engine) const
 {
     const auto it = m_loads.find(instanceId);
     if (it == m_loads.end()) {
@@ -97,7 +97,7 @@
         return engine.isSilent ? RolloutWait::Silent : RolloutWait::Pause;
     }
     switch (it->second.stage) {
-    case Stage::Asking:
+    case Stage::RequestingReport:
         return engine.isSilent ? RolloutWait::Silent : RolloutWait::Report;
     case Stage::Draining:
         return RolloutWait::Drain;
@@ -107,7 +107,7 @@
     return RolloutWait::Turn;
 }
 
-void WeightRollout::giveUp(const std::string &instanceId)
+void WeightRollout::abandonLoad(const std::string &instanceId)
 {
     m_loads.erase(instanceId);
     const auto it = m_engines.find(instanceId);
@@ -145,14 +145,15 @@
 {
     return static_cast<std::size_t>(
         std::count_if(m_loads.begin(), m_loads.end(),
-                      [](const auto &it) { return it.second.stage != Stage::Asking; }));
+                      [](const auto &it) { return it.second.stage != Stage::RequestingReport; }));
 }
 
-std::size_t WeightRollout::askedCount(bool silent) const
+std::size_t WeightRollout::requestingReport(bool silent) const
 {
     return static_cast<std::size_t>(
         std::count_if(m_loads.begin(), m_loads.end(), [&](const auto &it) {
-            return it.second.stage == Stage::Asking && m_engines.at(it.first).isSilent == silent;
+            return it.second.stage == Stage::RequestingReport
+                   && m_engines.at(it.first).isSilent == silent;
         }));
 }
 
@@ -179,7 +180,7 @@
     });
     for (const Candidate &it : candidates) {
         const bool isSilent = m_engines.at(it.instanceId).isSilent;
-        const std::size_t others = askedCount(isSilent) + (isSilent ? 0 : drainedOrLoading());
+        const std::size_t others = requestingReport(isSilent) + (isSilent ? 0 : drainedOrLoading());
         if (others >= maxDrainedOrLoading())
             continue;
         Load load;
@@ -213,19 +214,19 @@
     startLoads(loads);
     std::vector<std::string> overdue;
     for (auto &[id, load] : m_loads) {
-        const bool mayAct = now >= holding->actFrom || load.stage == Stage::Asking;
+        const bool mayAct = now >= holding->actFrom || load.stage == Stage::RequestingReport;
         if (now - load.since >= m_limits.maxLoadTime)
             overdue.push_back(id);
         else if (mayAct && now >= load.nextStep && !load.isCallPending)
-            step(id, load, loads, holding->fence);
+            advanceLoad(id, load, loads, holding->fence);
     }
     for (const std::string &it : overdue)
-        giveUp(it);
+        abandonLoad(it);
     return std::exchange(m_actions, {});
 }
 
-void WeightRollout::step(const std::string &instanceId, Load &load,
-                         const UpstreamLoadTracker &loads, std::int64_t fence)
+void WeightRollout::advanceLoad(const std::string &instanceId, Load &load,
+                                const UpstreamLoadTracker &loads, std::int64_t fence)
 {
     if (load.stage != Stage::Draining) {
         load.isCallPending = true;
@@ -235,11 +236,11 @@
     const bool isDrained = loads.total(instanceId).running == 0
                            || m_clock.now() - load.since >= m_limits.maxDrainTime;
     if (isDrained && canOrder())
-        order(instanceId, load, fence);
+        sendOrder(instanceId, load, fence);
 }
 
 // The order contains the reported count of orders, so the report need not be recent.
-void WeightRollout::order(const std::string &instanceId, Load &load, std::int64_t fence)
+void WeightRollout::sendOrder(const std::string &instanceId, Load &load, std::int64_t fence)
 {
     const Engine &engine = m_engines.at(instanceId);
     const std::optional<std::string> model = outdatedModel(engine);
@@ -282,7 +283,7 @@
         m_loads.erase(it);
         return;
     }
-    if (load.stage == Stage::Asking && drainedOrLoading() >= maxDrainedOrLoading())
+    if (load.stage == Stage::RequestingReport && drainedOrLoading() >= maxDrainedOrLoading())
         m_loads.erase(it); // waits for its turn like the others
     else
         handleReport(load, *report);
@@ -294,13 +295,13 @@
     load.missedReports += 1;
     const bool mayLoad = load.orderedAt && !load.isOrderUnanswered;
     if (!mayLoad || load.missedReports >= m_limits.maxMissedReports)
-        giveUp(instanceId);
+        abandonLoad(instanceId);
 }
 
 void WeightRollout::handleReport(Load &load, const EngineReport &report)
 {
     const TimePoint now = m_clock.now();
-    if (load.stage == Stage::Asking) {
+    if (load.stage == Stage::RequestingReport) {
         load.since = now;
         load.nextStep = now + m_limits.announceLead;
     }
@@ -344,10 +345,10 @@
         return;
     case OrderResult::Fenced:
         m_fenceRefused = true;
-        giveUp(instanceId);
+        abandonLoad(instanceId);
         return;
     case OrderResult::Refused:
-        giveUp(instanceId);
+        abandonLoad(instanceId);
         return;
     }
 }
--- a/tests/unit/fenced_lock_test.cpp
+++ b/tests/unit/fenced_lock_test.cpp
@@ -205,16 +205,16 @@
     // The store reports that the lease has expired: the node tries again, since its replica shows
     // no key.
     clock.advance(200ms);
-    const auto asking = node.lock.tick();
-    REQUIRE(asking.size() == 1);
-    CHECK(std::holds_alternative<RenewLease>(asking.front()));
+    const auto renewal = node.lock.tick();
+    REQUIRE(renewal.size() == 1);
+    CHECK(std::holds_alternative<RenewLease>(renewal.front()));
     node.lock.leaseNotRenewed(true);
     clock.advance(500ms);
     node.lock.keyChanged(nullptr);
-    const auto anew = node.lock.tick();
-    REQUIRE(anew.size() == 2);
-    CHECK(std::holds_alternative<RevokeLease>(anew.front()));
-    CHECK(std::holds_alternative<GrantLease>(anew.back()));
+    const auto retry = node.lock.tick();
+    REQUIRE(retry.size() == 2);
+    CHECK(std::holds_alternative<RevokeLease>(retry.front()));
+    CHECK(std::holds_alternative<GrantLease>(retry.back()));
     CHECK_FALSE(node.lock.holding());
 }
 
--- a/tests/unit/rollout_simulation_test.cpp
+++ b/tests/unit/rollout_simulation_test.cpp
@@ -47,9 +47,9 @@
 
 struct SimulatedEngine
 {
-    SimulatedState state;
-    SimulatedState before; // the state in reports until the last change is kReportLag ago
-    TimePoint changed{};
+    SimulatedState current;
+    SimulatedState previous; // the state in reports until the last change is kReportLag ago
+    TimePoint changedAt{};
     TimePoint loadEnd{};
     std::uint64_t loadingVersion = 0;
     std::vector<DelayedOrder> delayedOrders;
@@ -62,9 +62,9 @@
 
     void change(TimePoint now, const SimulatedState &next)
     {
-        before = state;
-        state = next;
-        changed = now;
+        previous = current;
+        current = next;
+        changedAt = now;
     }
 };
 
@@ -157,10 +157,10 @@
     void advance(const std::string &id, SimulatedEngine &engine)
     {
         const TimePoint now = m_clock.now();
-        if (engine.state.busy && engine.isDown(now))
-            engine.change(now, {engine.state.version, 0, false});
-        if (engine.state.busy && now >= engine.loadEnd)
-            engine.change(now, {engine.loadingVersion, engine.state.ordersTaken, false});
+        if (engine.current.busy && engine.isDown(now))
+            engine.change(now, {engine.current.version, 0, false});
+        if (engine.current.busy && now >= engine.loadEnd)
+            engine.change(now, {engine.loadingVersion, engine.current.ordersTaken, false});
         for (const DelayedOrder &it : engine.delayedOrders) {
             if (now >= it.due && !engine.isDown(now))
                 takeOrder(engine, it);
@@ -175,9 +175,9 @@
 
     OrderResult takeOrder(SimulatedEngine &engine, const DelayedOrder &order)
     {
-        if (engine.state.busy || engine.state.ordersTaken != order.ordersTaken)
+        if (engine.current.busy || engine.current.ordersTaken != order.ordersTaken)
             return OrderResult::Conflict;
-        if (engine.state.version >= order.version)
+        if (engine.current.version >= order.version)
             return OrderResult::AlreadyDone;
         const std::size_t loads = countLoads() + 1;
         const std::size_t maxUnslowed = maxUnslowedLoads(m_engines.size());
@@ -185,7 +185,7 @@
             = std::max(1.0, static_cast<double>(loads) / static_cast<double>(maxUnslowed));
         engine.loadingVersion = order.version;
         engine.loadEnd = m_clock.now() + std::chrono::duration_cast<Duration>(slower * kLoadTime);
-        engine.change(m_clock.now(), {engine.state.version, order.ordersTaken + 1, true});
+        engine.change(m_clock.now(), {engine.current.version, order.ordersTaken + 1, true});
         if (m_failuresDuringLoad > 0) {
             m_failuresDuringLoad -= 1;
             engine.downFrom = m_clock.now() + kLoadTime / 2;
@@ -203,7 +203,7 @@
             return;
         }
         const SimulatedState &reported
-            = now - engine.changed < kReportLag ? engine.before : engine.state;
+            = now - engine.changedAt < kReportLag ? engine.previous : engine.current;
         const EngineReport report{{{"m", reported.version}}, reported.busy, reported.ordersTaken};
         m_answers.push_back({now + kAnswerTime, id, {}, report});
     }
@@ -258,7 +258,7 @@
     {
         return static_cast<std::size_t>(
             std::count_if(m_engines.begin(), m_engines.end(),
-                          [](const auto &it) { return it.second.state.busy; }));
+                          [](const auto &it) { return it.second.current.busy; }));
     }
 
     void measure()
@@ -269,11 +269,11 @@
         m_outcome.maxKeptFree = std::max(m_outcome.maxKeptFree, keptFree.size());
         for (const std::string &it : keptFree) {
             const SimulatedEngine &engine = m_engines.at(it);
-            if (!engine.state.busy && !engine.hasRequests && !engine.isDown(now))
+            if (!engine.current.busy && !engine.hasRequests && !engine.isDown(now))
                 m_outcome.idleTime += kStep;
         }
         const auto isUpdated
-            = [this](const auto &it) { return it.second.state.version == m_newest; };
+            = [this](const auto &it) { return it.second.current.version == m_newest; };
         const auto isOutdatedAndUp
             = [&](const auto &it) { return !isUpdated(it) && !it.second.isDown(now); };
         if (std::any_of(m_engines.begin(), m_engines.end(), isOutdatedAndUp))
--- a/tests/unit/weight_load_planner_test.cpp
+++ b/tests/unit/weight_load_planner_test.cpp
@@ -61,7 +61,7 @@
     CHECK(released->expectedRevision == 5);
     CHECK(released->table.slots.empty());
     fixture.planner.tableSwapped(true);
-    CHECK(fixture.planner.pending() == 0);
+    CHECK(fixture.planner.pendingLoads() == 0);
     CHECK_FALSE(fixture.planner.isHeld("e"));
 }
 
