--- a/include/fordwood/context_store_log.hpp
+++ b/include/fordwood/context_store_log.hpp
@@ -73,4 +73,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_STORE_NEWS_LOG_HPP_INCLUDED
+#endif // FORDWOOD_CONTEXT_STORE_LOG_HPP_INCLUDED
--- a/include/fordwood/old_context_cleaner.hpp
+++ b/include/fordwood/old_context_cleaner.hpp
@@ -44,7 +44,8 @@
     }
 };
 
-// A call that asks a store to free parts; void if the store has restarted since `epoch`.
+// A call that asks a store to free parts. It has no effect if the store has restarted since
+// `epoch`.
 struct FreePartsCall
 {
     std::string store;
@@ -77,7 +78,7 @@
     {
         std::uint64_t epoch = 0;
         bool answers = false;
-        bool isCallPending = false; // a call is in progress
+        bool isCallPending = false;
         TimePoint retryAt{}; // pause after each call
         std::map<std::string, std::set<std::string>> parts; // ids by salt
     };
@@ -92,4 +93,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_STORE_KEEPER_HPP_INCLUDED
+#endif // FORDWOOD_OLD_CONTEXT_CLEANER_HPP_INCLUDED
--- a/include/fordwood/replica_freshness.hpp
+++ b/include/fordwood/replica_freshness.hpp
@@ -56,4 +56,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_COPY_FRESHNESS_HPP_INCLUDED
+#endif // FORDWOOD_REPLICA_FRESHNESS_HPP_INCLUDED
--- a/include/fordwood/stall_detector.hpp
+++ b/include/fordwood/stall_detector.hpp
@@ -24,4 +24,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_STANDSTILL_WATCH_HPP_INCLUDED
+#endif // FORDWOOD_STALL_DETECTOR_HPP_INCLUDED
--- a/include/fordwood/upstream_load_tracker.hpp
+++ b/include/fordwood/upstream_load_tracker.hpp
@@ -63,4 +63,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_LOAD_BOOK_HPP_INCLUDED
+#endif // FORDWOOD_UPSTREAM_LOAD_TRACKER_HPP_INCLUDED
--- a/include/fordwood/weight_load_planner.hpp
+++ b/include/fordwood/weight_load_planner.hpp
@@ -194,4 +194,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_LOAD_PLANNER_HPP_INCLUDED
+#endif // FORDWOOD_WEIGHT_LOAD_PLANNER_HPP_INCLUDED
--- a/include/fordwood/weight_rollout.hpp
+++ b/include/fordwood/weight_rollout.hpp
@@ -159,9 +159,9 @@
         Stage stage = Stage::RequestingReport;
         TimePoint since{};
         TimePoint nextStep{};
-        bool isCallPending = false; // a call is in progress
+        bool isCallPending = false; // a request for a report or an order
         std::optional<TimePoint> orderedAt; // set while the engine is or may be loading
-        bool isOrderUnanswered = false; // the order has no answer
+        bool isOrderUnanswered = false;
         int missedReports = 0; // consecutive
         std::string model; // model of the order, with the version below
         std::uint64_t version = 0;
