--- a/include/fordwood/engine_chooser.hpp
+++ b/include/fordwood/engine_chooser.hpp
@@ -11,12 +11,12 @@
 
 #include "fordwood/clock.hpp"
 #include "fordwood/context_directory.hpp"
-#include "fordwood/load_book.hpp"
 #include "fordwood/mechanisms.hpp"
 #include "fordwood/prefill_pace.hpp"
 #include "fordwood/prompt.hpp"
 #include "fordwood/serving_config.hpp"
 #include "fordwood/upstream_health.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/upstream_record.hpp"
 #include "fordwood/weight_history.hpp"
 
@@ -101,7 +101,8 @@
     // Returns nothing if no engine may take the request at the moment.
     std::optional<EngineChoice> choose(const Query &query,
                                        const std::vector<const UpstreamRecord *> &engines,
-                                       const LoadBook &loads, const UpstreamHealth &health,
+                                       const UpstreamLoadTracker &loads,
+                                       const UpstreamHealth &health,
                                        ContextDirectory &contexts) const;
 
     // Whether a request that is sent now, and gets its first token after the delay, may run on this
@@ -147,8 +148,7 @@
         double sharedTokens = 0.0;
     };
 
-    void computeCost(Candidate &candidate, const PromptInfo &promptInfo, const Query &query,
-                     const LoadBook &loads, const UpstreamHealth &health) const;
+    void computeCost(Candidate &candidate, const PromptInfo &promptInfo, const Query &query,const UpstreamLoadTracker &loads, const UpstreamHealth &health) const;
     static bool isConsidered(const Candidate &candidate, const Query &query);
     static void rank(std::vector<Candidate> &candidates, const PromptInfo &promptInfo,
                      const std::set<std::string> &shortGroup);
@@ -164,8 +164,8 @@
                               const VersionInfo &weights) const;
     double storeWait(const VersionInfo &weights, double sharedTokens) const;
     double oldWeightsCost(std::uint64_t version, const WeightHistory &weights) const;
-    VersionInfo weightsInfo(std::uint64_t version, const Query &query, const LoadBook &loads,
-                            const ContextDirectory &contexts) const;
+    VersionInfo weightsInfo(std::uint64_t version, const Query &query,
+                      const UpstreamLoadTracker &loads,const ContextDirectory &contexts) const;
     double contextCost(Candidate &candidate, const PromptInfo &promptInfo) const;
     std::size_t contextToSave(const Prompt &prompt, const PromptPart &part) const;
     EngineChoice complete(const Candidate &candidate, const PromptInfo &promptInfo,
--- a/include/fordwood/store_lease.hpp
+++ b/include/fordwood/store_lease.hpp
@@ -6,14 +6,14 @@
 
 namespace fordwood {
 
-// A lease of the platform's store. After a restore of the store its id may be given out again: it
-// is its holder's in the epoch in which it was granted only.
+// A lease of the platform's store. After a restore the store may assign the same id again, so a
+// lease is valid only in the epoch in which it was granted.
 struct StoreLease
 {
     std::int64_t id = 0; // zero: none
     std::uint64_t epoch = 0;
 
-    bool holdsIn(std::uint64_t current) const { return id != 0 && epoch == current; }
+    bool isValidIn(std::uint64_t current) const { return id != 0 && epoch == current; }
 };
 
 } // namespace fordwood
--- a/src/core/context_directory.cpp
+++ b/src/core/context_directory.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <set>
 
+#include "fordwood/old_context_cleaner.hpp"
 #include "fordwood/rendezvous.hpp"
-#include "fordwood/store_keeper.hpp"
 
 namespace fordwood {
 
@@ -171,10 +171,10 @@
     const auto history = m_weights.find(parsed->modelHash);
     if (history == m_weights.end())
         return true;
-    const auto replaced = history->second.superseded(parsed->weightVersion);
+    const auto replaced = history->second.supersededAt(parsed->weightVersion);
     return !replaced
            || (replaced->earliest
-               && m_clock.now() + ahead - *replaced->earliest < OldContext::useOf(partId));
+               && m_clock.now() + ahead - *replaced->earliest < OldContextTimes::useTimeOf(partId));
 }
 
 void ContextDirectory::storeFailed(const std::string &store)
--- a/src/core/store_news_log.cpp
+++ b/src/core/context_store_log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "fordwood/store_news_log.hpp"
+#include "fordwood/context_store_log.hpp"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 
 namespace fordwood {
 
-void StoreNewsLog::told(const ContextStoreUpdate &news)
+void ContextStoreLog::storeAnswered(const ContextStoreUpdate &news)
 {
     Store &store = m_stores[news.store];
     if (news.isSnapshot || news.epoch != store.epoch) {
@@ -23,16 +23,17 @@
             store.parts.erase({it.salt, it.partId});
     }
     if (!news.isSnapshot && news.epoch == store.epoch)
-        remember(store, news);
+        appendRecent(store, news);
     store.epoch = news.epoch;
     store.next = news.next;
     store.answers = true;
-    // It may come from a relay; readers fetch by it for a while from the store's answer on.
+    // The update may come from a relay and be some time old; readers fetch from a store only for a
+    // limited time after the store's own answer.
     store.answered = std::max(store.answered, m_clock.now() - news.age);
     store.clock = news.clock;
 }
 
-void StoreNewsLog::remember(Store &store, const ContextStoreUpdate &news) const
+void ContextStoreLog::appendRecent(Store &store, const ContextStoreUpdate &news) const
 {
     if (news.changes.empty())
         return;
@@ -44,13 +45,12 @@
     }
 }
 
-void StoreNewsLog::silent(const std::string &store)
+void ContextStoreLog::storeFailed(const std::string &store)
 {
     m_stores[store].answers = false;
 }
 
-ContextStoreUpdate StoreNewsLog::newsFor(const std::string &name, const Store &store,
-                                         const StorePosition &position) const
+ContextStoreUpdate ContextStoreLog::updateFor(const std::string &name, const Store &store,const ContextStorePosition &position) const
 {
     ContextStoreUpdate news;
     news.store = name;
@@ -66,8 +66,8 @@
             news.changes.push_back({part.first, part.second, true, tokens});
         return news;
     }
-    // A reader that comes from another relay may stand within a batch, or be ahead of this node: to
-    // be told a change twice does no harm, in their order.
+    // A reader that followed another relay before may be in the middle of a batch, or ahead of this
+    // node. Getting the same changes twice is harmless as long as they are in order.
     news.next = std::max(store.next, position.next);
     for (std::size_t n = 0; n < store.recent.size(); ++n) {
         const bool isLast = n + 1 == store.recent.size();
@@ -81,18 +81,20 @@
 }
 
 std::vector<ContextStoreUpdate>
-StoreNewsLog::since(const std::vector<StorePosition> &positions) const
+ContextStoreLog::updatesSince(const std::vector<ContextStorePosition> &positions) const
 {
-    std::vector<ContextStoreUpdate> told;
+    std::vector<ContextStoreUpdate> updates;
     for (const auto &[name, store] : m_stores) {
         if (!store.answers)
             continue;
         const std::uint64_t hash = stableHash(name);
-        const auto known = std::find_if(positions.begin(), positions.end(),
-                                        [&](const StorePosition &it) { return it.store == hash; });
-        told.push_back(newsFor(name, store, known == positions.end() ? StorePosition{} : *known));
+        const auto position
+            = std::find_if(positions.begin(), positions.end(),
+                           [&](const ContextStorePosition &it) { return it.store == hash; });
+        updates.push_back(updateFor(
+            name, store, position == positions.end() ? ContextStorePosition{} : *position));
     }
-    return told;
+    return updates;
 }
 
 } // namespace fordwood
--- a/src/core/engine_chooser.cpp
+++ b/src/core/engine_chooser.cpp
@@ -68,7 +68,7 @@
 bool EngineChooser::beginsInTime(std::uint64_t version, Duration firstTokenDelay,
                                  const WeightHistory &weights) const
 {
-    const auto replaced = weights.superseded(version);
+    const auto replaced = weights.supersededAt(version);
     if (!replaced)
         return true;
     // If it is unknown when the weights were replaced, that may have been long ago: only nodes that
@@ -180,7 +180,7 @@
 
 double EngineChooser::oldWeightsCost(std::uint64_t version, const WeightHistory &weights) const
 {
-    const auto replaced = weights.superseded(version);
+    const auto replaced = weights.supersededAt(version);
     const bool losesValue = replaced
                             && (!replaced->earliest
                                 || m_clock.now() - *replaced->earliest >= m_limits.oldWeightsGrace);
@@ -188,7 +188,7 @@
 }
 
 EngineChooser::VersionInfo EngineChooser::weightsInfo(std::uint64_t version, const Query &query,
-                                                      const LoadBook &loads,
+                                                      const UpstreamLoadTracker &loads,
                                                       const ContextDirectory &contexts) const
 {
     const Prompt &prompt = query.prompt;
@@ -196,7 +196,7 @@
     weights.version = version;
     weights.salt = contextSalt(prompt.model, version, query.isolatedTeam);
     weights.cost = oldWeightsCost(version, query.weights);
-    weights.isSuperseded = query.weights.superseded(version).has_value();
+    weights.isSuperseded = query.weights.supersededAt(version).has_value();
     if (prompt.parts.size() > 1 && m_limits.mechanisms.contextStores)
         weights.holder = contexts.holderOf(weights.salt, prompt.parts.front().id);
     if (!weights.holder.address.empty())
@@ -238,7 +238,7 @@
 }
 
 void EngineChooser::computeCost(Candidate &candidate, const PromptInfo &promptInfo,
-                                const Query &query, const LoadBook &loads,
+                                const Query &query, const UpstreamLoadTracker &loads,
                                 const UpstreamHealth &health) const
 {
     const std::string &id = candidate.engine->instanceId;
@@ -263,7 +263,7 @@
 
 std::optional<EngineChoice>
 EngineChooser::choose(const Query &query, const std::vector<const UpstreamRecord *> &engines,
-                      const LoadBook &loads, const UpstreamHealth &health,
+                      const UpstreamLoadTracker &loads, const UpstreamHealth &health,
                       ContextDirectory &contexts) const
 {
     const Prompt &prompt = query.prompt;
@@ -323,7 +323,7 @@
     choice.instanceId = candidate.engine->instanceId;
     choice.weightVersion = candidate.weights->version;
     choice.newestWeights = query.weights.newest();
-    const auto replaced = query.weights.superseded(choice.weightVersion);
+    const auto replaced = query.weights.supersededAt(choice.weightVersion);
     if (replaced && replaced->earliest)
         choice.replacedFor = m_clock.now() - *replaced->earliest;
     choice.salt = candidate.weights->salt;
--- a/src/node/call_handler.cpp
+++ b/src/node/call_handler.cpp
@@ -339,7 +339,7 @@
     if (m_attempt->promptComputed)
         return;
     m_attempt->promptComputed = true;
-    m_state.loads().computed(m_attempt->upstream.instanceId, m_attempt->load);
+    m_state.loads().promptComputed(m_attempt->upstream.instanceId, m_attempt->load);
     for (const auto &[store, tokens] : m_attempt->engine.fetchTokens)
         m_state.loads().end(store, {tokens, 0}, false);
 }
--- a/src/node/context_messages.hpp
+++ b/src/node/context_messages.hpp
@@ -7,16 +7,16 @@
 #include <string_view>
 #include <vector>
 
-#include "fordwood/store_news_log.hpp"
+#include "fordwood/context_store_log.hpp"
 
 namespace fordwood::node {
 
 // Encodes a node's request to a relay as the target of a GET request: the node's position in the
 // events of each context store.
-std::string contextUpdatesTarget(const std::vector<StorePosition> &positions);
+std::string contextUpdatesTarget(const std::vector<ContextStorePosition> &positions);
 
 // Nothing if the target is a different one or malformed.
-std::optional<std::vector<StorePosition>> parseContextUpdatesTarget(std::string_view target);
+std::optional<std::vector<ContextStorePosition>> parseContextUpdatesTarget(std::string_view target);
 
 // The relay's answer, encoded as CBOR.
 std::string encodeContextUpdates(const std::vector<ContextStoreUpdate> &updates);
--- a/src/node/context_store_manager.cpp
+++ b/src/node/context_store_manager.cpp
@@ -46,29 +46,29 @@
 {
     if (const auto *answer = std::get_if<ContextStoreTold>(&update)) {
         m_cleaner.storeAnswered(answer->news);
-        m_log.told(answer->news);
+        m_log.storeAnswered(answer->news);
         if (answer->news.clock.count() > 0) {
             m_engineClock = answer->news.clock;
             m_engineClockReadAt = m_clock.now() - answer->news.age;
         }
     } else if (const auto *unreachable = std::get_if<ContextStoreSilent>(&update)) {
-        m_cleaner.storeSilent(unreachable->store);
-        m_log.silent(unreachable->store);
+        m_cleaner.storeFailed(unreachable->store);
+        m_log.storeFailed(unreachable->store);
     }
     m_publish(std::move(update));
 }
 
 void ContextStoreManager::tick(const std::optional<FencedLock::Holding> &holding)
 {
-    for (const FreeParts &it : m_cleaner.tick(holding))
+    for (const FreePartsCall &it : m_cleaner.tick(holding))
         sendFree(it, *holding);
 }
 
-void ContextStoreManager::sendFree(const FreeParts &action, const FencedLock::Holding &holding)
+void ContextStoreManager::sendFree(const FreePartsCall &action, const FencedLock::Holding &holding)
 {
     const auto store = m_stores.find(action.store);
     if (store == m_stores.end()) {
-        m_cleaner.freed(action, false);
+        m_cleaner.freeAnswered(action, false);
         return;
     }
     // The store must not free parts after this node's lease has ended, however late the call
@@ -82,7 +82,7 @@
                                                      {"epoch", action.epoch},
                                                      {"parts", action.parts.size()},
                                                      {"status", result ? result->status : 0}});
-                      m_cleaner.freed(action, platform::readFree(result));
+                      m_cleaner.freeAnswered(action, platform::readFree(result));
                   });
 }
 
--- a/src/node/context_store_manager.hpp
+++ b/src/node/context_store_manager.hpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "fordwood/clock.hpp"
+#include "fordwood/context_store_log.hpp"
 #include "fordwood/fenced_lock.hpp"
-#include "fordwood/store_keeper.hpp"
-#include "fordwood/store_news_log.hpp"
+#include "fordwood/old_context_cleaner.hpp"
 #include "node/context_relay_reader.hpp"
 #include "node/context_store_watcher.hpp"
 #include "node/fleet_update.hpp"
@@ -37,9 +37,9 @@
     void setReadsStores(bool readsStores);
 
     // The changes that a peer at these positions has not received yet.
-    std::vector<ContextStoreUpdate> updatesSince(const std::vector<StorePosition> &positions) const
+    std::vector<ContextStoreUpdate> updatesSince(const std::vector<ContextStorePosition> &positions) const
     {
-        return m_log.since(positions);
+        return m_log.updatesSince(positions);
     }
 
     void setWeights(const std::string &model, const WeightHistory &history)
@@ -51,15 +51,15 @@
 
 private:
     void handle(FleetUpdate update);
-    void sendFree(const FreeParts &action, const FencedLock::Holding &holding);
+    void sendFree(const FreePartsCall &action, const FencedLock::Holding &holding);
 
     HttpClient &m_client;
     const Clock &m_clock;
     Publish m_publish;
     ContextStoreWatcher m_watcher;
     ContextRelayReader m_relayReader;
-    StoreNewsLog m_log; // for peers, while this node reads the stores
-    StoreKeeper m_cleaner;
+    ContextStoreLog m_log; // for peers, while this node reads the stores
+    OldContextCleaner m_cleaner;
     std::map<std::string, ContextStore> m_stores; // by name
     std::chrono::milliseconds m_engineClock{0}; // last reported value
     TimePoint m_engineClockReadAt{};
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 
 #include "adapters/observe/event_log.hpp"
+#include "fordwood/old_context_cleaner.hpp"
 #include "fordwood/rendezvous.hpp"
-#include "fordwood/store_keeper.hpp"
 #include "node/control_limits.hpp"
 
 namespace fordwood::node {
@@ -117,7 +117,7 @@
 
 void NodeState::apply(const WeightsWanted &update)
 {
-    m_weights[update.model].note(update.version, update.naming);
+    m_weights[update.model].record(update.version, update.naming);
     m_contexts.setWeights(update.model, m_weights[update.model]);
 }
 
@@ -136,7 +136,7 @@
 
 void NodeState::apply(const PeerLoads &update)
 {
-    m_loads.setPeer(update.peer, update.loads);
+    m_loads.setPeerLoads(update.peer, update.loads);
     m_shortDemand.setPeer(update.peer, update.shortContextTokens);
     if (m_settings.mechanisms.toldContexts)
         m_contexts.recordPeerSends(update.contextsSent);
@@ -173,7 +173,7 @@
     // The clock reading is slightly old when it arrives, so the result errs on the early side.
     return m_engineClock.value
            + std::chrono::duration_cast<std::chrono::milliseconds>(
-               m_clock.now() - m_engineClock.readAt + OldContext::kFetch);
+               m_clock.now() - m_engineClock.readAt + OldContextTimes::kMaxFetchTime);
 }
 
 void NodeState::apply(const ContextStoreSilent &update)
@@ -307,7 +307,7 @@
 
 void NodeState::checkForStall()
 {
-    if (m_stallDetector.turn() > Duration::zero())
+    if (m_stallDetector.poll() > Duration::zero())
         m_stallEndedAt = m_clock.now();
 }
 
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -17,15 +17,15 @@
 #include "fordwood/context_directory.hpp"
 #include "fordwood/engine_chooser.hpp"
 #include "fordwood/engine_groups.hpp"
-#include "fordwood/load_book.hpp"
 #include "fordwood/prefill_pace.hpp"
 #include "fordwood/quarantine_gate.hpp"
 #include "fordwood/retry_schedule.hpp"
 #include "fordwood/route_table.hpp"
 #include "fordwood/send_gate.hpp"
-#include "fordwood/standstill_watch.hpp"
+#include "fordwood/stall_detector.hpp"
 #include "fordwood/upstream_directory.hpp"
 #include "fordwood/upstream_health.hpp"
+#include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/window_budget.hpp"
 #include "node/channel_pool.hpp"
 #include "node/fleet_update.hpp"
@@ -155,7 +155,7 @@
     net::io_context &context() { return m_context; }
     adapters::Metrics &metrics() { return m_metrics; }
     UpstreamDirectory &upstreams() { return m_upstreams; }
-    LoadBook &loads() { return m_loads; }
+    UpstreamLoadTracker &loads() { return m_loads; }
     UpstreamHealth &health() { return m_health; }
     SendGate &gate() { return m_gate; }
     QuarantineGate &quarantine() { return m_quarantine; }
@@ -199,7 +199,7 @@
     adapters::Metrics &m_metrics;
     std::shared_ptr<const RouteTable> m_table;
     UpstreamDirectory m_upstreams;
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     UpstreamHealth m_health;
     adapters::LimitLog m_limitLog;
     SendGate m_gate;
@@ -226,7 +226,7 @@
         TimePoint readAt{};
     };
     EngineClockReading m_engineClock;
-    StandstillWatch m_stallDetector;
+    StallDetector m_stallDetector;
     std::optional<TimePoint> m_stallEndedAt;
     std::size_t m_liveNodes = 1;
     std::optional<TimePoint> m_stopStartedAt;
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -34,7 +34,7 @@
     void publish(const ContextStoreUpdate &update)
     {
         const std::lock_guard lock(m_mutex);
-        m_log.told(update);
+        m_log.storeAnswered(update);
     }
 
     const std::string address;
@@ -50,12 +50,12 @@
         standins::Answer made;
         made.status = fails || !positions ? 503 : 200;
         if (made.status == 200)
-            made.body = encodeContextUpdates(m_log.since(*positions));
+            made.body = encodeContextUpdates(m_log.updatesSince(*positions));
         return made;
     }
 
     std::mutex m_mutex;
-    StoreNewsLog m_log;
+    ContextStoreLog m_log;
     standins::BlockingServer m_server;
 };
 
--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -241,8 +241,8 @@
     node.book = std::make_unique<PermitScheduler>(fleet.clock, PermitLimits{kPermitLife, 64});
     node.allowances
         = std::make_unique<AllowanceAllocator>(fleet.clock, AllowanceAllocator::Limits{});
-    node.loads = std::make_unique<LoadPlanner>(fleet.member(index).name, boot, fleet.clock,
-                                               LoadPlanner::Limits{}, boot);
+    node.loads = std::make_unique<WeightLoadPlanner>(fleet.member(index).name, boot, fleet.clock,
+                                                     WeightLoadPlanner::Limits{}, boot);
     node.keys = std::make_unique<KeyRegistry>(KeyHolder{fleet.member(index).name, boot},
                                               fleet.clock, KeyRegistry::Limits{});
 }
--- a/tests/unit/engine_chooser_test.cpp
+++ b/tests/unit/engine_chooser_test.cpp
@@ -9,8 +9,8 @@
 #include "fordwood/engine_groups.hpp"
 #include "fordwood/manual_clock.hpp"
 #include "fordwood/mechanisms.hpp"
+#include "fordwood/old_context_cleaner.hpp"
 #include "fordwood/rendezvous.hpp"
-#include "fordwood/store_keeper.hpp"
 
 using namespace fordwood;
 using namespace std::chrono_literals;
@@ -71,7 +71,7 @@
     }
 
     ManualClock m_clock;
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     UpstreamHealth m_health;
     ContextDirectory m_contexts;
     EngineChooser m_chooser;
@@ -115,11 +115,11 @@
         view.m_loads.begin(preferred, {0, 500});
     CHECK(view.choose(prompt)->instanceId
           == preferred); // six running requests cost less than recomputing the context
-    view.m_loads.setPeer("peer", {{preferred, {11, 0, 0}}});
+    view.m_loads.setPeerLoads("peer", {{preferred, {11, 0, 0}}});
     const std::string next = view.choose(prompt)->instanceId;
     CHECK(next != preferred); // it has no free slot
     NodeView other;
-    other.m_loads.setPeer("peer", {{preferred, {17, 0, 0}}});
+    other.m_loads.setPeerLoads("peer", {{preferred, {17, 0, 0}}});
     CHECK(other.choose(prompt)->instanceId == next); // another node chooses the same one
 }
 
@@ -135,7 +135,7 @@
 {
     NodeView view;
     const std::string preferred = view.choose(longPrompt())->instanceId;
-    view.m_loads.setPeer("peer", {{preferred, {3, 40'000, 40'000}}});
+    view.m_loads.setPeerLoads("peer", {{preferred, {3, 40'000, 40'000}}});
     CHECK(view.choose(longPrompt("c1"))->instanceId != preferred);
     view.m_clock.advance(5s);
     view.updateStore({});
@@ -204,7 +204,7 @@
     NodeView one;
     NodeView other;
     const std::string preferred = one.send(longPrompt())->instanceId;
-    other.m_loads.setPeer("one", {{preferred, {1, 17'000, 17'000}}});
+    other.m_loads.setPeerLoads("one", {{preferred, {1, 17'000, 17'000}}});
     CHECK(other.choose(longPrompt())->instanceId
           != preferred); // busy, and believed to lack the context
     other.m_contexts.recordPeerSends(one.m_contexts.recentSends());
@@ -264,10 +264,10 @@
 {
     NodeView view;
     view.m_records[3].weightVersions["m"] = 2;
-    view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(1, {EventTime::at(view.m_clock.now() - 1h), 0});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_clock.advance(5s);
-    view.m_weights.note(
+    view.m_weights.record(
         3, {EventTime::at(view.m_clock.now()), 2}); // does not change when version 1 was replaced
     view.m_clock.advance(6s);
     for (int n = 0; n < 20; ++n)
@@ -280,8 +280,8 @@
     "engines: one with replaced weights is excluded if the wait would exceed their bound [weights]")
 {
     NodeView view;
-    view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(1, {EventTime::at(view.m_clock.now() - 1h), 0});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     const auto canChoose = [&] { return view.choose(shortPrompt()).has_value(); };
     const auto loadAll = [&](const RequestLoad &load) {
         for (const UpstreamRecord &it : view.m_records)
@@ -311,8 +311,8 @@
     const Prompt prompt = longPrompt();
     const std::string salt = contextSalt("m", 1, "");
     view.updateStore({{salt, "c1", true, 12'800}});
-    view.m_weights.note(1, {EventTime::at(view.m_clock.now() - 1h), 0});
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(1, {EventTime::at(view.m_clock.now() - 1h), 0});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_clock.advance(9s);
     view.updateStore({});
     CHECK(view.choose(prompt)->isFetching());
@@ -401,7 +401,7 @@
 TEST_CASE("store keeper: context of old weights is freed only once no node can read it [stores]")
 {
     ManualClock clock;
-    StoreKeeper keeper(clock);
+    OldContextCleaner keeper(clock);
     const std::string old = contextSalt("m", 1, "");
     const std::string current = contextSalt("m", 2, "");
     ContextStoreUpdate update;
@@ -410,10 +410,10 @@
     update.changes = {{old, "a", true, 10}, {current, "a", true, 10}, {"foreign", "b", true, 10}};
     keeper.storeAnswered(update);
     WeightHistory history;
-    history.note(2, {EventTime::at(clock.now()), 1});
+    history.record(2, {EventTime::at(clock.now()), 1});
     keeper.setWeights("m", history);
     const FencedLock::Holding holding{1, {}, {}, TimePoint::max()};
-    clock.advance(OldContext::unusedAfter("a") - 1ms);
+    clock.advance(OldContextTimes::unusedAfter("a") - 1ms);
     CHECK(keeper.tick(holding).empty());
     clock.advance(1ms);
     CHECK(keeper.tick(std::nullopt).empty()); // only the lock holder frees context
@@ -422,10 +422,10 @@
     CHECK(actions.front().epoch == 5);
     CHECK(actions.front().parts == std::vector<std::pair<std::string, std::string>>{{old, "a"}});
     CHECK(keeper.tick(holding).empty()); // the call is in progress
-    keeper.freed(actions.front(), false);
+    keeper.freeAnswered(actions.front(), false);
     clock.advance(1s);
     REQUIRE(keeper.tick(holding).size() == 1); // it is retried
-    keeper.freed(actions.front(), true);
+    keeper.freeAnswered(actions.front(), true);
     clock.advance(1s);
     CHECK(keeper.tick(holding).empty());
 }
@@ -439,10 +439,10 @@
     view.m_contexts.setReceivesVersions(false);
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
     view.m_contexts.setReceivesVersions(true);
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_contexts.setWeights("m", view.m_weights);
     CHECK(view.choose(longPrompt())->isFetching());
-    view.m_clock.advance(OldContext::useOf("c1"));
+    view.m_clock.advance(OldContextTimes::useTimeOf("c1"));
     view.updateStore({});
     CHECK_FALSE(view.choose(longPrompt())->isFetching());
 }
@@ -457,7 +457,7 @@
     for (std::size_t n = 0; n < kParts; ++n)
         changes.push_back({salt, "c" + std::to_string(n), true, 1'200});
     view.updateStore(changes);
-    view.m_weights.note(2, {EventTime::at(view.m_clock.now()), 1});
+    view.m_weights.record(2, {EventTime::at(view.m_clock.now()), 1});
     view.m_contexts.setWeights("m", view.m_weights);
     const auto stillFetched = [&] {
         int sum = 0;
@@ -466,11 +466,11 @@
         return sum;
     };
     CHECK(stillFetched() == 100);
-    view.m_clock.advance((OldContext::kShortestUse + OldContext::kLongestUse) / 2);
+    view.m_clock.advance((OldContextTimes::kMinUseTime + OldContextTimes::kMaxUseTime) / 2);
     view.updateStore({});
     CHECK(stillFetched() > 30);
     CHECK(stillFetched() < 70);
-    view.m_clock.advance((OldContext::kLongestUse - OldContext::kShortestUse) / 2);
+    view.m_clock.advance((OldContextTimes::kMaxUseTime - OldContextTimes::kMinUseTime) / 2);
     view.updateStore({});
     CHECK(stillFetched() == 0);
     CHECK(view.m_contexts.storeForSave(salt, {"new", 5'000}, 5'000, "even").empty());
@@ -610,7 +610,7 @@
                 {prompt, "", view.m_weights, view.m_traits, view.m_tried, view.m_shortGroup},
                 engines, view.m_loads, view.m_health, view.m_contexts);
             view.m_loads.begin(choice->instanceId, choice->load);
-            most = std::max(most, view.m_loads.ownAt(choice->instanceId).running);
+            most = std::max(most, view.m_loads.ownLoad(choice->instanceId).running);
         }
         return most;
     };
--- a/tests/unit/engine_versions_test.cpp
+++ b/tests/unit/engine_versions_test.cpp
@@ -48,8 +48,8 @@
             m_clock.advance(20ms);
             m_upstreams.tick();
             for (const RolloutAction &it : m_rollout.tick(m_holding, m_loads)) {
-                if (std::holds_alternative<AskReport>(it)) {
-                    m_rollout.reportRead(
+                if (std::holds_alternative<FetchReport>(it)) {
+                    m_rollout.reportReceived(
                         "e", EngineReport{{{"m", m_runningVersion}}, false, m_ordersTaken});
                     continue;
                 }
@@ -70,7 +70,7 @@
 private:
     void applyObserved()
     {
-        for (const auto &[id, models] : m_rollout.shown()) {
+        for (const auto &[id, models] : m_rollout.reportedVersions()) {
             for (const auto &[model, weights] : models)
                 m_upstreams.setWeightVersion(id, model, weights);
         }
@@ -79,7 +79,7 @@
     }
 
     ManualClock m_clock;
-    LoadBook m_loads;
+    UpstreamLoadTracker m_loads;
     UpstreamDirectory m_upstreams;
     WeightRollout m_rollout;
     std::uint64_t m_runningVersion = 1;
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -4,10 +4,10 @@
 
 #include <doctest/doctest.h>
 
+#include "fordwood/context_store_log.hpp"
 #include "fordwood/manual_clock.hpp"
 #include "fordwood/relay_role.hpp"
 #include "fordwood/rendezvous.hpp"
-#include "fordwood/store_news_log.hpp"
 
 using namespace fordwood;
 using namespace std::chrono_literals;
@@ -87,7 +87,7 @@
     return update;
 }
 
-StorePosition position(std::uint64_t next, std::uint64_t epoch = 7)
+ContextStorePosition position(std::uint64_t next, std::uint64_t epoch = 7)
 {
     return {stableHash("s"), epoch, next};
 }
@@ -157,13 +157,13 @@
     "relays: a reader gets the changes it lacks, or all if these are unknown [relays][stores]")
 {
     ManualClock clock;
-    StoreNewsLog log(clock, {3});
-    log.told(makeUpdate(10, {}));
-    log.told(makeUpdate(12, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
-    log.told(makeUpdate(13, {{"salt", "a", false, 0}}));
+    ContextStoreLog log(clock, {3});
+    log.storeAnswered(makeUpdate(10, {}));
+    log.storeAnswered(makeUpdate(12, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
+    log.storeAnswered(makeUpdate(13, {{"salt", "a", false, 0}}));
     clock.advance(300ms);
 
-    const auto lacking = log.since({position(12)});
+    const auto lacking = log.updatesSince({position(12)});
     REQUIRE(lacking.size() == 1);
     CHECK_FALSE(lacking[0].isSnapshot);
     REQUIRE(lacking[0].changes.size() == 1);
@@ -172,32 +172,32 @@
     CHECK(lacking[0].next == 13);
     CHECK(lacking[0].age == 300ms); // includes the time since the relay received it
 
-    CHECK(log.since({position(13)})[0].changes.empty());
-    for (const StorePosition &unknown : {position(9), position(13, 6)}) {
-        const auto whole = log.since({unknown});
+    CHECK(log.updatesSince({position(13)})[0].changes.empty());
+    for (const ContextStorePosition &unknown : {position(9), position(13, 6)}) {
+        const auto whole = log.updatesSince({unknown});
         CHECK(whole[0].isSnapshot);
         REQUIRE(whole[0].changes.size() == 1);
         CHECK(whole[0].changes[0].partId == "b");
     }
-    CHECK(log.since({})[0].isSnapshot);
+    CHECK(log.updatesSince({})[0].isSnapshot);
 
-    log.told(makeUpdate(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
-    CHECK(log.since({position(10)})[0].isSnapshot); // the oldest changes were dropped
-    CHECK_FALSE(log.since({position(13)})[0].isSnapshot);
+    log.storeAnswered(makeUpdate(15, {{"salt", "c", true, 1}, {"salt", "d", true, 1}}));
+    CHECK(log.updatesSince({position(10)})[0].isSnapshot); // the oldest changes were dropped
+    CHECK_FALSE(log.updatesSince({position(13)})[0].isSnapshot);
 }
 
 TEST_CASE("relays: a reader that is ahead is not reset; a silent store is not included "
           "[relays][stores]")
 {
     ManualClock clock;
-    StoreNewsLog log(clock);
-    log.told(makeUpdate(10, {}));
-    const auto updates = log.since({position(14)});
+    ContextStoreLog log(clock);
+    log.storeAnswered(makeUpdate(10, {}));
+    const auto updates = log.updatesSince({position(14)});
     REQUIRE(updates.size() == 1);
     CHECK(updates[0].next == 14);
     CHECK(updates[0].changes.empty());
-    log.silent("s");
-    CHECK(log.since({position(10)}).empty());
+    log.storeFailed("s");
+    CHECK(log.updatesSince({position(10)}).empty());
 }
 
 TEST_CASE("relays: the age of a store's data includes its time at the relay [relays][stores]")
