--- a/include/fordwood/context_store_log.hpp
+++ b/include/fordwood/context_store_log.hpp
@@ -41,7 +41,8 @@
     void storeFailed(const std::string &store);
 
     // The changes that the reader does not have yet, for each store that answers this node.
-    std::vector<ContextStoreUpdate> updatesSince(const std::vector<ContextStorePosition> &positions) const;
+    std::vector<ContextStoreUpdate>
+    updatesSince(const std::vector<ContextStorePosition> &positions) const;
 
 private:
     struct Batch
@@ -63,7 +64,8 @@
     };
 
     void appendRecent(Store &store, const ContextStoreUpdate &news) const;
-    ContextStoreUpdate updateFor(const std::string &name, const Store &store,const ContextStorePosition &position) const;
+    ContextStoreUpdate updateFor(const std::string &name, const Store &store,
+                                 const ContextStorePosition &position) const;
 
     const Clock &m_clock;
     const Limits m_limits;
--- a/include/fordwood/engine_chooser.hpp
+++ b/include/fordwood/engine_chooser.hpp
@@ -148,7 +148,8 @@
         double sharedTokens = 0.0;
     };
 
-    void computeCost(Candidate &candidate, const PromptInfo &promptInfo, const Query &query,const UpstreamLoadTracker &loads, const UpstreamHealth &health) const;
+    void computeCost(Candidate &candidate, const PromptInfo &promptInfo, const Query &query,
+                     const UpstreamLoadTracker &loads, const UpstreamHealth &health) const;
     static bool isConsidered(const Candidate &candidate, const Query &query);
     static void rank(std::vector<Candidate> &candidates, const PromptInfo &promptInfo,
                      const std::set<std::string> &shortGroup);
@@ -165,7 +166,8 @@
     double storeWait(const VersionInfo &weights, double sharedTokens) const;
     double oldWeightsCost(std::uint64_t version, const WeightHistory &weights) const;
     VersionInfo weightsInfo(std::uint64_t version, const Query &query,
-                      const UpstreamLoadTracker &loads,const ContextDirectory &contexts) const;
+                            const UpstreamLoadTracker &loads,
+                            const ContextDirectory &contexts) const;
     double contextCost(Candidate &candidate, const PromptInfo &promptInfo) const;
     std::size_t contextToSave(const Prompt &prompt, const PromptPart &part) const;
     EngineChoice complete(const Candidate &candidate, const PromptInfo &promptInfo,
--- a/src/core/context_store_log.cpp
+++ b/src/core/context_store_log.cpp
@@ -50,7 +50,8 @@
     m_stores[store].answers = false;
 }
 
-ContextStoreUpdate ContextStoreLog::updateFor(const std::string &name, const Store &store,const ContextStorePosition &position) const
+ContextStoreUpdate ContextStoreLog::updateFor(const std::string &name, const Store &store,
+                                              const ContextStorePosition &position) const
 {
     ContextStoreUpdate news;
     news.store = name;
--- a/src/node/context_store_manager.hpp
+++ b/src/node/context_store_manager.hpp
@@ -37,7 +37,8 @@
     void setReadsStores(bool readsStores);
 
     // The changes that a peer at these positions has not received yet.
-    std::vector<ContextStoreUpdate> updatesSince(const std::vector<ContextStorePosition> &positions) const
+    std::vector<ContextStoreUpdate>
+    updatesSince(const std::vector<ContextStorePosition> &positions) const
     {
         return m_log.updatesSince(positions);
     }
