--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -54,7 +54,7 @@
     std::vector<config::Document> documents;
     documents.push_back(*config::parseDocument("f", configurationText(upstreams, mark), errors));
     std::vector<StoredPiece> pieces;
-    for (config::ConfigPiece &it : config::cutPieces(documents)) {
+    for (config::ConfigPiece &it : config::splitIntoPieces(documents)) {
         std::string digest = config::sha256Hex(it.text);
         pieces.push_back({std::move(it.name), std::move(digest), std::move(it.text)});
     }
--- a/src/apps/ctl/references.cpp
+++ b/src/apps/ctl/references.cpp
@@ -40,12 +40,12 @@
             "one. Every key is checked; an unknown key is an error. "
                 + std::string(kMade));
     if (name == "settings")
-        return config::referencePage(config::settingsSections(), "Settings reference",
+        return config::referencePage(config::entrySettingsSections(), "Settings reference",
                                      "The settings file of one entry VM, read at start by both "
                                      "daemons.\n"
                                          + std::string(kMade));
     if (name == "node-settings")
-        return config::referencePage(config::nodeSections(), "Node settings reference",
+        return config::referencePage(config::nodeSettingsSections(), "Node settings reference",
                                      "The settings file of `fordwood-noded`, read at its start and "
                                      "at SIGHUP.\n"
                                          + std::string(kMade));
--- a/src/apps/ctl/sources.cpp
+++ b/src/apps/ctl/sources.cpp
@@ -52,7 +52,7 @@
 std::vector<StoredPiece> piecesOf(const Source &source)
 {
     std::vector<StoredPiece> pieces;
-    for (config::ConfigPiece &it : config::cutPieces(source.documents)) {
+    for (config::ConfigPiece &it : config::splitIntoPieces(source.documents)) {
         std::string digest = config::sha256Hex(it.text);
         pieces.push_back({std::move(it.name), std::move(digest), std::move(it.text)});
     }
--- a/src/apps/load/workload.cpp
+++ b/src/apps/load/workload.cpp
@@ -48,10 +48,10 @@
 
 void readRun(const config::CheckedTable &table, Workload &workload)
 {
-    workload.targets = table.texts("targets");
-    workload.engines = table.texts("engines");
-    workload.services = table.texts("services");
-    workload.stores = table.texts("stores");
+    workload.targets = table.textList("targets");
+    workload.engines = table.textList("engines");
+    workload.services = table.textList("services");
+    workload.stores = table.textList("stores");
     workload.rate = table.number("rate", workload.rate);
     workload.requests = static_cast<std::size_t>(table.integer("requests", 100));
     workload.seed = static_cast<std::uint64_t>(table.integer("seed", 1));
--- a/src/config/configuration_assembler.cpp
+++ b/src/config/configuration_assembler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::shared_ptr<const Configuration> readPiece(const StoredPiece &piece, ConfigErrors &errors)
+std::shared_ptr<const Configuration> parsePiece(const StoredPiece &piece, ConfigErrors &errors)
 {
     auto document = parseDocument(piece.name, piece.text, errors);
     if (!document)
@@ -20,27 +20,27 @@
 
 // Calls a function with each pair of maps of two configurations.
 template <typename Function>
-void forEachMap(Configuration &whole, const Configuration &part, const Function &function)
+void forEachMap(Configuration &merged, const Configuration &part, const Function &function)
 {
-    function(whole.failureDomains, part.failureDomains);
-    function(whole.teams, part.teams);
-    function(whole.models, part.models);
-    function(whole.upstreams, part.upstreams);
-    function(whole.routes, part.routes);
-    function(whole.stores, part.stores);
+    function(merged.failureDomains, part.failureDomains);
+    function(merged.teams, part.teams);
+    function(merged.models, part.models);
+    function(merged.upstreams, part.upstreams);
+    function(merged.routes, part.routes);
+    function(merged.stores, part.stores);
 }
 
-void remove(Configuration &whole, const Configuration &part)
+void removeEntries(Configuration &merged, const Configuration &part)
 {
-    forEachMap(whole, part, [](auto &from, const auto &entries) {
+    forEachMap(merged, part, [](auto &from, const auto &entries) {
         for (const auto &[name, it] : entries)
             from.erase(name);
     });
 }
 
-void add(Configuration &whole, const Configuration &part)
+void addEntries(Configuration &merged, const Configuration &part)
 {
-    forEachMap(whole, part,
+    forEachMap(merged, part,
                [](auto &to, const auto &entries) { to.insert(entries.begin(), entries.end()); });
 }
 
@@ -49,34 +49,35 @@
 std::shared_ptr<const Configuration>
 ConfigurationAssembler::assemble(const std::vector<StoredPiece> &pieces, ConfigErrors &errors)
 {
-    std::map<std::string, Part> parts;
-    std::vector<const Part *> fresh;
+    std::map<std::string, ParsedPiece> parsedPieces;
+    std::vector<const ParsedPiece *> newPieces;
     for (const StoredPiece &it : pieces) {
-        const auto known = m_parts.find(it.name);
-        if (known != m_parts.end() && known->second.sha256 == it.sha256) {
-            parts.insert(*known);
+        const auto previous = m_pieces.find(it.name);
+        if (previous != m_pieces.end() && previous->second.sha256 == it.sha256) {
+            parsedPieces.insert(*previous);
             continue;
         }
-        const auto part = readPiece(it, errors);
+        const auto part = parsePiece(it, errors);
         if (!part)
             return nullptr;
-        fresh.push_back(&(parts[it.name] = Part{it.sha256, part}));
+        newPieces.push_back(&(parsedPieces[it.name] = ParsedPiece{it.sha256, part}));
     }
     // A table may move from one piece to another: all that goes is taken out before anything is
     // added.
-    auto whole = std::make_shared<Configuration>(m_whole ? *m_whole : Configuration{});
-    for (const auto &[name, it] : m_parts) {
-        const auto kept = parts.find(name);
-        if (kept == parts.end() || kept->second.sha256 != it.sha256)
-            remove(*whole, *it.content);
+    auto merged
+        = std::make_shared<Configuration>(m_configuration ? *m_configuration : Configuration{});
+    for (const auto &[name, it] : m_pieces) {
+        const auto kept = parsedPieces.find(name);
+        if (kept == parsedPieces.end() || kept->second.sha256 != it.sha256)
+            removeEntries(*merged, *it.content);
     }
-    for (const Part *it : fresh)
-        add(*whole, *it->content);
-    const auto limits = parts.find("limits");
-    whole->limits = limits == parts.end() ? LimitsConfig{} : limits->second.content->limits;
-    m_parts = std::move(parts);
-    m_whole = whole;
-    return whole;
+    for (const ParsedPiece *it : newPieces)
+        addEntries(*merged, *it->content);
+    const auto limits = parsedPieces.find("limits");
+    merged->limits = limits == parsedPieces.end() ? LimitsConfig{} : limits->second.content->limits;
+    m_pieces = std::move(parsedPieces);
+    m_configuration = merged;
+    return merged;
 }
 
 } // namespace fordwood::config
--- a/src/config/configuration_assembler.hpp
+++ b/src/config/configuration_assembler.hpp
@@ -25,14 +25,14 @@
                                                   ConfigErrors &errors);
 
 private:
-    struct Part
+    struct ParsedPiece
     {
         std::string sha256;
         std::shared_ptr<const Configuration> content;
     };
 
-    std::map<std::string, Part> m_parts; // by the names of pieces
-    std::shared_ptr<const Configuration> m_whole;
+    std::map<std::string, ParsedPiece> m_pieces; // by the names of pieces
+    std::shared_ptr<const Configuration> m_configuration;
 };
 
 } // namespace fordwood::config
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 // Checks the tables of one set of documents and gathers what is sound and what is not.
-class Checker
+class SchemaChecker
 {
 public:
-    Checker(std::span<const Section> sections, ConfigErrors &errors)
+    SchemaChecker(std::span<const Section> sections, ConfigErrors &errors)
         : m_sections(sections), m_errors(errors)
     {
         for (const Section &it : sections)
@@ -31,19 +31,19 @@
             checkSection(key.str(), node);
     }
 
-    std::vector<CheckedTable> take() { return std::move(m_tables); }
+    std::vector<CheckedTable> takeTables() { return std::move(m_tables); }
 
 private:
-    void add(const toml::source_region &source, std::string field, std::string problem,
-             std::string expected)
+    void addError(const toml::source_region &source, std::string field, std::string problem,
+                  std::string expected)
     {
         m_errors.push_back({m_file, source.begin.line, source.begin.column, std::move(field),
                             std::move(problem), std::move(expected)});
     }
 
-    static std::string hint(std::string_view word, std::span<const std::string_view> known)
+    static std::string suggestion(std::string_view word, std::span<const std::string_view> known)
     {
-        const std::string best = nearest(word, known);
+        const std::string best = closestMatch(word, known);
         return best.empty() ? "a known key" : "\"" + best + "\"?";
     }
 
@@ -52,23 +52,23 @@
         const auto section = std::find_if(m_sections.begin(), m_sections.end(),
                                           [&](const Section &it) { return it.name == name; });
         if (section == m_sections.end())
-            return add(node.source(), std::string(name), "unknown section",
-                       "expected " + hint(name, m_sectionNames));
-        if (!section->repeated)
+            return addError(node.source(), std::string(name), "unknown section",
+                            "expected " + suggestion(name, m_sectionNames));
+        if (!section->isArray)
             return checkSingle(*section, node);
         const toml::array *array = node.as_array();
         if (array == nullptr)
-            return add(node.source(), std::string(name), "is not an array of tables",
-                       "expected [[" + std::string(name) + "]]");
+            return addError(node.source(), std::string(name), "is not an array of tables",
+                            "expected [[" + std::string(name) + "]]");
         for (const toml::node &it : *array)
             checkTable(*section, it);
     }
 
     void checkSingle(const Section &section, const toml::node &node)
     {
-        if (!m_seen.insert(section.name).second)
-            return add(node.source(), std::string(section.name), "is given twice",
-                       "expected one [" + std::string(section.name) + "] in all files");
+        if (!m_singleSections.insert(section.name).second)
+            return addError(node.source(), std::string(section.name), "is given twice",
+                            "expected one [" + std::string(section.name) + "] in all files");
         checkTable(section, node);
     }
 
@@ -76,9 +76,9 @@
     {
         const toml::table *table = node.as_table();
         if (table == nullptr)
-            return add(node.source(), std::string(section.name), "is not a table",
-                       "expected [" + std::string(section.name) + "]");
-        const std::size_t before = m_errors.size();
+            return addError(node.source(), std::string(section.name), "is not a table",
+                            "expected [" + std::string(section.name) + "]");
+        const std::size_t errorsBefore = m_errors.size();
         std::vector<std::string_view> names;
         for (const Field &field : section.fields) {
             names.push_back(field.name);
@@ -86,10 +86,10 @@
         }
         for (const auto &[key, value] : *table) {
             if (std::find(names.begin(), names.end(), key.str()) == names.end())
-                add(key.source(), fieldName(section, key.str()), "unknown key",
-                    "expected " + hint(key.str(), names));
+                addError(key.source(), fieldName(section, key.str()), "unknown key",
+                         "expected " + suggestion(key.str(), names));
         }
-        if (m_errors.size() == before)
+        if (m_errors.size() == errorsBefore)
             m_tables.emplace_back(m_file, section, *table);
     }
 
@@ -105,15 +105,15 @@
         const std::string expected = "expected " + std::string(typeName(field.type));
         if (node == nullptr) {
             if (field.required)
-                add(table.source(), name, "is missing", expected);
+                addError(table.source(), name, "is missing", expected);
             return;
         }
-        const std::string problem = faultOf(field, *node);
+        const std::string problem = findProblem(field, *node);
         if (!problem.empty())
-            add(node->source(), name, problem, expected + boundsOf(field));
+            addError(node->source(), name, problem, expected + boundsText(field));
     }
 
-    static std::string boundsOf(const Field &field)
+    static std::string boundsText(const Field &field)
     {
         if (field.type != FieldType::Integer && field.type != FieldType::Number
             && field.type != FieldType::Span)
@@ -121,43 +121,44 @@
         std::ostringstream out;
         out.precision(15);
         const char *unit = field.type == FieldType::Span ? " s" : "";
-        out << " from " << field.least << unit << " to " << field.most << unit;
+        out << " from " << field.min << unit << " to " << field.max << unit;
         return out.str();
     }
 
-    static std::string outside(const Field &field, double value)
+    static std::string findBoundsProblem(const Field &field, double value)
     {
-        if (std::isfinite(value) && value >= field.least && value <= field.most)
+        if (std::isfinite(value) && value >= field.min && value <= field.max)
             return "";
         std::ostringstream out;
         out << "is " << value;
         return out.str();
     }
 
-    static std::string faultOf(const Field &field, const toml::node &node)
+    static std::string findProblem(const Field &field, const toml::node &node)
     {
         std::string wrongType = "has the wrong type";
         switch (field.type) {
         case FieldType::Text:
         case FieldType::Address:
-            return faultOfText(field, node);
+            return findTextProblem(field, node);
         case FieldType::Integer:
-            return node.is_integer() ? outside(field, static_cast<double>(node.as_integer()->get()))
-                                     : wrongType;
+            return node.is_integer()
+                       ? findBoundsProblem(field, static_cast<double>(node.as_integer()->get()))
+                       : wrongType;
         case FieldType::Number:
-            return node.is_number() ? outside(field, *node.value<double>()) : wrongType;
+            return node.is_number() ? findBoundsProblem(field, *node.value<double>()) : wrongType;
         case FieldType::Flag:
             return node.is_boolean() ? "" : wrongType;
         case FieldType::Span:
-            return faultOfSpan(field, node);
+            return findSpanProblem(field, node);
         case FieldType::TextList:
         case FieldType::DigestList:
-            return faultOfList(field, node);
+            return findListProblem(field, node);
         }
         return wrongType;
     }
 
-    static std::string faultOfText(const Field &field, const toml::node &node)
+    static std::string findTextProblem(const Field &field, const toml::node &node)
     {
         if (!node.is_string())
             return "has the wrong type";
@@ -169,17 +170,17 @@
         return "";
     }
 
-    static std::string faultOfSpan(const Field &field, const toml::node &node)
+    static std::string findSpanProblem(const Field &field, const toml::node &node)
     {
         if (!node.is_string())
             return "has the wrong type";
         const auto span = parseSpan(node.as_string()->get());
         if (!span)
             return "is \"" + node.as_string()->get() + "\"";
-        return outside(field, std::chrono::duration<double>(*span).count());
+        return findBoundsProblem(field, std::chrono::duration<double>(*span).count());
     }
 
-    static std::string faultOfList(const Field &field, const toml::node &node)
+    static std::string findListProblem(const Field &field, const toml::node &node)
     {
         const toml::array *array = node.as_array();
         if (array == nullptr)
@@ -197,7 +198,7 @@
     std::span<const Section> m_sections;
     ConfigErrors &m_errors;
     std::vector<std::string_view> m_sectionNames;
-    std::set<std::string_view> m_seen;
+    std::set<std::string_view> m_singleSections;
     std::vector<CheckedTable> m_tables;
     std::string m_file;
 };
@@ -242,7 +243,7 @@
     return m_table->get(key) == nullptr ? fallback : parseSpan(text(key)).value_or(fallback);
 }
 
-std::vector<std::string> CheckedTable::texts(std::string_view key) const
+std::vector<std::string> CheckedTable::textList(std::string_view key) const
 {
     std::vector<std::string> result;
     const toml::node *node = m_table->get(key);
@@ -281,10 +282,10 @@
 std::vector<CheckedTable> checkDocuments(std::span<const Document> documents,
                                          std::span<const Section> sections, ConfigErrors &errors)
 {
-    Checker checker(sections, errors);
+    SchemaChecker checker(sections, errors);
     for (const Document &it : documents)
         checker.check(it);
-    return checker.take();
+    return checker.takeTables();
 }
 
 std::optional<Duration> parseSpan(std::string_view text)
@@ -334,14 +335,14 @@
     if (ec != std::errc() || rest != end || port < 1 || port > 65535)
         return false;
     std::string host(text.substr(0, colon));
-    in_addr four{};
-    in6_addr six{};
-    if (inet_pton(AF_INET, host.c_str(), &four) == 1)
+    in_addr ipv4{};
+    in6_addr ipv6{};
+    if (inet_pton(AF_INET, host.c_str(), &ipv4) == 1)
         return true;
     if (host.size() < 2 || host.front() != '[' || host.back() != ']')
         return false;
     host = host.substr(1, host.size() - 2);
-    return inet_pton(AF_INET6, host.c_str(), &six) == 1;
+    return inet_pton(AF_INET6, host.c_str(), &ipv6) == 1;
 }
 
 } // namespace fordwood::config
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -38,7 +38,7 @@
     double number(std::string_view key, double fallback) const;
     bool flag(std::string_view key, bool fallback) const;
     Duration span(std::string_view key, Duration fallback) const;
-    std::vector<std::string> texts(std::string_view key) const;
+    std::vector<std::string> textList(std::string_view key) const;
 
     std::string_view section() const { return m_section->name; }
     const toml::table &table() const { return *m_table; }
--- a/src/config/node_settings.cpp
+++ b/src/config/node_settings.cpp
@@ -30,13 +30,13 @@
 // Adds the regions that a list such as "domain=region" names.
 void readRegions(const CheckedTable &table, DomainRegions &regions, ConfigErrors &errors)
 {
-    for (const std::string &it : table.texts("regions")) {
-        const std::size_t sign = it.find('=');
-        if (sign == 0 || sign == std::string::npos || sign + 1 == it.size())
+    for (const std::string &it : table.textList("regions")) {
+        const std::size_t equalsSign = it.find('=');
+        if (equalsSign == 0 || equalsSign == std::string::npos || equalsSign + 1 == it.size())
             errors.push_back(table.error("regions", "\"" + it + "\" names no region",
                                          "\"failure domain=region\""));
         else
-            regions[it.substr(0, sign)] = it.substr(sign + 1);
+            regions[it.substr(0, equalsSign)] = it.substr(equalsSign + 1);
     }
 }
 
@@ -56,11 +56,11 @@
         peers.listen = table.text("listen");
         peers.gossipListen = table.text("gossip_listen");
         peers.metricsListen = table.text("metrics_listen");
-        peers.seeds = table.texts("seeds");
+        peers.seeds = table.textList("seeds");
         peers.gossipEvery = table.span("gossip_every", peers.gossipEvery);
     } else if (section == "store") {
         settings.store.address = table.text("address");
-        settings.store.leastLease = table.span("least_lease", settings.store.leastLease);
+        settings.store.minLease = table.span("least_lease", settings.store.minLease);
     } else if (section == "bounds") {
         BoundSettings &bounds = settings.bounds;
         bounds.stopWithin = table.span("stop_within", bounds.stopWithin);
@@ -91,10 +91,10 @@
 std::optional<OneProcessSettings> readOneProcessSettings(const std::string &path,
                                                          ConfigErrors &errors)
 {
-    const auto tables
-        = readSettingsTables(path, nodeSections(), {"node", "callers", "peers", "store"}, errors);
+    const auto read = readSettingsTables(path, nodeSettingsSections(),
+                                         {"node", "callers", "peers", "store"}, errors);
     OneProcessSettings settings;
-    for (const CheckedTable &it : tables.tables)
+    for (const CheckedTable &it : read.tables)
         readTable(it, settings, errors);
     settings.regions[settings.node.failureDomain] = settings.node.region;
     if (!errors.empty())
--- a/src/config/node_settings.hpp
+++ b/src/config/node_settings.hpp
@@ -33,7 +33,7 @@
 struct StoreSettings
 {
     std::string address;
-    Duration leastLease = std::chrono::seconds(1);
+    Duration minLease = std::chrono::seconds(1);
 };
 
 // How strong the VM is.
--- a/src/config/read_configuration.cpp
+++ b/src/config/read_configuration.cpp
@@ -16,10 +16,10 @@
 constexpr std::size_t kTablesPerPiece = 32;
 
 // Turns checked tables into a Configuration and checks what no single table can show.
-class Reader
+class ConfigurationReader
 {
 public:
-    explicit Reader(ConfigErrors &errors) : m_errors(errors) { }
+    explicit ConfigurationReader(ConfigErrors &errors) : m_errors(errors) { }
 
     void read(const std::vector<CheckedTable> &tables)
     {
@@ -33,30 +33,30 @@
             checkReferences(it);
     }
 
-    Configuration take() { return std::move(m_result); }
+    Configuration takeResult() { return std::move(m_result); }
 
 private:
     void readTable(const CheckedTable &table)
     {
         const std::string_view section = table.section();
         if (section == "limits")
-            m_result.limits = limitsOf(table);
+            m_result.limits = readLimits(table);
         else if (section == "failure_domain")
             add(table, m_result.failureDomains, "name",
                 FailureDomainConfig{table.text("name"), table.text("region")});
         else if (section == "team")
-            add(table, m_result.teams, "name", teamOf(table));
+            add(table, m_result.teams, "name", readTeam(table));
         else if (section == "model")
             add(table, m_result.models, "name",
                 ModelConfig{table.text("name"), table.text("weight_version")});
         else if (section == "upstream")
-            add(table, m_result.upstreams, "name", upstreamOf(table));
+            add(table, m_result.upstreams, "name", readUpstream(table));
         else if (section == "route")
             add(table, m_result.routes, "path",
                 RouteConfig{table.text("path"), table.text("service"),
                             table.flag("repeatable", false)});
         else if (section == "store")
-            add(table, m_result.stores, "name", storeOf(table));
+            add(table, m_result.stores, "name", readStore(table));
     }
 
     template <typename Map, typename Value>
@@ -68,7 +68,7 @@
                                            "expected each " + std::string(key) + " once"));
     }
 
-    static LimitsConfig limitsOf(const CheckedTable &table)
+    static LimitsConfig readLimits(const CheckedTable &table)
     {
         LimitsConfig limits;
         limits.defaultDeadline = table.span("default_deadline", limits.defaultDeadline);
@@ -80,19 +80,19 @@
         return limits;
     }
 
-    static TeamConfig teamOf(const CheckedTable &table)
+    static TeamConfig readTeam(const CheckedTable &table)
     {
         TeamConfig team;
         team.name = table.text("name");
         team.share = table.number("share", 1.0);
         team.priority = static_cast<int>(table.integer("priority", 0));
         team.maxRunning = table.integer("max_running", 0);
-        for (const std::string &it : table.texts("key_sha256"))
+        for (const std::string &it : table.textList("key_sha256"))
             team.keyDigests.push_back(*parseDigest(it));
         return team;
     }
 
-    static UpstreamConfig upstreamOf(const CheckedTable &table)
+    static UpstreamConfig readUpstream(const CheckedTable &table)
     {
         UpstreamConfig upstream;
         upstream.name = table.text("name");
@@ -100,7 +100,7 @@
             = table.text("kind") == "service" ? UpstreamKind::Service : UpstreamKind::Engine;
         upstream.failureDomain = table.text("failure_domain");
         upstream.address = table.text("address");
-        upstream.models = table.texts("models");
+        upstream.models = table.textList("models");
         upstream.service = table.text("service");
         upstream.slots = static_cast<std::size_t>(table.integer("slots", 1));
         upstream.prefillTokensPerSecond
@@ -113,7 +113,7 @@
         return upstream;
     }
 
-    static StoreConfig storeOf(const CheckedTable &table)
+    static StoreConfig readStore(const CheckedTable &table)
     {
         StoreConfig store;
         store.name = table.text("name");
@@ -131,8 +131,8 @@
         if (section == "upstream")
             checkUpstream(table);
         if (section == "upstream" || section == "store")
-            checkKnown(table, "failure_domain", table.text("failure_domain"),
-                       m_result.failureDomains, "a [[failure_domain]]");
+            checkDeclared(table, "failure_domain", table.text("failure_domain"),
+                          m_result.failureDomains, "a [[failure_domain]]");
         if (section == "route")
             checkRoute(table);
         if (section == "team")
@@ -143,10 +143,10 @@
     }
 
     template <typename Map>
-    void checkKnown(const CheckedTable &table, std::string_view key, const std::string &name,
-                    const Map &known, const std::string &what)
+    void checkDeclared(const CheckedTable &table, std::string_view key, const std::string &name,
+                       const Map &declared, const std::string &what)
     {
-        if (known.count(name) == 0)
+        if (declared.count(name) == 0)
             m_errors.push_back(table.error(key, "\"" + name + "\" is not declared",
                                            "expected the name of " + what));
     }
@@ -154,18 +154,18 @@
     void checkUpstream(const CheckedTable &table)
     {
         const std::string kind = table.text("kind");
-        const bool engine = kind == "engine";
-        if (!engine && kind != "service")
+        const bool isEngine = kind == "engine";
+        if (!isEngine && kind != "service")
             m_errors.push_back(
                 table.error("kind", "is \"" + kind + "\"", "expected \"engine\" or \"service\""));
-        if (engine && table.texts("models").empty())
+        if (isEngine && table.textList("models").empty())
             m_errors.push_back(
                 table.error("models", "is empty", "expected the models that the engine serves"));
         if (kind == "service" && table.text("service").empty())
             m_errors.push_back(
                 table.error("service", "is missing", "expected the name of the plain service"));
-        for (const std::string &it : table.texts("models"))
-            checkKnown(table, "models", it, m_result.models, "a [[model]]");
+        for (const std::string &it : table.textList("models"))
+            checkDeclared(table, "models", it, m_result.models, "a [[model]]");
     }
 
     void checkRoute(const CheckedTable &table)
@@ -185,9 +185,9 @@
 
     void checkTeam(const CheckedTable &table)
     {
-        for (const std::string &it : table.texts("key_sha256")) {
-            const auto [owner, fresh] = m_keyOwners.emplace(it, table.text("name"));
-            if (!fresh)
+        for (const std::string &it : table.textList("key_sha256")) {
+            const auto [owner, isNew] = m_keyOwners.emplace(it, table.text("name"));
+            if (!isNew)
                 m_errors.push_back(table.error("key_sha256",
                                                "shares a key with another team or entry",
                                                "expected each digest once"));
@@ -207,10 +207,10 @@
 
 using Tables = std::map<std::string, const toml::table *>;
 
-void cutSection(const Section &section, const Tables &tables, std::vector<ConfigPiece> &pieces)
+void splitSection(const Section &section, const Tables &tables, std::vector<ConfigPiece> &pieces)
 {
-    const std::size_t wanted = (tables.size() + kTablesPerPiece - 1) / kTablesPerPiece;
-    const std::size_t count = std::bit_ceil(std::max<std::size_t>(1, wanted));
+    const std::size_t minPieces = (tables.size() + kTablesPerPiece - 1) / kTablesPerPiece;
+    const std::size_t count = std::bit_ceil(std::max<std::size_t>(1, minPieces));
     std::vector<toml::array> buckets(count);
     for (const auto &[name, table] : tables)
         buckets[stableHash(name) & (count - 1)].push_back(*table);
@@ -232,27 +232,27 @@
 std::optional<Configuration> readConfiguration(std::span<const Document> documents,
                                                ConfigErrors &errors)
 {
-    const std::size_t before = errors.size();
+    const std::size_t errorsBefore = errors.size();
     const auto tables = checkDocuments(documents, configurationSections(), errors);
-    Reader reader(errors);
+    ConfigurationReader reader(errors);
     reader.read(tables);
     reader.checkAllReferences(tables);
-    if (errors.size() != before)
+    if (errors.size() != errorsBefore)
         return std::nullopt;
-    return reader.take();
+    return reader.takeResult();
 }
 
 std::optional<Configuration> readTables(std::span<const Document> documents, ConfigErrors &errors)
 {
-    const std::size_t before = errors.size();
-    Reader reader(errors);
+    const std::size_t errorsBefore = errors.size();
+    ConfigurationReader reader(errors);
     reader.read(checkDocuments(documents, configurationSections(), errors));
-    if (errors.size() != before)
+    if (errors.size() != errorsBefore)
         return std::nullopt;
-    return reader.take();
+    return reader.takeResult();
 }
 
-std::vector<ConfigPiece> cutPieces(std::span<const Document> documents)
+std::vector<ConfigPiece> splitIntoPieces(std::span<const Document> documents)
 {
     std::vector<ConfigPiece> pieces;
     for (const Section &section : configurationSections()) {
@@ -261,7 +261,7 @@
             const toml::node *node = document.table.get(section.name);
             if (node == nullptr)
                 continue;
-            if (!section.repeated) {
+            if (!section.isArray) {
                 std::ostringstream out;
                 out << toml::table{{section.name, *node->as_table()}} << "\n";
                 pieces.push_back({std::string(section.name), out.str()});
@@ -272,8 +272,8 @@
                 tables[table.get(identityKey(section.name))->value_or(std::string())] = &table;
             }
         }
-        if (section.repeated)
-            cutSection(section, tables, pieces);
+        if (section.isArray)
+            splitSection(section, tables, pieces);
     }
     return pieces;
 }
--- a/src/config/read_configuration.hpp
+++ b/src/config/read_configuration.hpp
@@ -33,7 +33,7 @@
 
 // Cuts checked documents into pieces. The same content gives the same pieces whatever the files,
 // order and comments; a changed table changes one piece.
-std::vector<ConfigPiece> cutPieces(std::span<const Document> documents);
+std::vector<ConfigPiece> splitIntoPieces(std::span<const Document> documents);
 
 // SHA-256 of bytes as 64 lower-case hexadecimal digits.
 std::string sha256Hex(std::string_view bytes);
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -143,7 +143,7 @@
      "`peers.listen` of other nodes, asked while the store does not answer."},
     {"gossip_every", Span, false, 0.01, 10, "200ms", "Time between two messages to each peer."},
 };
-constexpr Field kStoreOfNode[] = {
+constexpr Field kNodeStore[] = {
     {"address", Address, true, 0, 0, "", "Address of the platform's key-value store (HTTP)."},
     {"least_lease", Span, false, 0.1, 600, "1s", "Shortest lease that the store grants."},
 };
@@ -206,7 +206,7 @@
     {"node", false, kNode, "Who this VM is."},
     {"callers", false, kCallers, "Where callers are served."},
     {"peers", false, kPeers, "What passes between nodes."},
-    {"store", false, kStoreOfNode, "Where the platform's store is."},
+    {"store", false, kNodeStore, "Where the platform's store is."},
     {"bounds", false, kBounds, "What the platform's rules bound."},
     {"places", false, kPlaces, "Where the failure domains are."},
     {"vm", false, kVm, "How strong the VM is: the strongest nodes work for the others."},
@@ -214,7 +214,7 @@
      "Parts of the decisions, to be switched off one by one where their worth is measured."},
     {"log", false, kLog, "How events are written."},
 };
-constexpr Section kSettings[] = {
+constexpr Section kEntrySettings[] = {
     {"node", false, kNode, "Who this VM is."},
     {"entry", false, kEntry, "Read by `fordwood-entryd`."},
     {"control", false, kControl,
@@ -240,14 +240,14 @@
     return row.back();
 }
 
-std::string bounds(const Field &field)
+std::string boundsText(const Field &field)
 {
     if (field.type != Integer && field.type != Number && field.type != Span)
         return "";
     std::ostringstream out;
     out.precision(15);
     const char *unit = field.type == Span ? " s" : "";
-    out << field.least << unit << " to " << field.most << unit;
+    out << field.min << unit << " to " << field.max << unit;
     return out.str();
 }
 
@@ -258,12 +258,12 @@
     return kConfiguration;
 }
 
-std::span<const Section> settingsSections()
+std::span<const Section> entrySettingsSections()
 {
-    return kSettings;
+    return kEntrySettings;
 }
 
-std::span<const Section> nodeSections()
+std::span<const Section> nodeSettingsSections()
 {
     return kNodeSettings;
 }
@@ -277,13 +277,13 @@
         out << "- [" << section.name << "](#" << section.name << ")\n";
     for (const Section &section : sections) {
         out << "\n## " << section.name << "\n\n"
-            << section.text << " Written as `" << (section.repeated ? "[[" : "[") << section.name
-            << (section.repeated ? "]]" : "]") << "`.\n\n"
+            << section.description << " Written as `" << (section.isArray ? "[[" : "[")
+            << section.name << (section.isArray ? "]]" : "]") << "`.\n\n"
             << "| key | type | default | bounds | meaning |\n|---|---|---|---|---|\n";
         for (const Field &field : section.fields) {
             out << "| `" << field.name << "` | " << typeName(field.type) << " | "
-                << (field.required ? "required" : field.fallback) << " | " << bounds(field) << " | "
-                << field.text << " |\n";
+                << (field.required ? "required" : field.defaultValue) << " | " << boundsText(field)
+                << " | " << field.description << " |\n";
         }
     }
     return out.str();
@@ -312,18 +312,18 @@
     return "";
 }
 
-std::string nearest(std::string_view word, std::span<const std::string_view> candidates)
+std::string closestMatch(std::string_view word, std::span<const std::string_view> candidates)
 {
-    std::string_view best;
-    std::size_t least = std::max<std::size_t>(2, word.size() / 2) + 1;
+    std::string_view closest;
+    std::size_t minDistance = std::max<std::size_t>(2, word.size() / 2) + 1;
     for (const std::string_view it : candidates) {
         const std::size_t distance = editDistance(word, it);
-        if (distance < least) {
-            least = distance;
-            best = it;
+        if (distance < minDistance) {
+            minDistance = distance;
+            closest = it;
         }
     }
-    return std::string(best);
+    return std::string(closest);
 }
 
 } // namespace fordwood::config
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -16,29 +16,29 @@
     std::string_view name;
     FieldType type;
     bool required;
-    double least;
-    double most;
-    std::string_view fallback; // as shown in the reference
-    std::string_view text; // one sentence with the unit
+    double min;
+    double max;
+    std::string_view defaultValue; // as shown in the reference
+    std::string_view description; // one sentence with the unit
 };
 
 // One table, or array of tables, of a TOML text.
 struct Section
 {
     std::string_view name;
-    bool repeated;
+    bool isArray;
     std::span<const Field> fields;
-    std::string_view text;
+    std::string_view description;
 };
 
 // The sections of an operators' configuration.
 std::span<const Section> configurationSections();
 
 // The sections of one process's settings.
-std::span<const Section> settingsSections();
+std::span<const Section> entrySettingsSections();
 
 // The sections of the settings of a node that runs as one process.
-std::span<const Section> nodeSections();
+std::span<const Section> nodeSettingsSections();
 
 // The reference page of a set of sections, in Markdown.
 std::string referencePage(std::span<const Section> sections, std::string_view title,
@@ -48,7 +48,7 @@
 std::string_view typeName(FieldType type);
 
 // The candidate that differs least from the word, or empty when all differ much.
-std::string nearest(std::string_view word, std::span<const std::string_view> candidates);
+std::string closestMatch(std::string_view word, std::span<const std::string_view> candidates);
 
 } // namespace fordwood::config
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -34,7 +34,7 @@
         entry.stopTimeout = table.span("stop_timeout", entry.stopTimeout);
     } else if (section == "control") {
         settings.control
-            = {table.text("listen"), table.text("metrics_listen"), table.texts("seeds")};
+            = {table.text("listen"), table.text("metrics_listen"), table.textList("seeds")};
     } else if (section == "platform") {
         settings.platform = {table.text("key_value"), table.text("vm_list"),
                              table.span("vm_list_period", std::chrono::seconds(1))};
@@ -60,36 +60,36 @@
                                   std::initializer_list<std::string_view> required,
                                   ConfigErrors &errors)
 {
-    SettingsTables read;
+    SettingsTables result;
     const auto text = readFile(path, errors);
     if (!text)
-        return read;
+        return result;
     auto document = parseDocument(path, *text, errors);
     if (!document)
-        return read;
-    read.documents.push_back(std::move(*document));
-    read.tables = checkDocuments(read.documents, sections, errors);
-    std::set<std::string_view> seen;
-    for (const CheckedTable &it : read.tables) {
-        seen.insert(it.section());
+        return result;
+    result.documents.push_back(std::move(*document));
+    result.tables = checkDocuments(result.documents, sections, errors);
+    std::set<std::string_view> present;
+    for (const CheckedTable &it : result.tables) {
+        present.insert(it.section());
         const std::string format = it.section() == "log" ? it.text("format", "text") : "text";
         if (format != "text" && format != "json")
             errors.push_back(
                 it.error("format", "is \"" + format + "\"", "expected \"text\" or \"json\""));
     }
     for (const std::string_view it : required) {
-        if (errors.empty() && seen.count(it) == 0)
+        if (errors.empty() && present.count(it) == 0)
             errors.push_back({path, 0, 0, std::string(it), "is missing", "expected the section"});
     }
-    return read;
+    return result;
 }
 
 std::optional<Settings> readSettings(const std::string &path, ConfigErrors &errors)
 {
-    const auto read = readSettingsTables(path, settingsSections(),
-                                         {"node", "entry", "control", "platform"}, errors);
+    const auto result = readSettingsTables(path, entrySettingsSections(),
+                                           {"node", "entry", "control", "platform"}, errors);
     Settings settings;
-    for (const CheckedTable &it : read.tables)
+    for (const CheckedTable &it : result.tables)
         readTable(it, settings);
     if (!errors.empty())
         return std::nullopt;
--- a/src/node/admitted_call.cpp
+++ b/src/node/admitted_call.cpp
@@ -18,7 +18,7 @@
 CallPolicy policyOf(const ServiceRoute &route, const platform::CallerHead &caller,
                     TimePoint arrived)
 {
-    std::chrono::milliseconds timeout = caller.patience.value_or(kDefaultTimeout);
+    std::chrono::milliseconds timeout = caller.timeout.value_or(kDefaultTimeout);
     if (route.timeout.count() > 0)
         timeout = std::min(timeout, route.timeout);
     CallPolicy terms;
--- a/src/node/call_handler.cpp
+++ b/src/node/call_handler.cpp
@@ -298,7 +298,7 @@
         return;
     }
     m_state.recordLimit(m_caller.requestId, *m_attempt);
-    if (m_attempt->head.notRun || !isSuccess(head.result_int()))
+    if (m_attempt->head.hasNotRun || !isSuccess(head.result_int()))
         return;
     if (!m_attempt->head.isSealed) {
         m_state.health().answeredWithError(m_attempt->upstream.instanceId);
@@ -311,7 +311,7 @@
 {
     const auto self = shared_from_this();
     m_state.health().dataReceived(m_attempt->upstream.instanceId);
-    if (isStreamed() && !m_attempt->head.notRun)
+    if (isStreamed() && !m_attempt->head.hasNotRun)
         return forwardEvents(bytes);
     m_attempt->body.append(bytes);
     return true;
@@ -383,7 +383,7 @@
     const unsigned status = m_attempt->answer->result_int();
     const std::string id = m_attempt->upstream.instanceId;
     UpstreamHealth &health = m_state.health();
-    if (m_attempt->head.notRun) {
+    if (m_attempt->head.hasNotRun) {
         handleRejection();
         return;
     }
@@ -441,8 +441,8 @@
 void CallHandler::handleRejection()
 {
     const std::string id = m_attempt->upstream.instanceId;
-    const bool isOtherInstance = platform::isOfAnother(m_attempt->head, id);
-    const bool isMismatch = m_attempt->head.wrongInstance;
+    const bool isOtherInstance = platform::isFromOtherInstance(m_attempt->head, id);
+    const bool isMismatch = m_attempt->head.isInstanceMismatch;
     // An engine that rejects a request only because the node assumed other weights is healthy and
     // needs no pause: from now on it gets the requests for the weights that it runs. Without this
     // correction the engine rejected every request that the node sent it after each pause.
--- a/src/node/context_store_watcher.cpp
+++ b/src/node/context_store_watcher.cpp
@@ -112,7 +112,7 @@
         reportUnreachable(store);
         return;
     }
-    if (events->isGap) {
+    if (events->hasGap) {
         requestList(store);
         return;
     }
@@ -153,7 +153,7 @@
                  {{"store", store->config.name}, {"epoch", events.cursor.epoch}});
     store->isReachable = true;
     store->cursor = events.cursor;
-    m_publish(ContextStoreTold{events.news, m_clock.now()});
+    m_publish(ContextStoreTold{events.update, m_clock.now()});
     pollAfter(store, kBatchDelay);
 }
 
--- a/src/node/control_duty.cpp
+++ b/src/node/control_duty.cpp
@@ -71,7 +71,7 @@
 
 NamingMarks::Limits markLimits(const config::OneProcessSettings &settings)
 {
-    return {settings.bounds.weightsWithin - kMarkMargin, settings.store.leastLease};
+    return {settings.bounds.weightsWithin - kMarkMargin, settings.store.minLease};
 }
 
 } // namespace
--- a/src/node/control_limits.cpp
+++ b/src/node/control_limits.cpp
@@ -24,7 +24,7 @@
 FencedLock::Limits lockLimits(const config::OneProcessSettings &settings)
 {
     FencedLock::Limits limits;
-    limits.ttl = std::max(limits.ttl, settings.store.leastLease);
+    limits.ttl = std::max(limits.ttl, settings.store.minLease);
     limits.quietTime = settings.bounds.orderLease;
     return limits;
 }
--- a/src/node/naming_marks.cpp
+++ b/src/node/naming_marks.cpp
@@ -82,21 +82,21 @@
     if (write.isBusy || asked < write.next)
         return;
     write.isBusy = true;
-    m_store.send(platform::grantCall(lease),
-                 [this, naming, after, asked, lease](const HttpResult &result) {
-                     const auto granted = platform::readGrant(result);
-                     const bool isLate = m_clock.now() - asked > kLongestGrant;
-                     const bool isOwn = granted && granted->lease.isValidIn(m_store.epoch());
-                     if (isOwn && !isLate && granted->life <= lease) {
-                         put(naming, after, granted->lease.id);
-                         return;
-                     }
-                     if (isOwn)
-                         m_store.send(platform::endCall(granted->lease.id), [](const HttpResult &) {
-                             // A lease without a key harms nobody.
-                         });
-                     finished(naming);
-                 });
+    m_store.send(
+        platform::grantCall(lease), [this, naming, after, asked, lease](const HttpResult &result) {
+            const auto granted = platform::readGrant(result);
+            const bool isLate = m_clock.now() - asked > kLongestGrant;
+            const bool isOwn = granted && granted->lease.isValidIn(m_store.epoch());
+            if (isOwn && !isLate && granted->ttl <= lease) {
+                put(naming, after, granted->lease.id);
+                return;
+            }
+            if (isOwn)
+                m_store.send(platform::revokeCall(granted->lease.id), [](const HttpResult &) {
+                    // A lease without a key harms nobody.
+                });
+            finished(naming);
+        });
 }
 
 void NamingMarks::put(const Naming &naming, std::uint64_t after, std::int64_t lease)
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -228,7 +228,7 @@
 
 void NodeState::recordUpstreamState(const std::string &requestId, const UpstreamAttempt &attempt)
 {
-    if (platform::isOfAnother(attempt.head, attempt.upstream.instanceId))
+    if (platform::isFromOtherInstance(attempt.head, attempt.upstream.instanceId))
         return;
     if (attempt.head.isDraining)
         recordDraining(attempt.upstream.instanceId, requestId);
@@ -264,7 +264,7 @@
 {
     const platform::AnswerHead &head = attempt.head;
     const std::string &id = attempt.upstream.instanceId;
-    if (head.wrongInstance || m_upstreams.find(id) == nullptr)
+    if (head.isInstanceMismatch || m_upstreams.find(id) == nullptr)
         return;
     if (head.limit.isUnreadable)
         m_limitLog.unreadable(id, requestId);
--- a/src/node/order_duty.cpp
+++ b/src/node/order_duty.cpp
@@ -148,7 +148,7 @@
     else if (const auto *keeping = std::get_if<RenewLease>(&action))
         keep(*keeping);
     else if (const auto *ending = std::get_if<RevokeLease>(&action))
-        m_store.send(platform::endCall(ending->lease), [](const HttpResult &) {
+        m_store.send(platform::revokeCall(ending->lease), [](const HttpResult &) {
             // A lease that is not ended runs out by itself.
         });
 }
@@ -160,7 +160,7 @@
         const auto granted = platform::readGrant(result);
         m_lock.storeRestored(m_store.epoch());
         if (granted)
-            m_lock.leaseGranted(granted->lease.id, granted->life, asked);
+            m_lock.leaseGranted(granted->lease.id, granted->ttl, asked);
         else
             m_lock.leaseNotGranted();
         for (const LockAction &it : m_lock.tick())
@@ -181,8 +181,8 @@
 void OrderDuty::keep(const RenewLease &action)
 {
     const TimePoint asked = m_clock.now();
-    m_store.send(platform::keepCall(action.lease), [this, asked](const HttpResult &result) {
-        const auto kept = platform::readKeep(result);
+    m_store.send(platform::renewCall(action.lease), [this, asked](const HttpResult &result) {
+        const auto kept = platform::readRenewal(result);
         m_lock.storeRestored(m_store.epoch());
         if (kept && *kept)
             m_lock.leaseRenewed(**kept, asked);
--- a/src/node/own_key.cpp
+++ b/src/node/own_key.cpp
@@ -68,8 +68,8 @@
 
 void OwnKey::keep()
 {
-    m_store.send(platform::keepCall(m_lease.id), [this](const HttpResult &result) {
-        const auto kept = platform::readKeep(result);
+    m_store.send(platform::renewCall(m_lease.id), [this](const HttpResult &result) {
+        const auto kept = platform::readRenewal(result);
         retry();
         if (!kept)
             return;
@@ -86,7 +86,7 @@
 {
     m_isRemoved = true;
     if (isLeased())
-        m_store.send(platform::endCall(m_lease.id), [](const HttpResult &) {
+        m_store.send(platform::revokeCall(m_lease.id), [](const HttpResult &) {
             // A lease that is not ended runs out by itself.
         });
 }
--- a/src/node/quarantine_duty.cpp
+++ b/src/node/quarantine_duty.cpp
@@ -155,8 +155,8 @@
 void QuarantineDuty::takeBack(const RequestFingerprint &request, Write &write)
 {
     write.isBusy = true;
-    m_store.send(platform::endCall(write.lease.id), [this, request](const HttpResult &result) {
-        if (platform::readEnd(result))
+    m_store.send(platform::revokeCall(write.lease.id), [this, request](const HttpResult &result) {
+        if (platform::readRevocation(result))
             m_writes[request].lease = {};
         retry(request);
     });
--- a/src/node/upstream_choice.cpp
+++ b/src/node/upstream_choice.cpp
@@ -189,10 +189,10 @@
                                     const UpstreamAttempt &attempt,
                                     const UpstreamHeadOptions &options)
 {
-    platform::UpstreamStamp stamp;
+    platform::SystemFields stamp;
     stamp.instanceId = attempt.upstream.instanceId;
     stamp.team = call.team != nullptr ? call.team->name : "";
-    stamp.patience = options.remainingTime;
+    stamp.timeout = options.remainingTime;
     stamp.resumeFrom = options.resumeFrom;
     if (attempt.engine.weightVersion > 0) {
         stamp.weightVersion = attempt.engine.weightVersion;
@@ -200,7 +200,7 @@
         stamp.fetchFrom = attempt.engine.fetchFrom;
         stamp.saveTo = attempt.engine.saveTo;
         if (attempt.engine.isFetching())
-            stamp.fetchUntil = attempt.fetchDeadline;
+            stamp.fetchDeadline = attempt.fetchDeadline;
         stamp.priority = enginePriority(call, attempt.engine, options.shortFirst);
     }
     http::request_header<> result;
--- a/tests/node/decoder_fuzz_test.cpp
+++ b/tests/node/decoder_fuzz_test.cpp
@@ -159,7 +159,7 @@
          R"({"private-key":"b","revision":413,"gone":true}],"at":413})"},
         5, [](const std::string &it) { return !!readWatch(replyOf(it), 411); });
     feed({R"({"lease":77120,"ttl_ms":3000})"}, 6,
-         [](const std::string &it) { return readGrant(replyOf(it)) && readKeep(replyOf(it)); });
+         [](const std::string &it) { return readGrant(replyOf(it)) && readRenewal(replyOf(it)); });
     feed({R"({"revision":9})"}, 7,
          [](const std::string &it) { return readPut(replyOf(it)).result == WriteResult::Done; });
 }
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -44,7 +44,7 @@
     fields.set("Last-Event-Id", "12");
     const CallerHead head = readCallerHead(fields);
     CHECK(head.requestId == "9c41");
-    CHECK(head.patience == 6s);
+    CHECK(head.timeout == 6s);
     CHECK(head.teamKey == "key");
     CHECK(head.resumeFrom == 12);
     REQUIRE(head.prompt);
@@ -123,7 +123,7 @@
     fields.set("Token-Usage", "many");
     fields.set("Prompt-Prefix", ":,x:y,:7");
     const CallerHead head = readCallerHead(fields);
-    CHECK_FALSE(head.patience);
+    CHECK_FALSE(head.timeout);
     CHECK_FALSE(head.resumeFrom);
     REQUIRE(head.prompt);
     CHECK(head.prompt->tokensIn == 0);
@@ -143,9 +143,9 @@
          {"Tenant", "Cache-Salt", "Kv-Fetch", "Kv-Save", "Kv-From", "Kv-Backup", "Kv-Until", "Hold",
           "Pin-Ms", "Expect-Instance", "Expect-Version", "Priority"})
         caller.set(it, "forged");
-    UpstreamStamp stamp;
+    SystemFields stamp;
     stamp.instanceId = "i-1";
-    stamp.patience = 900ms;
+    stamp.timeout = 900ms;
     Fields head;
     writeUpstreamHead(caller, stamp, head);
     for (const auto &it : head) {
@@ -162,17 +162,17 @@
 
 TEST_CASE("upstreams: the stamp of a request to an engine [platform]")
 {
-    UpstreamStamp stamp;
+    SystemFields stamp;
     stamp.instanceId = "i-1";
     stamp.team = "a";
-    stamp.patience = 900ms;
+    stamp.timeout = 900ms;
     stamp.resumeFrom = 7;
     stamp.priority = 23;
     stamp.weightVersion = 3;
     stamp.contextSalt = "salt";
     stamp.fetchFrom = {"", "10.0.0.1:80", ""};
     stamp.saveTo = {"", "", ""};
-    stamp.fetchUntil = 12'345ms;
+    stamp.fetchDeadline = 12'345ms;
     Fields head;
     writeUpstreamHead({}, stamp, head);
     CHECK(textOf(head, "Tenant") == "a");
@@ -188,20 +188,22 @@
 TEST_CASE("answers: which of them say that the request has not run [platform][not-run]")
 {
     Fields fields;
-    CHECK_FALSE(readAnswerHead(503, fields).notRun);
-    CHECK(readAnswerHead(421, fields).notRun);
-    CHECK(readAnswerHead(421, fields).wrongInstance);
-    CHECK_FALSE(isOfAnother(readAnswerHead(421, fields), "i-1")); // it does not say who it is
+    CHECK_FALSE(readAnswerHead(503, fields).hasNotRun);
+    CHECK(readAnswerHead(421, fields).hasNotRun);
+    CHECK(readAnswerHead(421, fields).isInstanceMismatch);
+    CHECK_FALSE(
+        isFromOtherInstance(readAnswerHead(421, fields), "i-1")); // it does not say who it is
     fields.set("Instance-Id", "i-2");
-    CHECK(isOfAnother(readAnswerHead(421, fields), "i-1"));
-    CHECK(isOfAnother(readAnswerHead(421, fields), "i-1@1796000000000"));
-    CHECK_FALSE(isOfAnother(readAnswerHead(421, fields), "i-2@1796000000000")); // other weights
-    CHECK_FALSE(isOfAnother(readAnswerHead(503, fields), "i-1"));
+    CHECK(isFromOtherInstance(readAnswerHead(421, fields), "i-1"));
+    CHECK(isFromOtherInstance(readAnswerHead(421, fields), "i-1@1796000000000"));
+    CHECK_FALSE(
+        isFromOtherInstance(readAnswerHead(421, fields), "i-2@1796000000000")); // other weights
+    CHECK_FALSE(isFromOtherInstance(readAnswerHead(503, fields), "i-1"));
     fields.set("Not-Executed", "1");
     fields.set("Keep-Alive", "max=5, timeout=7");
     fields.set("Response-Seal", "x");
     const AnswerHead head = readAnswerHead(503, fields);
-    CHECK(head.notRun);
+    CHECK(head.hasNotRun);
     CHECK(head.isSealed);
     CHECK(head.keepAlive == 7s);
 }
@@ -337,10 +339,10 @@
 TEST_CASE(
     "upstreams: what is sent to one names it as it knows itself, in whichever life [platform]")
 {
-    const std::string instance = instanceIdOf("i-7", WallTime(1'796'000'000'000ms));
-    CHECK(announcedPart(instance) == "i-7");
-    CHECK(announcedPart("i-7") == "i-7");
-    UpstreamStamp stamp;
+    const std::string instance = makeInstanceId("i-7", WallTime(1'796'000'000'000ms));
+    CHECK(announcedIdOfInstance(instance) == "i-7");
+    CHECK(announcedIdOfInstance("i-7") == "i-7");
+    SystemFields stamp;
     stamp.instanceId = instance;
     Fields head;
     writeUpstreamHead({}, stamp, head);
@@ -376,13 +378,13 @@
 {
     CHECK(readWatch(replyOf(410, ""), 1).error() == StoreFailure::HistoryLost);
     CHECK(readWatch(replyOf(503, ""), 1).error() == StoreFailure::Refused);
-    CHECK(readWatch(replyOf(200, "{"), 1).error() == StoreFailure::Damaged);
+    CHECK(readWatch(replyOf(200, "{"), 1).error() == StoreFailure::Malformed);
     CHECK(readWatch(tl::unexpected(node::HttpFailure::NoAnswer), 1).error()
           == StoreFailure::NoAnswer);
     CHECK(readRange(replyOf(200, R"({"items":[{"private-key":"a","value":"*","revision":1,
         "made":1}],"at":1})"))
               .error()
-          == StoreFailure::Damaged);
+          == StoreFailure::Malformed);
 }
 
 TEST_CASE("store: a write without an answer may have been done; one that was not sent was not "
@@ -431,15 +433,15 @@
                                         "store");
     REQUIRE(events);
     CHECK(events->cursor.next == 120);
-    CHECK(events->news.clock == 5s);
-    REQUIRE(events->news.changes.size() == 2);
-    CHECK(events->news.changes[0].held);
-    CHECK_FALSE(events->news.changes[1].held);
+    CHECK(events->update.clock == 5s);
+    REQUIRE(events->update.changes.size() == 2);
+    CHECK(events->update.changes[0].held);
+    CHECK_FALSE(events->update.changes[1].held);
     const auto list = readStoreList(replyOf(200, R"({"epoch":77,"next-token":5,
         "held":[["s1","5c1e",800,"m"]]})"),
                                     "store");
     REQUIRE(list);
-    CHECK(list->news.isSnapshot);
+    CHECK(list->update.isSnapshot);
 }
 
 TEST_CASE("refusals: a status that promises \"not run\" stands only where that is true [not-run]")
--- a/tests/node/upstream_state_test.cpp
+++ b/tests/node/upstream_state_test.cpp
@@ -27,7 +27,7 @@
     void write(const std::string &id, int host, int life = 1)
     {
         UpstreamRecord record;
-        record.instanceId = platform::instanceIdOf(id, WallTime(std::chrono::milliseconds(life)));
+        record.instanceId = platform::makeInstanceId(id, WallTime(std::chrono::milliseconds(life)));
         record.announcedId = id;
         record.service = "board";
         record.address = ownAddress(host);
--- a/tests/unit/configuration_test.cpp
+++ b/tests/unit/configuration_test.cpp
@@ -55,7 +55,7 @@
     ConfigErrors errors;
     std::vector<Document> documents{*parseDocument("f.toml", text, errors)};
     std::map<std::string, std::string> pieces;
-    for (const ConfigPiece &it : cutPieces(documents))
+    for (const ConfigPiece &it : splitIntoPieces(documents))
         pieces[it.name] = it.text;
     return pieces;
 }
--- a/tests/unit/node_settings_test.cpp
+++ b/tests/unit/node_settings_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-const char *const kSound = "[node]\n"
+const char *const kValid = "[node]\n"
                            "name = \"n1\"\n"
                            "failure_domain = \"x\"\n"
                            "region = \"r\"\n"
@@ -29,7 +29,7 @@
                            "[store]\n"
                            "address = \"127.0.0.1:7000\"\n";
 
-struct Reading
+struct ReadResult
 {
     std::optional<OneProcessSettings> settings;
     ConfigErrors errors;
@@ -47,24 +47,24 @@
 };
 
 // Reads a settings file with this text.
-Reading readText(const std::string &text)
+ReadResult readText(const std::string &text)
 {
     const std::string path = std::filesystem::temp_directory_path()
                              / ("fordwood-settings-" + std::to_string(getpid()) + ".toml");
     std::ofstream(path) << text;
-    Reading reading;
-    reading.settings = readOneProcessSettings(path, reading.errors);
+    ReadResult result;
+    result.settings = readOneProcessSettings(path, result.errors);
     std::filesystem::remove(path);
     // The place within the file is what the tests look at.
-    for (ConfigError &it : reading.errors)
+    for (ConfigError &it : result.errors)
         it.file = "node.toml";
-    return reading;
+    return result;
 }
 
 // The sound text with one piece replaced.
-std::string with(const std::string &piece, const std::string &other)
+std::string withReplaced(const std::string &piece, const std::string &other)
 {
-    std::string text = kSound;
+    std::string text = kValid;
     const std::size_t at = text.find(piece);
     REQUIRE(at != std::string::npos);
     return text.replace(at, piece.size(), other);
@@ -74,39 +74,39 @@
 
 TEST_CASE("node settings: a sound file is read, and what it leaves out has its default [settings]")
 {
-    const Reading reading = readText(kSound);
-    CHECK(reading.firstError() == "");
-    REQUIRE(reading.settings);
-    CHECK(reading.settings->node.name == "n1");
-    CHECK(reading.settings->store.address == "127.0.0.1:7000");
-    CHECK(reading.settings->peers.gossipEvery == 200ms);
-    CHECK(reading.settings->bounds.stopWithin == 8s);
+    const ReadResult result = readText(kValid);
+    CHECK(result.firstError() == "");
+    REQUIRE(result.settings);
+    CHECK(result.settings->node.name == "n1");
+    CHECK(result.settings->store.address == "127.0.0.1:7000");
+    CHECK(result.settings->peers.gossipEvery == 200ms);
+    CHECK(result.settings->bounds.stopWithin == 8s);
 }
 
 TEST_CASE("node settings: a mechanism is as its table says, else as measured best [settings]")
 {
-    const Reading reading = readText(std::string(kSound) + "[mechanisms]\nrelays = false\n");
-    REQUIRE(reading.settings);
-    CHECK_FALSE(reading.settings->mechanisms.relays);
-    CHECK(reading.settings->mechanisms.shortFirst);
-    CHECK(reading.settings->mechanisms.loadSums);
-    CHECK_FALSE(reading.settings->mechanisms.shortEngines);
-    const Reading other = readText(std::string(kSound) + "[mechanisms]\nshort_engines = true\n");
+    const ReadResult result = readText(std::string(kValid) + "[mechanisms]\nrelays = false\n");
+    REQUIRE(result.settings);
+    CHECK_FALSE(result.settings->mechanisms.relays);
+    CHECK(result.settings->mechanisms.shortFirst);
+    CHECK(result.settings->mechanisms.loadSums);
+    CHECK_FALSE(result.settings->mechanisms.shortEngines);
+    const ReadResult other = readText(std::string(kValid) + "[mechanisms]\nshort_engines = true\n");
     REQUIRE(other.settings);
     CHECK(other.settings->mechanisms.shortEngines);
-    CHECK(readText(kSound).settings->mechanisms.relays);
-    CHECK_FALSE(readText(std::string(kSound) + "[mechanisms]\nrelay = false\n").settings);
+    CHECK(readText(kValid).settings->mechanisms.relays);
+    CHECK_FALSE(readText(std::string(kValid) + "[mechanisms]\nrelay = false\n").settings);
 }
 
 TEST_CASE("node settings: the regions of failure domains are read, the own one is known [settings]")
 {
-    const Reading reading
-        = readText(std::string(kSound) + "[places]\nregions = [\"y=r\", \"z=other\"]\n");
-    REQUIRE(reading.settings);
-    CHECK(reading.settings->regions == DomainRegions{{"x", "r"}, {"y", "r"}, {"z", "other"}});
+    const ReadResult result
+        = readText(std::string(kValid) + "[places]\nregions = [\"y=r\", \"z=other\"]\n");
+    REQUIRE(result.settings);
+    CHECK(result.settings->regions == DomainRegions{{"x", "r"}, {"y", "r"}, {"z", "other"}});
     for (const char *it : {"y", "=r", "y="}) {
-        const Reading bad
-            = readText(std::string(kSound) + "[places]\nregions = [\"" + it + "\"]\n");
+        const ReadResult bad
+            = readText(std::string(kValid) + "[places]\nregions = [\"" + it + "\"]\n");
         REQUIRE_FALSE(bad.settings);
         CHECK(bad.errors.front().field == "places.regions");
     }
@@ -115,36 +115,38 @@
 TEST_CASE("node settings: an unknown key is refused with its place and the key that was meant "
           "[settings][bad-input]")
 {
-    const Reading reading = readText(with("ready_listen", "redy_listen"));
-    CHECK_FALSE(reading.settings);
-    const std::string error = reading.errorNaming("redy_listen");
+    const ReadResult result = readText(withReplaced("ready_listen", "redy_listen"));
+    CHECK_FALSE(result.settings);
+    const std::string error = result.errorNaming("redy_listen");
     CHECK_MESSAGE(error.starts_with("node.toml:7:1: "), error);
     CHECK_MESSAGE(error.find("ready_listen") != std::string::npos, error);
 }
 
 TEST_CASE("node settings: a value of another type is refused with its place [settings][bad-input]")
 {
-    const Reading reading = readText(with("listen = \"127.0.0.1:8080\"", "listen = 8080"));
-    CHECK_FALSE(reading.settings);
-    CHECK_MESSAGE(reading.firstError().starts_with("node.toml:6:"), reading.firstError());
-    CHECK_MESSAGE(reading.firstError().find("IP:port") != std::string::npos, reading.firstError());
+    const ReadResult result
+        = readText(withReplaced("listen = \"127.0.0.1:8080\"", "listen = 8080"));
+    CHECK_FALSE(result.settings);
+    CHECK_MESSAGE(result.firstError().starts_with("node.toml:6:"), result.firstError());
+    CHECK_MESSAGE(result.firstError().find("IP:port") != std::string::npos, result.firstError());
 }
 
 TEST_CASE("node settings: text that is no TOML is refused with its place [settings][bad-input]")
 {
-    const Reading reading = readText(with("region = \"r\"", "region = \"r"));
-    CHECK_FALSE(reading.settings);
-    CHECK_MESSAGE(reading.firstError().starts_with("node.toml:4:"), reading.firstError());
+    const ReadResult result = readText(withReplaced("region = \"r\"", "region = \"r"));
+    CHECK_FALSE(result.settings);
+    CHECK_MESSAGE(result.firstError().starts_with("node.toml:4:"), result.firstError());
 }
 
 TEST_CASE("node settings: unknown and missing sections are refused by name [settings][bad-input]")
 {
-    const Reading unknown = readText(std::string(kSound) + "[storage]\naddress = \"a\"\n");
+    const ReadResult unknown = readText(std::string(kValid) + "[storage]\naddress = \"a\"\n");
     CHECK_FALSE(unknown.settings);
     CHECK_MESSAGE(unknown.firstError().starts_with("node.toml:14:1: storage"),
                   unknown.firstError());
 
-    const Reading missing = readText(with("[store]\naddress = \"127.0.0.1:7000\"\n", ""));
+    const ReadResult missing
+        = readText(withReplaced("[store]\naddress = \"127.0.0.1:7000\"\n", ""));
     CHECK_FALSE(missing.settings);
     CHECK_MESSAGE(missing.firstError().find("store") != std::string::npos, missing.firstError());
 }
