--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -8,7 +8,7 @@
 
 namespace fordwood::config {
 
-// One fault in a text, with its place. Line and column count from one; zero: not known.
+// An error in a configuration or settings file. Line and column start at one; zero: unknown.
 struct ConfigError
 {
     std::string file;
@@ -18,7 +18,7 @@
     std::string problem;
     std::string expected;
 
-    // file:line:column: field: what is wrong, what was expected
+    // Formats the error as "file:line:column: field: problem, expected".
     std::string toString() const;
 };
 
--- a/src/config/configuration_assembler.cpp
+++ b/src/config/configuration_assembler.cpp
@@ -18,7 +18,7 @@
     return part ? std::make_shared<const Configuration>(std::move(*part)) : nullptr;
 }
 
-// Calls a function with each pair of maps of two configurations.
+// Calls a function with each map of `merged` and the corresponding map of `part`.
 template <typename Function>
 void forEachMap(Configuration &merged, const Configuration &part, const Function &function)
 {
@@ -62,8 +62,7 @@
             return nullptr;
         newPieces.push_back(&(parsedPieces[it.name] = ParsedPiece{it.sha256, part}));
     }
-    // A table may move from one piece to another: all that goes is taken out before anything is
-    // added.
+    // A table may move from one piece to another, so all removals come before the additions.
     auto merged
         = std::make_shared<Configuration>(m_configuration ? *m_configuration : Configuration{});
     for (const auto &[name, it] : m_pieces) {
--- a/src/config/configuration_assembler.hpp
+++ b/src/config/configuration_assembler.hpp
@@ -13,14 +13,14 @@
 
 namespace fordwood::config {
 
-// Puts stored pieces together to a Configuration and parses only pieces that it has not seen
-// before, so that a change of one table costs little however large the configuration is. References
-// between tables were checked when the configuration was submitted and are not checked again.
+// Assembles a Configuration from stored pieces. Parses only pieces that have changed since the last
+// call, so that a change of one table is cheap even in a large configuration. Does not check
+// references between tables: they were checked when the configuration was submitted.
 class ConfigurationAssembler
 {
 public:
-    // Null, with `errors` filled, when a piece cannot be read; what was assembled before stays
-    // usable.
+    // Returns null and adds to `errors` when a piece cannot be parsed; the state for the next call
+    // and the configuration assembled before are then unchanged.
     std::shared_ptr<const Configuration> assemble(const std::vector<StoredPiece> &pieces,
                                                   ConfigErrors &errors);
 
@@ -31,7 +31,7 @@
         std::shared_ptr<const Configuration> content;
     };
 
-    std::map<std::string, ParsedPiece> m_pieces; // by the names of pieces
+    std::map<std::string, ParsedPiece> m_pieces; // by piece name
     std::shared_ptr<const Configuration> m_configuration;
 };
 
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Checks the tables of one set of documents and gathers what is sound and what is not.
+// Checks the tables of one set of documents and collects the valid tables and the errors.
 class SchemaChecker
 {
 public:
@@ -187,10 +187,10 @@
             return "has the wrong type";
         for (const toml::node &it : *array) {
             if (!it.is_string())
-                return "holds a value that is not a text";
+                return "contains a value that is not a text";
             const std::string &text = it.as_string()->get();
             if (field.type == FieldType::DigestList && !parseDigest(text))
-                return "holds \"" + text + "\"";
+                return "contains \"" + text + "\"";
         }
         return field.required && array->empty() ? "is empty" : "";
     }
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -18,14 +18,15 @@
 
 namespace fordwood::config {
 
-// One parsed TOML text; the file name is used in messages.
+// A parsed TOML file; the file name is used in error messages.
 struct Document
 {
     std::string file;
     toml::table table;
 };
 
-// One table of a known section, whose fields have been checked against the schema.
+// One table of a known section whose fields have passed the schema check. The accessors return the
+// fallback, or an empty list, when the key is missing.
 class CheckedTable
 {
 public:
@@ -43,7 +44,7 @@
     std::string_view section() const { return m_section->name; }
     const toml::table &table() const { return *m_table; }
 
-    // An error that points at a key of this table, or at the table when the key is missing.
+    // Creates an error located at a key of this table, or at the table when the key is missing.
     ConfigError error(std::string_view key, std::string problem, std::string expected) const;
 
 private:
@@ -52,20 +53,20 @@
     const toml::table *m_table;
 };
 
-// Parses a text. On a syntax error adds it to `errors` and returns nothing.
+// Parses a TOML text. Adds a syntax error to `errors` and returns nothing.
 std::optional<Document> parseDocument(const std::string &file, std::string_view text,
                                       ConfigErrors &errors);
 
 // Checks every table of the documents against the sections: unknown sections and keys, missing
-// keys, wrong types, values out of bounds, single tables given twice. Adds what it finds to
-// `errors` and returns the tables that are sound.
+// keys, wrong types, values out of bounds, single tables given twice. Adds each problem to `errors`
+// and returns the valid tables. They refer to the documents, which must outlive them.
 std::vector<CheckedTable> checkDocuments(std::span<const Document> documents,
                                          std::span<const Section> sections, ConfigErrors &errors);
 
-// Reads a time span such as "250ms", "2s", "5m" or "1h".
+// Parses a time span such as "250ms", "2s", "5m" or "1h".
 std::optional<Duration> parseSpan(std::string_view text);
 
-// Reads 64 hexadecimal digits.
+// Parses a SHA-256 digest of 64 hexadecimal digits.
 std::optional<Sha256> parseDigest(std::string_view text);
 
 // True for "IPv4:port" and "[IPv6]:port" with a port of 1 to 65535.
--- a/src/config/node_settings.cpp
+++ b/src/config/node_settings.cpp
@@ -27,14 +27,15 @@
     return mechanisms;
 }
 
-// Adds the regions that a list such as "domain=region" names.
+// Adds the regions from a list of "domain=region" entries.
 void readRegions(const CheckedTable &table, DomainRegions &regions, ConfigErrors &errors)
 {
     for (const std::string &it : table.textList("regions")) {
         const std::size_t equalsSign = it.find('=');
         if (equalsSign == 0 || equalsSign == std::string::npos || equalsSign + 1 == it.size())
-            errors.push_back(table.error("regions", "\"" + it + "\" names no region",
-                                         "\"failure domain=region\""));
+            errors.push_back(table.error("regions",
+                                         "\"" + it + "\" has no failure domain or no region",
+                                         "expected \"failure domain=region\""));
         else
             regions[it.substr(0, equalsSign)] = it.substr(equalsSign + 1);
     }
--- a/src/config/node_settings.hpp
+++ b/src/config/node_settings.hpp
@@ -23,7 +23,7 @@
 
 struct PeerSettings
 {
-    std::string listen; // where peers read this node's copy of the store
+    std::string listen; // where peers read this node's replica of the store
     std::string gossipListen; // UDP
     std::string metricsListen;
     std::vector<std::string> seeds; // `listen` addresses of other nodes
@@ -36,15 +36,15 @@
     Duration minLease = std::chrono::seconds(1);
 };
 
-// How strong the VM is.
+// Capacity of the VM.
 struct VmSettings
 {
-    double processorShare = 1.0; // cores
-    double processorSpeed = 1.0; // of a core, compared with others
+    double processorShare = 1.0; // cores, or a fraction of one
+    double processorSpeed = 1.0; // of a core, relative to other VMs
     double linkMbps = 1'000.0;
 };
 
-// What the platform's rules bound, as its settings state them.
+// Limits that the platform's rules set, and what the platform's services guarantee.
 struct BoundSettings
 {
     Duration stopWithin = std::chrono::seconds(8);
@@ -58,7 +58,7 @@
     double coldSlack = 0.0;
 };
 
-// The settings file of a node that runs as one process.
+// The settings file of a node that runs as one process (fordwood-noded).
 struct OneProcessSettings
 {
     NodeSettings node;
@@ -72,7 +72,7 @@
     bool jsonLog = false;
 };
 
-// Reads and checks a settings file; empty when any error was added.
+// Reads and checks a settings file. Returns nothing when it adds an error.
 std::optional<OneProcessSettings> readOneProcessSettings(const std::string &path,
                                                          ConfigErrors &errors);
 
--- a/src/config/read_configuration.cpp
+++ b/src/config/read_configuration.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kTablesPerPiece = 32;
 
-// Turns checked tables into a Configuration and checks what no single table can show.
+// Converts checked tables to a Configuration and finds errors that involve several tables.
 class ConfigurationReader
 {
 public:
@@ -64,7 +64,7 @@
     {
         const std::string name = table.text(key);
         if (!map.emplace(name, std::move(value)).second)
-            m_errors.push_back(table.error(key, "\"" + name + "\" stands twice",
+            m_errors.push_back(table.error(key, "\"" + name + "\" is given twice",
                                            "expected each " + std::string(key) + " once"));
     }
 
@@ -199,7 +199,7 @@
     std::map<std::string, std::string> m_keyOwners;
 };
 
-// The key by which the tables of a section are told apart.
+// Returns the key that identifies a table within its section.
 std::string_view identityKey(std::string_view section)
 {
     return section == "route" ? "path" : "name";
--- a/src/config/read_configuration.hpp
+++ b/src/config/read_configuration.hpp
@@ -15,30 +15,30 @@
 
 namespace fordwood::config {
 
-// Checks documents as one whole configuration: fields, then names that stand twice, then names that
-// refer to nothing. Empty when any error was added.
+// Reads documents as a complete configuration. Checks the fields, then duplicate names, then
+// references to undeclared names. Returns nothing when it adds an error.
 std::optional<Configuration> readConfiguration(std::span<const Document> documents,
                                                ConfigErrors &errors);
 
-// Checks documents as a part of a configuration: fields and names that stand twice, but no
-// references to other parts. Empty when any error was added.
+// Reads documents as a part of a configuration. Checks the fields and duplicate names, but not
+// references, which may lead to other parts. Returns nothing when it adds an error.
 std::optional<Configuration> readTables(std::span<const Document> documents, ConfigErrors &errors);
 
-// One part of a configuration: a canonical TOML text of a few tables of one section.
+// One piece of a configuration: canonical TOML text of a few tables of one section.
 struct ConfigPiece
 {
     std::string name;
     std::string text;
 };
 
-// Cuts checked documents into pieces. The same content gives the same pieces whatever the files,
-// order and comments; a changed table changes one piece.
+// Splits checked documents into pieces. The pieces depend only on the content, not on files, order
+// or comments. A changed table changes one piece.
 std::vector<ConfigPiece> splitIntoPieces(std::span<const Document> documents);
 
-// SHA-256 of bytes as 64 lower-case hexadecimal digits.
+// Computes the SHA-256 digest of bytes as 64 lower-case hexadecimal digits.
 std::string sha256Hex(std::string_view bytes);
 
-// SHA-256 of bytes.
+// Computes the SHA-256 digest of bytes.
 Sha256 sha256(std::string_view bytes);
 
 } // namespace fordwood::config
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -16,32 +16,32 @@
 
 constexpr Field kLimits[] = {
     {"default_deadline", Span, false, 0.001, 86400, "60s",
-     "Time that a request gets when its caller names none."},
-    {"max_deadline", Span, false, 0.001, 86400, "10m", "Longest time that a caller may ask for."},
+     "Deadline of a request whose caller sets none."},
+    {"max_deadline", Span, false, 0.001, 86400, "10m", "Longest deadline that a caller may set."},
     {"permit_life", Span, false, 0.01, 2, "2s",
-     "Time within which a granted request must be sent."},
+     "Time within which a request must be sent after its permit was granted."},
     {"queue_per_team", Integer, false, 1, 100000, "256",
-     "Requests of one team that may wait for one upstream."},
+     "Maximum number of requests of one team that wait for one upstream."},
     {"max_loads_at_once", Integer, false, 1, 1000, "2",
-     "Engines that may load weights at the same time."},
-    {"retry_ratio", Number, false, 0, 1, "0.1", "Retries earned by one first send."},
+     "Maximum number of engines that load weights at the same time."},
+    {"retry_ratio", Number, false, 0, 1, "0.1", "Retries allowed for each first send."},
 };
 constexpr Field kFailureDomain[] = {
     {"name", Text, true, 0, 0, "", "Name of the failure domain."},
-    {"region", Text, true, 0, 0, "", "Region that it lies in."},
+    {"region", Text, true, 0, 0, "", "Region of the failure domain."},
 };
 constexpr Field kTeam[] = {
     {"name", Text, true, 0, 0, "", "Name of the team."},
-    {"share", Number, false, 1e-6, 1e6, "1.0", "Weight in fair queueing."},
-    {"priority", Integer, false, -100, 100, "0", "Priority of requests that name none."},
+    {"share", Number, false, 1e-6, 1e6, "1.0", "Weight of the team in fair queueing."},
+    {"priority", Integer, false, -100, 100, "0", "Priority of requests that set none."},
     {"key_sha256", DigestList, true, 0, 0, "",
      "SHA-256 digests of the team's bearer keys, 64 hexadecimal digits each."},
     {"max_running", Integer, false, 0, 1e6, "0",
-     "Requests running at once over the fleet; 0: no ceiling."},
+     "Maximum number of requests that run at once in the whole fleet; 0: no limit."},
 };
 constexpr Field kModel[] = {
-    {"name", Text, true, 0, 0, "", "Name by which callers ask for the model."},
-    {"weight_version", Text, true, 0, 0, "", "Weight version that new requests run on."},
+    {"name", Text, true, 0, 0, "", "Name of the model in callers' requests."},
+    {"weight_version", Text, true, 0, 0, "", "Weight version that runs new requests."},
 };
 constexpr Field kUpstream[] = {
     {"name", Text, true, 0, 0, "", "Name of the upstream."},
@@ -49,80 +49,83 @@
     {"failure_domain", Text, true, 0, 0, "", "Failure domain that it runs in."},
     {"address", Address, true, 0, 0, "", "IP address and port."},
     {"models", TextList, false, 0, 0, "[]", "Models that an engine serves."},
-    {"service", Text, false, 0, 0, "", "Name of the plain service that it is part of."},
-    {"slots", Integer, true, 1, 100000, "", "Requests that it runs at once."},
+    {"service", Text, false, 0, 0, "", "Name of the plain service that it belongs to."},
+    {"slots", Integer, true, 1, 100000, "", "Number of requests that it runs at once."},
     {"prefill_tokens_per_second", Number, false, 1, 1e9, "10000",
      "Rate at which an engine computes uncached prompt tokens."},
     {"cache_tokens", Integer, false, 0, 1e9, "100000",
-     "Tokens of context that an engine keeps in memory, about."},
-    {"checks_fences", Flag, false, 0, 0, "false", "Whether it refuses orders with an old fence."},
+     "Approximate number of context tokens that an engine keeps in memory."},
+    {"checks_fences", Flag, false, 0, 0, "false",
+     "Whether it rejects orders with an outdated fencing token."},
     {"refuses_when_full", Flag, false, 0, 0, "false",
-     "Whether it answers `X-Request-Not-Run: true` at once when it has no free slot; such "
-     "upstreams "
-     "are sent to without a permit while there is no contention."},
+     "Whether it answers `X-Request-Not-Run: true` at once when it has no free slot; requests to "
+     "such upstreams "
+     "need no permit while there is no contention."},
     {"resumes", Flag, false, 0, 0, "false",
-     "Whether it continues a stream that broke at another engine: it must leave out as many events "
-     "as the header `X-Resume-From` says."},
-    {"leaving", Flag, false, 0, 0, "false", "Whether it must get no new work."},
+     "Whether it can continue a stream that was interrupted at another engine: it must skip the "
+     "number of events given in the header `X-Resume-From`."},
+    {"leaving", Flag, false, 0, 0, "false", "Whether it must receive no new work."},
 };
 constexpr Field kRoute[] = {
-    {"path", Text, true, 0, 0, "", "Path prefix, beginning with `/`."},
-    {"service", Text, true, 0, 0, "", "Plain service that takes its requests."},
-    {"repeatable", Flag, false, 0, 0, "false", "Whether a request may be run more than once."},
+    {"path", Text, true, 0, 0, "", "Path prefix that begins with `/`."},
+    {"service", Text, true, 0, 0, "", "Plain service that receives the requests of this path."},
+    {"repeatable", Flag, false, 0, 0, "false", "Whether a request may run more than once."},
 };
 constexpr Field kStore[] = {
     {"name", Text, true, 0, 0, "", "Name of the store VM."},
     {"failure_domain", Text, true, 0, 0, "", "Failure domain that it runs in."},
     {"address", Address, true, 0, 0, "", "IP address and port."},
-    {"memory_bytes", Integer, true, 0, kNoBound, "", "Memory for kept context, in bytes."},
-    {"disk_bytes", Integer, false, 0, kNoBound, "0", "Disk for kept context, in bytes."},
+    {"memory_bytes", Integer, true, 0, kNoBound, "", "Memory for stored context, in bytes."},
+    {"disk_bytes", Integer, false, 0, kNoBound, "0", "Disk space for stored context, in bytes."},
     {"link_bytes_per_second", Number, true, 1, kNoBound, "",
-     "Rate of the link to it, in bytes a second."},
+     "Bandwidth of the link to the store, in bytes per second."},
 };
 constexpr Section kConfiguration[] = {
-    {"limits", false, kLimits, "Limits that hold for the whole fleet."},
+    {"limits", false, kLimits, "Limits for the whole fleet."},
     {"failure_domain", true, kFailureDomain, "One entry for each failure domain."},
     {"team", true, kTeam, "One entry for each team."},
-    {"model", true, kModel, "One entry for each model in service."},
+    {"model", true, kModel, "One entry for each model that is served."},
     {"upstream", true, kUpstream, "One entry for each upstream."},
     {"route", true, kRoute, "One entry for each path of a plain service."},
     {"store", true, kStore, "One entry for each store VM."},
 };
 
 constexpr Field kNode[] = {
-    {"name", Text, true, 0, 0, "", "Name of this entry VM, as in the platform's VM list."},
+    {"name", Text, true, 0, 0, "", "Name of this entry VM in the platform's VM list."},
     {"failure_domain", Text, true, 0, 0, "", "Failure domain that it runs in."},
     {"region", Text, true, 0, 0, "", "Region that it runs in."},
 };
 constexpr Field kEntry[] = {
     {"listen", Address, true, 0, 0, "", "Address for callers."},
-    {"http_threads", Integer, false, 1, 64, "2", "Threads that serve callers' connections."},
-    {"max_body_bytes", Integer, false, 1, 1e9, "4194304", "Largest request body."},
+    {"http_threads", Integer, false, 1, 64, "2",
+     "Number of threads that serve callers' connections."},
+    {"max_body_bytes", Integer, false, 1, 1e9, "4194304",
+     "Maximum size of a request body, in bytes."},
     {"max_header_bytes", Integer, false, 1024, 1e6, "16384",
-     "Memory of one connection for the request's head."},
-    {"max_connections", Integer, false, 1, 1e6, "4096", "Connections held at once."},
-    {"max_in_flight", Integer, false, 1, 1e6, "2048", "Requests served at once."},
+     "Memory per connection for the head of a request, in bytes."},
+    {"max_connections", Integer, false, 1, 1e6, "4096", "Maximum number of open connections."},
+    {"max_in_flight", Integer, false, 1, 1e6, "2048", "Maximum number of requests in progress."},
     {"read_timeout", Span, false, 0.05, 3600, "30s",
-     "Time for a request to arrive whole, and for an idle connection."},
+     "Time within which a whole request must arrive, and after which an idle connection closes."},
     {"answer_buffer_bytes", Integer, false, 1024, 1e8, "262144",
-     "Bytes of one answer held for a slow caller."},
+     "Maximum number of bytes of one answer that are buffered for a slow caller."},
     {"owner_timeout", Span, false, 0.001, 60, "500ms",
-     "Time after which a silent owner is passed over."},
+     "Time after which an owner that does not answer is bypassed."},
     {"stop_notice", Span, false, 0, 3600, "2s",
-     "Time between being unready and refusing new requests in a planned stop."},
+     "Time in a planned stop between reporting not ready and rejecting new requests."},
     {"stop_timeout", Span, false, 0, 86400, "0s",
-     "Longest planned stop; 0: until every answer is finished."},
+     "Maximum duration of a planned stop; 0: until every answer is finished."},
 };
 constexpr Field kControl[] = {
     {"listen", Address, true, 0, 0, "", "Address for other nodes and for entryd (gRPC)."},
     {"metrics_listen", Address, true, 0, 0, "", "Address of `/metrics` and `/healthz`."},
     {"seeds", TextList, false, 0, 0, "[]",
-     "Addresses (`control.listen`) of other nodes, asked while the VM list is not known."},
+     "Addresses (`control.listen`) of other nodes, used while the VM list is not known."},
 };
 constexpr Field kPlatform[] = {
     {"key_value", Address, true, 0, 0, "", "Address of the key-value service (etcd v3 gRPC)."},
     {"vm_list", Address, true, 0, 0, "", "Address of the VM list (HTTP)."},
-    {"vm_list_period", Span, false, 0.05, 3600, "1s", "Time between two reads of the VM list."},
+    {"vm_list_period", Span, false, 0.05, 3600, "1s", "Interval between reads of the VM list."},
 };
 constexpr Field kLog[] = {
     {"format", Text, false, 0, 0, "text", "`text` (key=value) or `json`."},
@@ -130,97 +133,109 @@
 constexpr Field kCallers[] = {
     {"listen", Address, true, 0, 0, "", "Address for callers."},
     {"ready_listen", Address, true, 0, 0, "",
-     "Address at which the platform asks whether the node takes new connections."},
+     "Address at which the platform checks whether the node accepts new connections."},
     {"max_connections", Integer, false, 1, 1e6, "2500",
-     "Callers' connections held at once; further ones are closed."},
+     "Maximum number of callers' connections; further ones are closed."},
 };
 constexpr Field kPeers[] = {
     {"listen", Address, true, 0, 0, "",
-     "Address at which peers read this node's copy of the platform's store."},
-    {"gossip_listen", Address, true, 0, 0, "", "Address for short messages of peers (UDP)."},
+     "Address at which peers read this node's replica of the platform's store."},
+    {"gossip_listen", Address, true, 0, 0, "", "Address for gossip messages of peers (UDP)."},
     {"metrics_listen", Address, true, 0, 0, "", "Address of `/metrics`."},
     {"seeds", TextList, false, 0, 0, "[]",
-     "`peers.listen` of other nodes, asked while the store does not answer."},
-    {"gossip_every", Span, false, 0.01, 10, "200ms", "Time between two messages to each peer."},
+     "Addresses (`peers.listen`) of other nodes, used while the store does not answer."},
+    {"gossip_every", Span, false, 0.01, 10, "200ms",
+     "Interval between gossip messages to each peer."},
 };
 constexpr Field kNodeStore[] = {
     {"address", Address, true, 0, 0, "", "Address of the platform's key-value store (HTTP)."},
-    {"least_lease", Span, false, 0.1, 600, "1s", "Shortest lease that the store grants."},
+    {"least_lease", Span, false, 0.1, 600, "1s",
+     "Shortest duration of a lease that the store grants."},
 };
 constexpr Field kBounds[] = {
     {"stop_within", Span, false, 1, 3600, "8s",
      "Time that the platform gives a planned stop before it kills the process."},
     {"retry_ratio", Number, false, 0, 1, "0.2",
-     "Repeated sends of the whole fleet for each request to a service."},
-    {"retry_window", Span, false, 1, 3600, "10s", "Time over which repeated sends are counted."},
+     "Retries of the whole fleet for each request to a service."},
+    {"retry_window", Span, false, 1, 3600, "10s", "Time window in which retries are counted."},
     {"retry_slack", Number, false, 0, 1e6, "50",
-     "Repeated sends of the whole fleet in each window, beyond the ratio."},
+     "Retries of the whole fleet in each window that are allowed in addition to the ratio."},
     {"order_lease", Span, false, 0.1, 600, "3s",
-     "Lease of the node that orders engines to load weights; a successor waits as long."},
+     "Duration of the lease of the node that orders engines to load weights; its successor waits "
+     "as "
+     "long before it acts."},
     {"fences_checked", Flag, false, 0, 0, "false",
-     "Whether engines turn away orders with a lower fence than one they have seen."},
+     "Whether engines reject orders whose fencing token is lower than one that they have seen."},
     {"weights_within", Span, false, 1, 3600, "12s",
-     "Time after which no request may begin on weights older than those that were named."},
+     "Time after operators set a weight version within which requests may still start on older "
+     "weights."},
     {"cold_overshoot", Number, false, 1, 1000, "1",
-     "What a cold upstream bears in any one second, in its service's stated rate."},
+     "Requests that a cold upstream can take in any one second, as a multiple of its service's "
+     "configured cold rate."},
     {"cold_slack", Number, false, 0, 1e6, "0",
-     "Requests that a cold upstream bears in any one second beyond that."},
+     "Requests that a cold upstream can take in any one second in addition to that."},
 };
 constexpr Field kPlaces[] = {
     {"regions", TextList, false, 0, 0, "[]",
-     "The region of each failure domain, as `domain=region`: requests and teams may be bound to "
-     "regions. The node's own is known from `[node]`."},
+     "The region of each failure domain, as `domain=region`: requests and teams may be restricted "
+     "to regions. The region of the node's own failure domain is taken from `[node]`."},
 };
 constexpr Field kVm[] = {
     {"processor_share", Number, false, 0.001, 1024, "1",
-     "Cores, or the part of one, that the node may use."},
+     "Number of cores, or fraction of one, that the node may use."},
     {"processor_speed", Number, false, 0.001, 1024, "1",
-     "How fast such a core is, compared with others."},
-    {"link_mbps", Number, false, 0.001, 1e6, "1000", "What the VM's link carries, in Mbit/s."},
+     "Speed of one core, relative to other VMs."},
+    {"link_mbps", Number, false, 0.001, 1e6, "1000",
+     "Bandwidth of the VM's network link, in Mbit/s."},
 };
 constexpr Field kMechanisms[] = {
     {"context_stores", Flag, false, 0, 0, "true",
-     "Context is saved to stores of kept context and fetched from them."},
-    {"small_first_parts", Flag, false, 0, 0, "true", "Small parts of long contexts are saved too."},
+     "Engines save context to context stores and fetch it from them."},
+    {"small_first_parts", Flag, false, 0, 0, "true",
+     "Small parts of long contexts are saved as well."},
     {"computing_instead", Flag, false, 0, 0, "true",
-     "Context is computed where its store has too much to send."},
+     "Context is recomputed when its store is too busy to send it."},
     {"read_again_weight", Flag, false, 0, 0, "true",
-     "Context that an engine has is computed elsewhere only where that is four times cheaper."},
+     "Context that an engine has cached is recomputed at another engine only if that is four times "
+     "cheaper."},
     {"told_contexts", Flag, false, 0, 0, "true",
-     "Nodes use what peers tell of engines that got long contexts."},
-    {"short_engines", Flag, false, 0, 0, "false", "Engines are set apart for short prompts."},
+     "Nodes use their peers' announcements of engines that received long contexts."},
+    {"short_engines", Flag, false, 0, 0, "false", "Some engines are reserved for short prompts."},
     {"short_first", Flag, false, 0, 0, "true",
-     "Short prompts go before long ones at every engine."},
+     "Short prompts have priority over long ones at every engine."},
     {"early_refusals", Flag, false, 0, 0, "true",
-     "Long prompts that would be late are refused at once."},
+     "Long prompts that would miss their deadline are rejected at once."},
     {"relays", Flag, false, 0, 0, "true",
-     "In a large fleet two nodes of each failure domain follow the stores for the others."},
+     "In a large fleet, two nodes of each failure domain watch the context stores for the others."},
     {"passing_on", Flag, false, 0, 0, "true",
-     "In a large fleet messages between nodes cross to each failure domain once."},
+     "In a large fleet, a message between nodes is sent to each failure domain once and forwarded "
+     "there."},
     {"few_candidates", Flag, false, 0, 0, "true",
-     "In a large fleet a node considers a random part of the engines for each request."},
+     "In a large fleet, a node considers a random subset of the engines for each request."},
     {"load_sums", Flag, false, 0, 0, "true",
-     "In a large fleet relays sum up what the nodes have sent to upstreams."},
+     "In a large fleet, relays add up the loads that nodes have sent to upstreams."},
 };
 constexpr Section kNodeSettings[] = {
-    {"node", false, kNode, "Who this VM is."},
-    {"callers", false, kCallers, "Where callers are served."},
-    {"peers", false, kPeers, "What passes between nodes."},
-    {"store", false, kNodeStore, "Where the platform's store is."},
-    {"bounds", false, kBounds, "What the platform's rules bound."},
-    {"places", false, kPlaces, "Where the failure domains are."},
-    {"vm", false, kVm, "How strong the VM is: the strongest nodes work for the others."},
+    {"node", false, kNode, "Identity of this VM."},
+    {"callers", false, kCallers, "Connections of callers."},
+    {"peers", false, kPeers, "Communication between nodes."},
+    {"store", false, kNodeStore, "The platform's key-value store."},
+    {"bounds", false, kBounds,
+     "Limits set by the platform's rules, and guarantees of the platform's services."},
+    {"places", false, kPlaces, "Regions of the failure domains."},
+    {"vm", false, kVm,
+     "Capacity of the VM: the nodes with the largest capacity do work for the others."},
     {"mechanisms", false, kMechanisms,
-     "Parts of the decisions, to be switched off one by one where their worth is measured."},
-    {"log", false, kLog, "How events are written."},
+     "Optional mechanisms of the decisions; each can be disabled to measure its benefit."},
+    {"log", false, kLog, "Format of the log."},
 };
 constexpr Section kEntrySettings[] = {
-    {"node", false, kNode, "Who this VM is."},
+    {"node", false, kNode, "Identity of this VM."},
     {"entry", false, kEntry, "Read by `fordwood-entryd`."},
     {"control", false, kControl,
      "Read by `fordwood-controld`, and by `fordwood-entryd` to find it."},
-    {"platform", false, kPlatform, "Where the platform's services are."},
-    {"log", false, kLog, "How events are written."},
+    {"platform", false, kPlatform, "Addresses of the platform's services."},
+    {"log", false, kLog, "Format of the log."},
 };
 
 std::size_t editDistance(std::string_view a, std::string_view b)
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -10,7 +10,7 @@
 
 enum class FieldType { Text, Address, Integer, Number, Flag, Span, TextList, DigestList };
 
-// What one key may hold. The bounds are those of numbers and, in seconds, of spans.
+// Describes one key. The bounds apply to numbers and, in seconds, to time spans.
 struct Field
 {
     std::string_view name;
@@ -18,11 +18,11 @@
     bool required;
     double min;
     double max;
-    std::string_view defaultValue; // as shown in the reference
-    std::string_view description; // one sentence with the unit
+    std::string_view defaultValue; // as shown in the reference page
+    std::string_view description; // one sentence, with the unit
 };
 
-// One table, or array of tables, of a TOML text.
+// Describes one table, or array of tables, of a TOML file.
 struct Section
 {
     std::string_view name;
@@ -31,23 +31,24 @@
     std::string_view description;
 };
 
-// The sections of an operators' configuration.
+// Returns the sections of the configuration that operators submit.
 std::span<const Section> configurationSections();
 
-// The sections of one process's settings.
+// Returns the sections of the settings of an entry VM.
 std::span<const Section> entrySettingsSections();
 
-// The sections of the settings of a node that runs as one process.
+// Returns the sections of the settings of a node that runs as one process.
 std::span<const Section> nodeSettingsSections();
 
-// The reference page of a set of sections, in Markdown.
+// Generates the reference page of a set of sections in Markdown.
 std::string referencePage(std::span<const Section> sections, std::string_view title,
                           std::string_view intro);
 
-// What a type is called in messages and in the reference.
+// Returns the name of a type for error messages and the reference page.
 std::string_view typeName(FieldType type);
 
-// The candidate that differs least from the word, or empty when all differ much.
+// Returns the candidate with the smallest edit distance to the word. Empty when the distance of
+// every candidate exceeds both 2 and half the length of the word.
 std::string closestMatch(std::string_view word, std::span<const std::string_view> candidates);
 
 } // namespace fordwood::config
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -47,7 +47,7 @@
     Duration vmListPeriod = std::chrono::seconds(1);
 };
 
-// The settings file of one entry VM, read by both of its processes.
+// The settings file of an entry VM, read by fordwood-entryd and fordwood-controld.
 struct Settings
 {
     NodeSettings node;
@@ -57,10 +57,10 @@
     bool jsonLog = false;
 };
 
-// Reads and checks a settings file; empty when any error was added.
+// Reads and checks a settings file. Returns nothing when it adds an error.
 std::optional<Settings> readSettings(const std::string &path, ConfigErrors &errors);
 
-// The whole content of a file; empty with an error added when it cannot be read.
+// Reads a whole file. Adds an error and returns nothing when it cannot be read.
 std::optional<std::string> readFile(const std::string &path, ConfigErrors &errors);
 
 } // namespace fordwood::config
--- a/src/config/settings_tables.hpp
+++ b/src/config/settings_tables.hpp
@@ -13,15 +13,15 @@
 
 namespace fordwood::config {
 
-// The checked tables of a settings file, and the texts that they point into.
+// The checked tables of a settings file, and the documents that they refer to.
 struct SettingsTables
 {
     std::vector<Document> documents;
     std::vector<CheckedTable> tables;
 };
 
-// Reads a settings file and checks it against its sections. What is wrong is added to `errors`,
-// also a section of `required` that is missing.
+// Reads a settings file and checks it against its sections. Adds each problem to `errors`,
+// including a missing section of `required` if there is no other error.
 SettingsTables readSettingsTables(const std::string &path, std::span<const Section> sections,
                                   std::initializer_list<std::string_view> required,
                                   ConfigErrors &errors);
--- a/tests/unit/configuration_test.cpp
+++ b/tests/unit/configuration_test.cpp
@@ -88,12 +88,12 @@
         {team + "share = \"2\"\n", "f.toml:4:9: team.share: has the wrong type, expected number"},
         {"[[team]]\nkey_sha256 = [\"" + kDigest + "\"]\n", "f.toml:1:1: team.name: is missing"},
         {"[[team]]\nname = \"u\"\nkey_sha256 = [\"xyz\"]\n",
-         "f.toml:3:14: team.key_sha256: holds \"xyz\""},
+         "f.toml:3:14: team.key_sha256: contains \"xyz\""},
         {"[limits]\ndefault_deadline = \"soon\"\n",
          "f.toml:2:20: limits.default_deadline: is \"soon\""},
         {"[limits]\ndefault_deadline = \"20m\"\n",
          "limits.default_deadline: is longer than max_deadline"},
-        {kValid + team + team, "team.name: \"u\" stands twice"},
+        {kValid + team + team, "team.name: \"u\" is given twice"},
         {kValid + "[[team]]\nname = \"u\"\nkey_sha256 = [\"" + kDigest + "\"]\n", "shares a key"},
         {kValid
              + "[[upstream]]\nname = \"x\"\nkind = \"engine\"\nfailure_domain = \"zz\"\n"
--- a/tests/unit/node_settings_test.cpp
+++ b/tests/unit/node_settings_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The settings file of a node that runs as one process: what is wrong is told with its place.
+// The settings file of a node that runs as one process: errors are reported with their location.
 #include <doctest/doctest.h>
 
 #include <filesystem>
@@ -35,7 +35,7 @@
     ConfigErrors errors;
 
     std::string firstError() const { return errors.empty() ? "" : errors.front().toString(); }
-    // The error that names a word; empty when none does.
+    // Returns the first error whose text contains a word; empty when none does.
     std::string errorNaming(const std::string &word) const
     {
         for (const ConfigError &it : errors) {
@@ -46,7 +46,7 @@
     }
 };
 
-// Reads a settings file with this text.
+// Writes the text to a settings file and reads it.
 ReadResult readText(const std::string &text)
 {
     const std::string path = std::filesystem::temp_directory_path()
@@ -55,13 +55,13 @@
     ReadResult result;
     result.settings = readOneProcessSettings(path, result.errors);
     std::filesystem::remove(path);
-    // The place within the file is what the tests look at.
+    // The tests check line and column; the path varies.
     for (ConfigError &it : result.errors)
         it.file = "node.toml";
     return result;
 }
 
-// The sound text with one piece replaced.
+// Returns the valid text with the first occurrence of `piece` replaced.
 std::string withReplaced(const std::string &piece, const std::string &other)
 {
     std::string text = kValid;
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("node settings: a sound file is read, and what it leaves out has its default [settings]")
+TEST_CASE("node settings: a valid file is read and missing keys get their defaults [settings]")
 {
     const ReadResult result = readText(kValid);
     CHECK(result.firstError() == "");
@@ -83,7 +83,7 @@
     CHECK(result.settings->bounds.stopWithin == 8s);
 }
 
-TEST_CASE("node settings: a mechanism is as its table says, else as measured best [settings]")
+TEST_CASE("node settings: mechanisms follow their table, or else their defaults [settings]")
 {
     const ReadResult result = readText(std::string(kValid) + "[mechanisms]\nrelays = false\n");
     REQUIRE(result.settings);
@@ -98,7 +98,7 @@
     CHECK_FALSE(readText(std::string(kValid) + "[mechanisms]\nrelay = false\n").settings);
 }
 
-TEST_CASE("node settings: the regions of failure domains are read, the own one is known [settings]")
+TEST_CASE("node settings: regions of failure domains are read, and the own one is added [settings]")
 {
     const ReadResult result
         = readText(std::string(kValid) + "[places]\nregions = [\"y=r\", \"z=other\"]\n");
@@ -112,7 +112,7 @@
     }
 }
 
-TEST_CASE("node settings: an unknown key is refused with its place and the key that was meant "
+TEST_CASE("node settings: an unknown key is rejected with its location and the closest known key "
           "[settings][bad-input]")
 {
     const ReadResult result = readText(withReplaced("ready_listen", "redy_listen"));
@@ -122,7 +122,8 @@
     CHECK_MESSAGE(error.find("ready_listen") != std::string::npos, error);
 }
 
-TEST_CASE("node settings: a value of another type is refused with its place [settings][bad-input]")
+TEST_CASE("node settings: a value of the wrong type is rejected with its location "
+          "[settings][bad-input]")
 {
     const ReadResult result
         = readText(withReplaced("listen = \"127.0.0.1:8080\"", "listen = 8080"));
@@ -131,14 +132,14 @@
     CHECK_MESSAGE(result.firstError().find("IP:port") != std::string::npos, result.firstError());
 }
 
-TEST_CASE("node settings: text that is no TOML is refused with its place [settings][bad-input]")
+TEST_CASE("node settings: invalid TOML is rejected with its location [settings][bad-input]")
 {
     const ReadResult result = readText(withReplaced("region = \"r\"", "region = \"r"));
     CHECK_FALSE(result.settings);
     CHECK_MESSAGE(result.firstError().starts_with("node.toml:4:"), result.firstError());
 }
 
-TEST_CASE("node settings: unknown and missing sections are refused by name [settings][bad-input]")
+TEST_CASE("node settings: unknown and missing sections are rejected by name [settings][bad-input]")
 {
     const ReadResult unknown = readText(std::string(kValid) + "[storage]\naddress = \"a\"\n");
     CHECK_FALSE(unknown.settings);
@@ -151,7 +152,7 @@
     CHECK_MESSAGE(missing.firstError().find("store") != std::string::npos, missing.firstError());
 }
 
-TEST_CASE("node settings: a file that cannot be read is an error, not an empty file "
+TEST_CASE("node settings: an unreadable file is an error and is not treated as empty "
           "[settings][bad-input]")
 {
     ConfigErrors errors;
