--- a/tests/unit/node_settings_test.cpp
+++ b/tests/unit/node_settings_test.cpp
@@ -36,7 +36,7 @@
 
     std::string firstError() const { return errors.empty() ? "" : errors.front().toString(); }
     // Returns the first error whose text contains a word; empty when none does.
-    std::string errorNaming(const std::string &word) const
+    std::string errorContaining(const std::string &word) const
     {
         for (const ConfigError &it : errors) {
             if (it.toString().find(word) != std::string::npos)
@@ -117,7 +117,7 @@
 {
     const ReadResult result = readText(withReplaced("ready_listen", "redy_listen"));
     CHECK_FALSE(result.settings);
-    const std::string error = result.errorNaming("redy_listen");
+    const std::string error = result.errorContaining("redy_listen");
     CHECK_MESSAGE(error.starts_with("node.toml:7:1: "), error);
     CHECK_MESSAGE(error.find("ready_listen") != std::string::npos, error);
 }
