--- a/src/node/context_relay_reader.cpp
+++ b/src/node/context_relay_reader.cpp
@@ -105,7 +105,7 @@
     const TimePoint now = m_clock.now();
     update.age += std::chrono::duration_cast<std::chrono::milliseconds>(now - sentAt);
     m_positions[update.store] = {stableHash(update.store), update.epoch, update.next};
-    m_publish(ContextStoreTold{std::move(update), now});
+    m_publish(ContextStoreUpdated{std::move(update), now});
 }
 
 } // namespace fordwood::node
--- a/src/node/context_store_manager.cpp
+++ b/src/node/context_store_manager.cpp
@@ -44,14 +44,14 @@
 
 void ContextStoreManager::handle(FleetUpdate update)
 {
-    if (const auto *answer = std::get_if<ContextStoreTold>(&update)) {
-        m_cleaner.storeAnswered(answer->news);
-        m_log.told(answer->news);
-        if (answer->news.clock.count() > 0) {
-            m_engineClock = answer->news.clock;
-            m_engineClockReadAt = m_clock.now() - answer->news.age;
+    if (const auto *answer = std::get_if<ContextStoreUpdated>(&update)) {
+        m_cleaner.storeAnswered(answer->update);
+        m_log.told(answer->update);
+        if (answer->update.clock.count() > 0) {
+            m_engineClock = answer->update.clock;
+            m_engineClockReadAt = m_clock.now() - answer->update.age;
         }
-    } else if (const auto *unreachable = std::get_if<ContextStoreSilent>(&update)) {
+    } else if (const auto *unreachable = std::get_if<ContextStoreFailed>(&update)) {
         m_cleaner.storeSilent(unreachable->store);
         m_log.silent(unreachable->store);
     }
--- a/src/node/context_store_watcher.cpp
+++ b/src/node/context_store_watcher.cpp
@@ -153,7 +153,7 @@
                  {{"store", store->config.name}, {"epoch", events.cursor.epoch}});
     store->isReachable = true;
     store->cursor = events.cursor;
-    m_publish(ContextStoreTold{events.news, m_clock.now()});
+    m_publish(ContextStoreUpdated{events.news, m_clock.now()});
     pollAfter(store, kBatchDelay);
 }
 
@@ -163,7 +163,7 @@
         logEvent(Event::ContextStoreLost,
                  {{"store", store->config.name}, {"epoch", store->cursor.epoch}});
     store->isReachable = false;
-    m_publish(ContextStoreSilent{store->config.name});
+    m_publish(ContextStoreFailed{store->config.name});
     pollAfter(store, kRetryDelay);
 }
 
--- a/src/node/control_duty.cpp
+++ b/src/node/control_duty.cpp
@@ -79,7 +79,7 @@
 ControlDuty::ControlDuty(const config::OneProcessSettings &settings, const Clock &clock,
                          adapters::Metrics &metrics, Tell tell)
     : m_settings(settings), m_clock(clock), m_metrics(metrics), m_tell(std::move(tell)),
-      m_owner(makeNodeLife(settings.node.name)), m_context(1), m_caller(m_context, clock),
+      m_owner(makeNodeInstanceId(settings.node.name)), m_context(1), m_caller(m_context, clock),
       m_freshness(clock),
       m_weights(clock, settings.node.name,
                 [this](const std::string &model, std::uint64_t version,
@@ -91,18 +91,19 @@
       m_orders(clock, m_caller, m_store, settings.node.name, m_owner, lockLimits(settings)),
       m_contexts(
           m_context, m_caller, clock,
-          [this](const std::string &failed) { return m_peers.roster().contextFollower(failed); },
+          [this](const std::string &failed) { return m_peers.roster().chooseContextRelay(failed); },
           [this](FleetUpdate it) { this->tell(std::move(it)); }),
-      m_quarantine(
-          clock, m_store, m_replica,
-          [this](std::vector<QuarantineUpdate> it) { this->tell(RequestsHeard{std::move(it)}); }),
+      m_quarantine(clock, m_store, m_replica,
+                   [this](std::vector<QuarantineUpdate> it) {
+                       this->tell(PeerQuarantineUpdates{std::move(it)});
+                   }),
       m_documents(metrics, *this),
       m_fetcher(clock, m_caller, m_replica, metrics,
                 [this](const ReplicaPart &it) { merge(it.changes, it.mayBeExpiry); }),
-      m_role(clock, {settings.node.name, vmStrength(settings.vm)}, roleLimits(settings)),
+      m_role(clock, {settings.node.name, vmStrength(settings.vm)}, relayRoleLimits(settings)),
       m_peers(m_context, clock,
               {settings.node.name, settings.node.failureDomain, vmStrength(settings.vm)},
-              fleetOfEachTold(settings), [this](const Gossip &it) { heard(it); }),
+              directGossipLimit(settings), [this](const Gossip &it) { heard(it); }),
       m_exchange(clock, m_peers, exchangePace(settings),
                  [this](LoadReport it) { noteOthersLoad(std::move(it)); }),
       m_orderWords(clock),
@@ -148,7 +149,7 @@
     net::post(m_context, [this] {
         m_isStopping = true;
         m_orders.release();
-        tell(StopBegins{});
+        tell(StopStarted{});
     });
 }
 
@@ -235,12 +236,12 @@
 
 void ControlDuty::noteReachability()
 {
-    const bool informed = reachesStore() || !m_peers.roster().live().empty();
+    const bool informed = reachesStore() || !m_peers.roster().livePeers().empty();
     if (informed != m_toldInformed) {
         m_toldInformed = informed;
-        tell(Informed{informed});
+        tell(ReceivesVersions{informed});
     }
-    const bool reachable = reachesStore() || m_peers.roster().hearsStore();
+    const bool reachable = reachesStore() || m_peers.roster().anyPeerGetsStoreChanges();
     if (reachable == m_toldReachable)
         return;
     m_toldReachable = reachable;
@@ -298,15 +299,15 @@
 {
     m_hasConfiguration = true;
     m_contexts.setStores(config.stores);
-    if (const std::size_t most = mostContextReaders(config); most > 0)
+    if (const std::size_t most = maxContextReaders(config); most > 0)
         m_role.setMaxReaders(most);
-    tell(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
+    tell(ConfigApplied{std::make_shared<const RouteTable>(std::move(config))});
 }
 
 void ControlDuty::weightsNamed(const std::string &model, std::uint64_t version)
 {
     m_orders.rollout().setTarget(model, version);
-    m_weights.read(model, version, m_freshness.wholeAt());
+    m_weights.recordFromStore(model, version, m_freshness.wholeAt());
 }
 
 void ControlDuty::weightsLearnt(const std::string &model, std::uint64_t version,
@@ -314,19 +315,19 @@
 {
     m_contexts.setWeights(model, history);
     if (const auto naming = history.find(version))
-        tell(WeightsWanted{model, version, *naming});
+        tell(WeightVersionNamed{model, version, *naming});
 }
 
 void ControlDuty::upstreamWritten(UpstreamRecord record)
 {
     m_upstreams.put(record);
-    tell(UpstreamWritten{std::move(record)});
+    tell(UpstreamRecordWritten{std::move(record)});
 }
 
 void ControlDuty::upstreamRemoved(const std::string &instanceId, bool mayBeExpiry)
 {
     m_upstreams.remove(instanceId, mayBeExpiry);
-    tell(UpstreamRemoved{instanceId, mayBeExpiry});
+    tell(UpstreamRecordRemoved{instanceId, mayBeExpiry});
 }
 
 // Orders go on to the engines of the domain: they shall have the right weights when they come back.
@@ -369,9 +370,9 @@
 
 void ControlDuty::heard(const Gossip &message)
 {
-    m_exchange.take(message, m_role.isRelay());
+    m_exchange.handle(message, m_role.isRelay());
     // In a large fleet nodes hear from the relays only.
-    m_quarantine.takeHeard(message.requestNews, usesSums() && m_role.isRelay());
+    m_quarantine.takeHeard(message.quarantineUpdates, usesSums() && m_role.isRelay());
     if (message.leaving) {
         m_loads.setPeer(message.node, {});
         tell(PeerLoads{message.node, {}, 0, {}});
@@ -384,17 +385,17 @@
                        message.load.contextsSent});
     }
     if (!message.limits.empty())
-        tell(LimitsHeard{message.node, message.limits});
-    if (m_drainReports.takeFrom(message.node, message.draining))
+        tell(PeerLimits{message.node, message.limits});
+    if (m_drainReports.addFromPeer(message.node, message.draining))
         noteEngines();
     takeOrders(message.node, message.orders);
-    for (const auto &[node, word] : message.ordersHeard) {
+    for (const auto &[node, word] : message.forwardedOrders) {
         if (node != m_settings.node.name)
             takeOrders(node, word);
     }
-    m_weights.heard(message.node, message.weightsNamed);
-    if (message.wholeFor && holdsAllOf(message.version))
-        m_freshness.peerHasNoMore(*message.wholeFor);
+    m_weights.recordFromPeer(message.node, message.namingAges);
+    if (message.copyAge && holdsAllOf(message.version))
+        m_freshness.peerHasNoMore(*message.copyAge);
 }
 
 void ControlDuty::noteOthersLoad(LoadReport others)
@@ -404,12 +405,12 @@
                    std::move(others.contextsSent)});
 }
 
-void ControlDuty::takeOrders(const std::string &node, const OrderWord &word)
+void ControlDuty::takeOrders(const std::string &node, const OrderReport &word)
 {
-    if (!m_orderWords.note(node, word))
+    if (!m_orderWords.record(node, word))
         return;
     tell(EnginesLoading{node, word.enginesLoading});
-    for (const auto &[id, models] : word.weightsShown) {
+    for (const auto &[id, models] : word.observedVersions) {
         for (const auto &[model, shown] : models)
             tellShown(id, model, {shown.version, m_clock.now() - word.age - shown.age});
     }
@@ -419,7 +420,7 @@
                             const ObservedWeights &weights)
 {
     if (m_upstreams.setWeightVersion(instanceId, model, weights))
-        tell(WeightsShown{instanceId, model, weights});
+        tell(WeightsObserved{instanceId, model, weights});
 }
 
 void ControlDuty::takeOwnLoads(OwnLoads own)
@@ -428,7 +429,7 @@
     const bool isUrgent = own.isUrgent && !(usesSums() && m_role.isRelay());
     m_gossipSoon = m_gossipSoon || isUrgent;
     m_lastOwn = std::move(own);
-    if (m_drainReports.takeOwn(m_lastOwn.draining))
+    if (m_drainReports.addOwn(m_lastOwn.draining))
         noteEngines();
     if (m_gossipSoon && mayGossipAgain())
         gossip();
@@ -455,24 +456,24 @@
     message.load
         = {1, UpstreamLoads(m_lastOwn.loads), m_lastOwn.shortContextTokens, m_lastOwn.contextsSent};
     message.orders = ownOrders();
-    message.weightsNamed = m_weights.forPeers();
+    message.namingAges = m_weights.agesForPeers();
     if (const auto age = m_freshness.ageByStore())
-        message.wholeFor = std::chrono::ceil<std::chrono::milliseconds>(*age);
+        message.copyAge = std::chrono::ceil<std::chrono::milliseconds>(*age);
     return message;
 }
 
-OrderWord ControlDuty::ownOrders() const
+OrderReport ControlDuty::ownOrders() const
 {
     const auto ageOf = [this](TimePoint when) {
         return std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.now() - when);
     };
-    OrderWord word;
+    OrderReport word;
     if (m_orders.lastOrder())
         word.lastOrder = ageOf(*m_orders.lastOrder());
     word.enginesLoading = m_orders.rollout().loading();
     for (const auto &[id, models] : m_orders.rollout().shown()) {
         for (const auto &[model, weights] : models)
-            word.weightsShown[id][model] = {weights.version, ageOf(weights.seen)};
+            word.observedVersions[id][model] = {weights.version, ageOf(weights.seen)};
     }
     return word;
 }
@@ -493,9 +494,9 @@
 void ControlDuty::gossip()
 {
     Gossip message = ownMessage();
-    message.requestNews = m_quarantine.newsForPeers();
+    message.quarantineUpdates = m_quarantine.newsForPeers();
     message.limits = limitsForPeers();
-    message.draining = m_drainReports.forPeers();
+    message.draining = m_drainReports.nextBatch();
     tell(EnginesLoading{message.node, message.orders.enginesLoading});
     m_gossipSoon = false;
     m_lastGossip = m_clock.now();
@@ -503,9 +504,9 @@
     if (usesSums()) {
         m_exchange.setOwn(message.load);
         if (m_role.isRelay()) {
-            message.hearsStore
-                = message.storeReachable || !m_peers.roster().reachingStore().empty();
-            message.ordersHeard = m_orderWords.toPassOn();
+            message.getsStoreChanges
+                = message.storeReachable || !m_peers.roster().peersReachingStore().empty();
+            message.forwardedOrders = m_orderWords.toForward();
         }
         pause = m_exchange.send(std::move(message), m_role.isRelay());
     } else {
@@ -523,7 +524,8 @@
     const auto holding = m_orders.lock().holding();
     const std::string &owner = m_orders.lock().predecessor();
     const std::string node = owner.substr(0, owner.find('/'));
-    const auto heard = std::max(m_peers.roster().lastHeard(node), m_orderWords.lastSaid(node));
+    const auto heard
+        = std::max(m_peers.roster().lastReceivedFrom(node), m_orderWords.lastReportTime(node));
     if (!holding || !heard)
         return;
     const auto lastOrder = m_orderWords.lastOrder(node);
@@ -616,14 +618,14 @@
 void ControlDuty::noteLiveNodes()
 {
     m_orders.lock().setPatience(lockPatience());
-    std::size_t live = m_peers.roster().live().size() + 1;
+    std::size_t live = m_peers.roster().livePeers().size() + 1;
     if (usesSums())
         live = m_exchange.liveNodes() > 0 ? m_exchange.liveNodes() : m_peers.roster().size() + 1;
     if (live == m_liveNodes)
         return;
     m_liveNodes = live;
     logEvent(Event::MembersChanged, {{"live", live}});
-    tell(LiveNodes{live});
+    tell(LiveNodeCount{live});
 }
 
 void ControlDuty::noteKnownNodes()
@@ -631,7 +633,7 @@
     if (!m_keysChanged || m_replica.isEmpty())
         return;
     m_keysChanged = false;
-    std::vector<std::string> others = m_peers.roster().withKey();
+    std::vector<std::string> others = m_peers.roster().registeredPeers();
     if (others == m_toldNodes) // keys are written anew without a change of the nodes
         return;
     m_toldNodes = others;
@@ -645,7 +647,7 @@
     const PeerRoster &roster = m_peers.roster();
     if (usesSums() && !m_role.isRelay())
         return kLockPatienceOfOthers
-               + kLockPatiencePerRank * static_cast<std::int64_t>(roster.knownBefore());
+               + kLockPatiencePerRank * static_cast<std::int64_t>(roster.countHigherRanked());
     const std::size_t before
         = strengthRank(OrderDuty::lockKey(), {m_settings.node.name, vmStrength(m_settings.vm)},
                        usesSums() ? roster.relays() : roster.liveCandidates());
@@ -659,20 +661,20 @@
     peers.relays = roster.relays();
     if (!usesSums()) {
         peers.liveNodes = m_liveNodes;
-        peers.relaysReachingStore = roster.reachingStoreNear();
+        peers.relaysReachingStore = roster.domainPeersReachingStore();
         return peers;
     }
-    const auto relays = roster.relaysNear();
+    const auto relays = roster.domainRelays();
     const auto anyRelay = [&relays](bool PeerRoster::Peer::*holds) {
         return std::any_of(relays.begin(), relays.end(),
                            [holds](const PeerRoster::Peer *it) { return it->*holds; });
     };
     // Known ones, as a node that has just started hears nobody yet.
     peers.liveNodes = roster.size() + 1;
-    peers.relaysReachingStore = roster.relayCandidatesNear();
-    peers.higherRanked = roster.knownBefore();
+    peers.relaysReachingStore = roster.domainRelayCandidates();
+    peers.higherRanked = roster.countHigherRanked();
     peers.relayReachesStore = anyRelay(&PeerRoster::Peer::reachesStore);
-    peers.relayGetsStoreChanges = anyRelay(&PeerRoster::Peer::hearsStore);
+    peers.relayGetsStoreChanges = anyRelay(&PeerRoster::Peer::getsStoreChanges);
     peers.reachesStore = m_store.isReachable();
     return peers;
 }
@@ -703,7 +705,7 @@
     if (!reachesStore())
         return;
     const std::size_t before = rendezvousRank(stableHash("marks namings"), m_settings.node.name,
-                                              m_peers.roster().reachingStore());
+                                              m_peers.roster().peersReachingStore());
     m_marks.write(kMarkPatiencePerRank * static_cast<std::int64_t>(before));
 }
 
@@ -715,7 +717,7 @@
         return;
     m_nextPoll = m_clock.now() + kPollEvery;
     const std::size_t before = rendezvousRank(stableHash("polls the store"), m_settings.node.name,
-                                              m_peers.roster().reachingStore());
+                                              m_peers.roster().peersReachingStore());
     if (before < kPollingNodes)
         m_store.poll();
 }
--- a/src/node/control_duty.hpp
+++ b/src/node/control_duty.hpp
@@ -25,17 +25,17 @@
 #include "node/internal_server.hpp"
 #include "node/load_exchange.hpp"
 #include "node/mailbox.hpp"
-#include "node/message_rounds.hpp"
 #include "node/naming_marks.hpp"
 #include "node/order_duty.hpp"
-#include "node/order_words.hpp"
+#include "node/order_reports.hpp"
 #include "node/own_key.hpp"
 #include "node/peer_links.hpp"
 #include "node/quarantine_duty.hpp"
 #include "node/replica_fetcher.hpp"
+#include "node/round_robin_batcher.hpp"
 #include "node/store_link.hpp"
 #include "node/update_queue.hpp"
-#include "node/weight_news.hpp"
+#include "node/weight_naming_tracker.hpp"
 #include "platform/document_order.hpp"
 
 namespace fordwood::node {
@@ -92,7 +92,7 @@
     bool holdsAllOf(const StoreVersion &version) const;
 
     void heard(const Gossip &message);
-    void takeOrders(const std::string &node, const OrderWord &word);
+    void takeOrders(const std::string &node, const OrderReport &word);
     // Whether nodes hear of load by the sums of relays.
     bool usesSums() const;
     void noteOthersLoad(LoadReport others);
@@ -122,7 +122,7 @@
     void noteEngines();
     void tellShown(const std::string &instanceId, const std::string &model,
                    const ObservedWeights &weights);
-    OrderWord ownOrders() const;
+    OrderReport ownOrders() const;
     bool inDoubt() const;
     void tell(FleetUpdate update);
     void flushUpdates();
@@ -138,7 +138,7 @@
     StoreReplica m_replica{m_documentOrder};
     std::optional<TimePoint> m_settleAt; // after a restore of the store
     CopyFreshness m_freshness; // of the replica
-    WeightNews m_weights;
+    WeightNamingTracker m_weights;
     StoreLink m_store;
     OwnKey m_ownKey;
     NamingMarks m_marks;
@@ -150,7 +150,7 @@
     RelayRole m_role;
     PeerLinks m_peers;
     LoadExchange m_exchange;
-    OrderWords m_orderWords;
+    OrderReports m_orderWords;
     InternalServer m_readyServer;
     InternalServer m_peerServer;
     InternalServer m_metricsServer;
@@ -161,7 +161,7 @@
     DrainReports m_drainReports;
     LoadBook m_loads;
     OwnLoads m_lastOwn;
-    MessageRounds<LimitGossip> m_limitRounds;
+    RoundRobinBatcher<LimitGossip> m_limitRounds;
     UpdateQueue m_waiting; // updates that did not fit
     bool m_hasConfiguration = false;
     bool m_isStopping = false;
--- a/src/node/control_limits.cpp
+++ b/src/node/control_limits.cpp
@@ -11,11 +11,11 @@
 
 // By then a node has read the platform's store a second time, and knows the others that started
 // with it: a large fleet that starts at once would else consist of relays.
-constexpr Duration kLearning = std::chrono::milliseconds(750);
+constexpr Duration kDiscoveryTime = std::chrono::milliseconds(750);
 
 } // namespace
 
-std::string makeNodeLife(const std::string &node)
+std::string makeNodeInstanceId(const std::string &node)
 {
     std::random_device device;
     return node + "/" + std::to_string(device()) + std::to_string(device());
@@ -29,20 +29,20 @@
     return limits;
 }
 
-std::size_t mostContextReaders(const ServingConfig &config)
+std::size_t maxContextReaders(const ServingConfig &config)
 {
-    std::size_t least = 0;
-    const auto note = [&least](std::size_t n) {
-        if (n > 0 && (least == 0 || n < least))
-            least = n;
+    std::size_t lowest = 0;
+    const auto consider = [&lowest](std::size_t n) {
+        if (n > 0 && (lowest == 0 || n < lowest))
+            lowest = n;
     };
     for (const ContextStore &it : config.stores)
-        note(it.maxReaders);
-    if (least > 0)
-        return least;
+        consider(it.maxReaders);
+    if (lowest > 0)
+        return lowest;
     for (const ServicePool &it : config.services)
-        note(it.engine ? it.engine->maxReaders : 0);
-    return least;
+        consider(it.engine ? it.engine->maxReaders : 0);
+    return lowest;
 }
 
 double vmStrength(const config::VmSettings &vm)
@@ -51,17 +51,17 @@
     return std::min(kMbpsOfCore * vm.processorShare * vm.processorSpeed, vm.linkMbps);
 }
 
-RelayRole::Limits roleLimits(const config::OneProcessSettings &settings)
+RelayRole::Limits relayRoleLimits(const config::OneProcessSettings &settings)
 {
     RelayRole::Limits limits;
     if (!settings.mechanisms.relays)
         limits.smallFleet = std::numeric_limits<std::size_t>::max();
     else if (settings.mechanisms.loadSums)
-        limits.discovery = kLearning;
+        limits.discovery = kDiscoveryTime;
     return limits;
 }
 
-std::size_t fleetOfEachTold(const config::OneProcessSettings &settings)
+std::size_t directGossipLimit(const config::OneProcessSettings &settings)
 {
     return settings.mechanisms.passingOn ? kSmallFleet : std::numeric_limits<std::size_t>::max();
 }
--- a/src/node/control_limits.hpp
+++ b/src/node/control_limits.hpp
@@ -13,7 +13,7 @@
 namespace fordwood::node {
 
 // Names this life of the node as a holder of the lock.
-std::string makeNodeLife(const std::string &node);
+std::string makeNodeInstanceId(const std::string &node);
 
 FencedLock::Limits lockLimits(const config::OneProcessSettings &settings);
 
@@ -21,14 +21,14 @@
 // Mbit/s, and what is scarcer counts.
 double vmStrength(const config::VmSettings &vm);
 
-RelayRole::Limits roleLimits(const config::OneProcessSettings &settings);
+RelayRole::Limits relayRoleLimits(const config::OneProcessSettings &settings);
 
 // Up to how many nodes each tells each other one.
-std::size_t fleetOfEachTold(const config::OneProcessSettings &settings);
+std::size_t directGossipLimit(const config::OneProcessSettings &settings);
 
 // How many readers the stores of kept context serve at once, by the strictest of them or, where
 // none says, by what engines say; 0: not stated.
-std::size_t mostContextReaders(const ServingConfig &config);
+std::size_t maxContextReaders(const ServingConfig &config);
 
 } // namespace fordwood::node
 
--- a/src/node/drain_reports.cpp
+++ b/src/node/drain_reports.cpp
@@ -3,7 +3,7 @@
 
 namespace fordwood::node {
 
-std::vector<std::string> DrainReports::note(const std::vector<std::string> &instanceIds)
+std::vector<std::string> DrainReports::record(const std::vector<std::string> &instanceIds)
 {
     std::vector<std::string> added;
     for (const std::string &it : instanceIds) {
@@ -13,16 +13,16 @@
     return added;
 }
 
-bool DrainReports::takeOwn(const std::vector<std::string> &instanceIds)
+bool DrainReports::addOwn(const std::vector<std::string> &instanceIds)
 {
-    return !note(instanceIds).empty();
+    return !record(instanceIds).empty();
 }
 
-bool DrainReports::takeFrom(const std::string &peer, const std::vector<std::string> &instanceIds)
+bool DrainReports::addFromPeer(const std::string &peer, const std::vector<std::string> &instanceIds)
 {
-    const std::vector<std::string> added = note(instanceIds);
+    const std::vector<std::string> added = record(instanceIds);
     for (const std::string &it : added)
-        m_tell(DrainingReported{peer, it});
+        m_publish(PeerDrainReport{peer, it});
     return !added.empty();
 }
 
--- a/src/node/drain_reports.hpp
+++ b/src/node/drain_reports.hpp
@@ -8,7 +8,7 @@
 
 #include "fordwood/upstream_directory.hpp"
 #include "node/fleet_update.hpp"
-#include "node/message_rounds.hpp"
+#include "node/round_robin_batcher.hpp"
 
 namespace fordwood::node {
 
@@ -17,29 +17,29 @@
 class DrainReports
 {
 public:
-    using Tell = std::function<void(FleetUpdate)>;
+    using Publish = std::function<void(FleetUpdate)>;
 
     // `tell`: is given what the thread that serves requests does not know yet.
-    DrainReports(UpstreamDirectory &upstreams, Tell tell)
-        : m_upstreams(upstreams), m_tell(std::move(tell))
+    DrainReports(UpstreamDirectory &upstreams, Publish publish)
+        : m_upstreams(upstreams), m_publish(std::move(publish))
     { }
 
     // What the thread that serves requests knows. Whether one of them is new.
-    bool takeOwn(const std::vector<std::string> &instanceIds);
+    bool addOwn(const std::vector<std::string> &instanceIds);
 
     // What a peer reports. Upstreams that this node does not know are passed over: the peer
     // repeats its report for as long as it knows them.
-    bool takeFrom(const std::string &peer, const std::vector<std::string> &instanceIds);
+    bool addFromPeer(const std::string &peer, const std::vector<std::string> &instanceIds);
 
     // For the next message to peers.
-    std::vector<std::string> forPeers() { return m_rounds.next(m_upstreams.reportedDraining()); }
+    std::vector<std::string> nextBatch() { return m_batches.next(m_upstreams.reportedDraining()); }
 
 private:
-    std::vector<std::string> note(const std::vector<std::string> &instanceIds);
+    std::vector<std::string> record(const std::vector<std::string> &instanceIds);
 
     UpstreamDirectory &m_upstreams;
-    Tell m_tell;
-    MessageRounds<std::string> m_rounds;
+    Publish m_publish;
+    RoundRobinBatcher<std::string> m_batches;
 };
 
 } // namespace fordwood::node
--- a/src/node/fleet_update.hpp
+++ b/src/node/fleet_update.hpp
@@ -22,19 +22,19 @@
 namespace fordwood::node {
 
 // A configuration is in force.
-struct ConfigInForce
+struct ConfigApplied
 {
     std::shared_ptr<const RouteTable> table;
 };
 
 // An upstream has written its record.
-struct UpstreamWritten
+struct UpstreamRecordWritten
 {
     UpstreamRecord record;
 };
 
 // The record of an upstream is gone.
-struct UpstreamRemoved
+struct UpstreamRecordRemoved
 {
     std::string instanceId;
     bool mayBeExpiry = false;
@@ -59,7 +59,7 @@
 { };
 
 // A model shall run on a weight version.
-struct WeightsWanted
+struct WeightVersionNamed
 {
     std::string model;
     std::uint64_t version = 0;
@@ -67,7 +67,7 @@
 };
 
 // An engine runs on a weight version, though its record may not say so yet.
-struct WeightsShown
+struct WeightsObserved
 {
     std::string instanceId;
     std::string model;
@@ -91,7 +91,7 @@
 };
 
 // How many nodes live, this one included.
-struct LiveNodes
+struct LiveNodeCount
 {
     std::size_t n = 1;
 };
@@ -103,57 +103,58 @@
 };
 
 // Whether this node hears of changes at all: from the platform's store or from a peer.
-struct Informed
+struct ReceivesVersions
 {
-    bool informed = true;
+    bool receives = true;
 };
 
 // A store of kept context has told what it holds.
-struct ContextStoreTold
+struct ContextStoreUpdated
 {
-    ContextStoreUpdate news;
-    TimePoint heard{}; // by this node, which is when the age in the news holds
+    ContextStoreUpdate update;
+    TimePoint receivedAt{}; // by this node, which is when the age in the news holds
 };
 
 // A store of kept context does not answer.
-struct ContextStoreSilent
+struct ContextStoreFailed
 {
     std::string store;
 };
 
 // What other nodes know of requests that end upstreams.
-struct RequestsHeard
+struct PeerQuarantineUpdates
 {
-    std::vector<QuarantineUpdate> news;
+    std::vector<QuarantineUpdate> updates;
 };
 
 // What a peer has told of limits that upstreams name.
-struct LimitsHeard
+struct PeerLimits
 {
     std::string peer;
-    std::vector<LimitGossip> words;
+    std::vector<LimitGossip> limits;
 };
 
 // A peer knows an upstream to be draining, by its answers.
-struct DrainingReported
+struct PeerDrainReport
 {
     std::string peer;
     std::string instanceId;
 };
 
 // The planned stop begins.
-struct StopBegins
+struct StopStarted
 { };
 
 using FleetUpdate
-    = std::variant<ConfigInForce, UpstreamWritten, UpstreamRemoved, DomainEvacuated,
-                   StoreReachability, StoreRestored, WeightsWanted, WeightsShown, EnginesLoading,
-                   PeerLoads, LiveNodes, KnownNodes, ContextStoreTold, ContextStoreSilent, Informed,
-                   RequestsHeard, LimitsHeard, DrainingReported, StopBegins>;
+    = std::variant<ConfigApplied, UpstreamRecordWritten, UpstreamRecordRemoved, DomainEvacuated,
+                   StoreReachability, StoreRestored, WeightVersionNamed, WeightsObserved,
+                   EnginesLoading, PeerLoads, LiveNodeCount, KnownNodes, ContextStoreUpdated,
+                   ContextStoreFailed, ReceivesVersions, PeerQuarantineUpdates, PeerLimits,
+                   PeerDrainReport, StopStarted>;
 
 // What peers should hear of limits that upstreams name: of this node alone, or of all nodes where
 // it is a relay.
-struct LimitNews
+struct LimitUpdates
 {
     std::vector<LimitGossip> own;
     std::vector<LimitGossip> all;
@@ -165,7 +166,7 @@
     LoadBook::Loads loads;
     std::size_t shortContextTokens = 0;
     std::vector<std::uint64_t> contextsSent;
-    LimitNews limits;
+    LimitUpdates limits;
     std::vector<std::string> draining; // upstreams that say so in their answers
     bool isUrgent = false; // peers should hear it at once
 };
--- a/src/node/load_exchange.hpp
+++ b/src/node/load_exchange.hpp
@@ -19,7 +19,7 @@
 {
 public:
     // Is told what all other nodes together have sent.
-    using Others = std::function<void(LoadReport)>;
+    using OnOthersLoad = std::function<void(LoadReport)>;
 
     struct Pace
     {
@@ -27,14 +27,14 @@
         double linkBytesPerSecond = 0.0; // of this VM
     };
 
-    LoadExchange(const Clock &clock, PeerLinks &peers, Pace pace, Others others)
-        : m_peers(peers), m_pace(pace), m_others(std::move(others)), m_sums(clock)
+    LoadExchange(const Clock &clock, PeerLinks &peers, Pace pace, OnOthersLoad onOthersLoad)
+        : m_peers(peers), m_pace(pace), m_onOthersLoad(std::move(onOthersLoad)), m_sums(clock)
     { }
 
     void setOwn(LoadReport report) { m_sums.setOwn(std::move(report)); }
 
     // What a peer told of load. `isRelay`: this node is one.
-    void take(const Gossip &message, bool isRelay);
+    void handle(const Gossip &message, bool isRelay);
 
     // Sends `message`, which says all but the load, to those who need it. Returns the time until
     // the next one is due.
@@ -48,12 +48,12 @@
 
 private:
     void report(Gossip message);
-    Duration tellSums(Gossip message);
-    void noteOthers(LoadReport others);
+    Duration sendSums(Gossip message);
+    void publishOthers(LoadReport others);
 
     PeerLinks &m_peers;
     const Pace m_pace;
-    Others m_others;
+    OnOthersLoad m_onOthersLoad;
     LoadSums m_sums;
     SentReports m_sent;
     std::size_t m_liveNodes = 0;
--- a/src/node/naming_marks.hpp
+++ b/src/node/naming_marks.hpp
@@ -11,7 +11,7 @@
 #include "fordwood/clock.hpp"
 #include "fordwood/store_replica.hpp"
 #include "node/store_link.hpp"
-#include "node/weight_news.hpp"
+#include "node/weight_naming_tracker.hpp"
 
 namespace fordwood::node {
 
@@ -25,21 +25,21 @@
 public:
     struct Limits
     {
-        Duration life{}; // from the naming to the end of its mark
-        Duration leastLease{}; // the shortest that the store grants
+        Duration ttl{}; // from the naming to the end of its mark
+        Duration minLease{}; // the shortest that the store grants
     };
 
-    NamingMarks(const Clock &clock, StoreLink &store, const StoreReplica &replica, WeightNews &news,
-                Limits limits)
-        : m_clock(clock), m_store(store), m_replica(replica), m_news(news), m_limits(limits)
+    NamingMarks(const Clock &clock, StoreLink &store, const StoreReplica &replica,
+                WeightNamingTracker &tracker, Limits limits)
+        : m_clock(clock), m_store(store), m_replica(replica), m_tracker(tracker), m_limits(limits)
     { }
 
     // Learns from the marks in the copy of the store, which was whole at that time.
-    void read(std::optional<TimePoint> wholeAt);
+    void read(std::optional<TimePoint> completeAsOf);
 
     // Writes those that are missing. `patience`: how long after a naming this node leaves that to
     // others.
-    void write(Duration patience);
+    void write(Duration delay);
 
     // The key of a mark. Its value is the newest version that had been named before, as text.
     static std::string keyOf(const std::string &model, std::uint64_t version);
@@ -48,19 +48,19 @@
     using Naming = std::pair<std::string, std::uint64_t>; // model, version
     struct Write
     {
-        bool isBusy = false; // a call is on its way
-        TimePoint next{};
+        bool isPending = false; // a call is on its way
+        TimePoint nextAttempt{};
     };
 
     Duration leaseFor(const WeightNaming &naming) const;
-    void grant(const Naming &naming, std::uint64_t after, Duration lease);
-    void put(const Naming &naming, std::uint64_t after, std::int64_t lease);
-    void finished(const Naming &naming);
+    void grant(const Naming &naming, std::uint64_t newestBefore, Duration lease);
+    void put(const Naming &naming, std::uint64_t newestBefore, std::int64_t lease);
+    void onWriteFinished(const Naming &naming);
 
     const Clock &m_clock;
     StoreLink &m_store;
     const StoreReplica &m_replica;
-    WeightNews &m_news;
+    WeightNamingTracker &m_tracker;
     const Limits m_limits;
     std::map<Naming, Write> m_writes;
 };
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -55,7 +55,7 @@
     : m_context(context), m_clock(clock), m_settings(settings), m_metrics(metrics),
       m_upstreams(clock, {}), m_loads(clock), m_health(clock), m_limitLog(metrics),
       m_gate(clock, coldLimits(settings), settings.node.name,
-             stableHash(makeNodeLife(settings.node.name))),
+             stableHash(makeNodeInstanceId(settings.node.name))),
       m_quarantine(clock), m_contexts(clock), m_engines(clock, chooserLimits(settings)),
       m_channels(context, clock), m_shortDemand(clock), m_stallDetector(clock)
 { }
@@ -65,7 +65,7 @@
     std::visit([this](const auto &it) { apply(it); }, update);
 }
 
-void NodeState::apply(const ConfigInForce &update)
+void NodeState::apply(const ConfigApplied &update)
 {
     m_table = update.table;
     m_contexts.setStores(m_table->config().stores);
@@ -73,14 +73,14 @@
                        static_cast<double>(m_table->config().version));
 }
 
-void NodeState::apply(const UpstreamWritten &update)
+void NodeState::apply(const UpstreamRecordWritten &update)
 {
     m_upstreams.put(update.record);
     m_gate.limitGate().upstreamLimits().addUpstream(update.record.instanceId);
     m_gate.coldGate().setCold(update.record.instanceId, update.record.coldFor);
 }
 
-void NodeState::apply(const UpstreamRemoved &update)
+void NodeState::apply(const UpstreamRecordRemoved &update)
 {
     const UpstreamRecord *record = m_upstreams.find(update.instanceId);
     const bool wasDraining = record != nullptr && record->draining;
@@ -115,13 +115,13 @@
     m_upstreams.storeRestored();
 }
 
-void NodeState::apply(const WeightsWanted &update)
+void NodeState::apply(const WeightVersionNamed &update)
 {
     m_weights[update.model].note(update.version, update.naming);
     m_contexts.setWeights(update.model, m_weights[update.model]);
 }
 
-void NodeState::apply(const WeightsShown &update)
+void NodeState::apply(const WeightsObserved &update)
 {
     m_upstreams.setWeightVersion(update.instanceId, update.model, update.weights);
 }
@@ -142,7 +142,7 @@
         m_contexts.recordPeerSends(update.contextsSent);
 }
 
-void NodeState::apply(const LiveNodes &update)
+void NodeState::apply(const LiveNodeCount &update)
 {
     m_liveNodes = std::max<std::size_t>(update.n, 1);
     m_gate.limitGate().setLiveNodeCount(m_liveNodes);
@@ -153,17 +153,17 @@
     m_gate.coldGate().setNodes(update.others);
 }
 
-void NodeState::apply(const ContextStoreTold &update)
+void NodeState::apply(const ContextStoreUpdated &update)
 {
     // The update may have waited in the mailbox while the process was stalled.
-    m_contexts.storeAnswered(update.news, m_clock.now() - update.heard);
-    if (update.news.clock.count() > 0)
-        m_engineClock = {update.news.clock, update.heard - update.news.age};
+    m_contexts.storeAnswered(update.update, m_clock.now() - update.receivedAt);
+    if (update.update.clock.count() > 0)
+        m_engineClock = {update.update.clock, update.receivedAt - update.update.age};
 }
 
-void NodeState::apply(const Informed &update)
+void NodeState::apply(const ReceivesVersions &update)
 {
-    m_contexts.setReceivesVersions(update.informed);
+    m_contexts.setReceivesVersions(update.receives);
 }
 
 std::chrono::milliseconds NodeState::fetchDeadline() const
@@ -176,29 +176,29 @@
                m_clock.now() - m_engineClock.readAt + OldContext::kFetch);
 }
 
-void NodeState::apply(const ContextStoreSilent &update)
+void NodeState::apply(const ContextStoreFailed &update)
 {
     m_contexts.storeFailed(update.store);
 }
 
-void NodeState::apply(const RequestsHeard &update)
+void NodeState::apply(const PeerQuarantineUpdates &update)
 {
-    m_quarantine.applyUpdates(update.news);
+    m_quarantine.applyUpdates(update.updates);
     m_onQuarantineUpdates();
 }
 
-void NodeState::apply(const LimitsHeard &update)
+void NodeState::apply(const PeerLimits &update)
 {
-    for (const LimitChange &it : m_gate.limitGate().applyUpdates(update.words))
+    for (const LimitChange &it : m_gate.limitGate().applyUpdates(update.limits))
         logLimit(it, update.peer);
 }
 
-void NodeState::apply(const DrainingReported &update)
+void NodeState::apply(const PeerDrainReport &update)
 {
     recordDraining(update.instanceId, update.peer);
 }
 
-void NodeState::apply(const StopBegins &)
+void NodeState::apply(const StopStarted &)
 {
     m_stopStartedAt = m_clock.now();
 }
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -98,7 +98,7 @@
 
     // The rate limits to report to peers: the ones that this node has learned itself, and all known
     // ones, which it reports where it is a relay.
-    LimitNews limitNews() const
+    LimitUpdates limitUpdates() const
     {
         return {m_gate.limitGate().ownUpdates(), m_gate.limitGate().allUpdates()};
     }
@@ -164,25 +164,25 @@
     ChannelPool &channels() { return m_channels; }
 
 private:
-    void apply(const ConfigInForce &update);
-    void apply(const UpstreamWritten &update);
-    void apply(const UpstreamRemoved &update);
+    void apply(const ConfigApplied &update);
+    void apply(const UpstreamRecordWritten &update);
+    void apply(const UpstreamRecordRemoved &update);
     void apply(const DomainEvacuated &update);
     void apply(const StoreReachability &update);
     void apply(const StoreRestored &update);
-    void apply(const WeightsWanted &update);
-    void apply(const WeightsShown &update);
+    void apply(const WeightVersionNamed &update);
+    void apply(const WeightsObserved &update);
     void apply(const EnginesLoading &update);
     void apply(const PeerLoads &update);
-    void apply(const LiveNodes &update);
+    void apply(const LiveNodeCount &update);
     void apply(const KnownNodes &update);
-    void apply(const ContextStoreTold &update);
-    void apply(const ContextStoreSilent &update);
-    void apply(const Informed &update);
-    void apply(const RequestsHeard &update);
-    void apply(const LimitsHeard &update);
-    void apply(const DrainingReported &update);
-    void apply(const StopBegins &update);
+    void apply(const ContextStoreUpdated &update);
+    void apply(const ContextStoreFailed &update);
+    void apply(const ReceivesVersions &update);
+    void apply(const PeerQuarantineUpdates &update);
+    void apply(const PeerLimits &update);
+    void apply(const PeerDrainReport &update);
+    void apply(const StopStarted &update);
 
     void checkForStall();
     void recordUpstreamEnd(const std::string &instanceId);
--- a/src/node/peer_links.cpp
+++ b/src/node/peer_links.cpp
@@ -20,17 +20,17 @@
 using adapters::logEvent;
 
 // Several turns within the time from which on a node is held to have stood still.
-constexpr Duration kTurnEvery = std::chrono::milliseconds(100);
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 
 // Datagrams that are dropped at once; the sockets of any VM hold fewer.
-constexpr std::size_t kMostWaiting = 100'000;
+constexpr std::size_t kMaxDroppedDatagrams = 100'000;
 
 } // namespace
 
 PeerLinks::PeerLinks(net::io_context &context, const Clock &clock, Self self,
-                     std::size_t smallFleet, Heard heard)
-    : m_roster(clock, std::move(self)), m_smallFleet(smallFleet), m_heard(std::move(heard)),
-      m_socket(context), m_turnTimer(context), m_standstill(clock)
+                     std::size_t smallFleet, OnMessage onMessage)
+    : m_roster(clock, std::move(self)), m_smallFleet(smallFleet), m_onMessage(std::move(onMessage)),
+      m_socket(context), m_tickTimer(context), m_stallDetector(clock)
 { }
 
 bool PeerLinks::open(const std::string &address, ErrorCode &ec)
@@ -47,47 +47,47 @@
         m_socket.non_blocking(true, ec);
     if (ec)
         return false;
-    m_standstill.turn(); // the thread does not work before
-    keepTurns();
+    m_stallDetector.turn(); // the thread does not work before
+    startTickTimer();
     receive();
     return true;
 }
 
 void PeerLinks::sendAll(const Gossip &message)
 {
-    m_roster.forgetSilent();
+    m_roster.removeSilent();
     const std::string datagram = static_cast<char>(Delivery::Direct) + encodeGossip(message);
     // A last message must not be overtaken by one before it.
-    const bool tellsEach = message.leaving || m_roster.size() < m_smallFleet;
-    std::map<std::string, std::vector<const Peer *>> across; // by failure domain
+    const bool sendsToEach = message.leaving || m_roster.size() < m_smallFleet;
+    std::map<std::string, std::vector<const Peer *>> byDomain; // by failure domain
     for (const auto &[name, peer] : m_roster.peers()) {
-        if (tellsEach || m_roster.isNear(peer) || peer.failureDomain.empty())
+        if (sendsToEach || m_roster.isInOwnDomain(peer) || peer.failureDomain.empty())
             send(datagram, peer);
         else
-            across[peer.failureDomain].push_back(&peer);
+            byDomain[peer.failureDomain].push_back(&peer);
     }
-    for (const auto &[domain, members] : across)
-        passAcross(datagram, members);
-    m_sends += 1;
+    for (const auto &[domain, members] : byDomain)
+        sendForForwarding(datagram, members);
+    m_messagesSent += 1;
 }
 
 void PeerLinks::sendToRelays(const Gossip &message)
 {
-    m_roster.forgetSilent();
-    sendEach(message, m_roster.relaysToTell());
+    m_roster.removeSilent();
+    sendToPeers(message, m_roster.reportTargets());
 }
 
-std::size_t PeerLinks::sendNear(const Gossip &message)
+std::size_t PeerLinks::sendToDomain(const Gossip &message)
 {
-    return sendEach(message, m_roster.near());
+    return sendToPeers(message, m_roster.domainPeers());
 }
 
-std::size_t PeerLinks::sendAcross(const Gossip &message)
+std::size_t PeerLinks::sendToOtherDomains(const Gossip &message)
 {
-    return sendEach(message, m_roster.oneOfEachOtherDomain());
+    return sendToPeers(message, m_roster.otherDomainTargets());
 }
 
-std::size_t PeerLinks::sendEach(const Gossip &message, const std::vector<const Peer *> &peers)
+std::size_t PeerLinks::sendToPeers(const Gossip &message, const std::vector<const Peer *> &peers)
 {
     const std::string datagram = static_cast<char>(Delivery::Direct) + encodeGossip(message);
     for (const Peer *it : peers)
@@ -106,71 +106,72 @@
 
 // Two members in turn pass messages on, so that one that has just died costs every other message.
 // Each node has two of its own, by a hash that favours strong ones: so the work is spread.
-void PeerLinks::passAcross(std::string datagram, const std::vector<const Peer *> &members)
+void PeerLinks::sendForForwarding(std::string datagram, const std::vector<const Peer *> &members)
 {
-    constexpr std::size_t kInTurn = 2;
-    std::vector<std::pair<double, const Peer *>> order;
+    constexpr std::size_t kForwarders = 2;
+    std::vector<std::pair<double, const Peer *>> candidates;
     for (const Peer *it : members) {
         if (m_roster.isLive(*it) && it->gossip)
-            order.emplace_back(distanceTo(*it), it);
+            candidates.emplace_back(forwardingDistance(*it), it);
     }
-    if (order.empty()) {
+    if (candidates.empty()) {
         for (const Peer *it : members)
             send(datagram, *it);
         return;
     }
-    const std::size_t n = std::min(kInTurn, order.size());
-    std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(n), order.end());
-    datagram.front() = static_cast<char>(Delivery::PassOn);
-    send(datagram, *order[m_sends % n].second);
+    const std::size_t n = std::min(kForwarders, candidates.size());
+    std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(n),
+                      candidates.end());
+    datagram.front() = static_cast<char>(Delivery::Forward);
+    send(datagram, *candidates[m_messagesSent % n].second);
 }
 
 // Weighted rendezvous: the least one wins, in proportion to the strengths.
-double PeerLinks::distanceTo(const Peer &peer) const
+double PeerLinks::forwardingDistance(const Peer &peer) const
 {
-    constexpr double kLeastStrength = 1.0; // of one that is not known
+    constexpr double kMinStrength = 1.0; // of one that is not known
     const std::uint64_t hash = rendezvousWeight(stableHash(m_roster.self().name),
                                                 stableHash(peer.gossip->address().to_string()));
-    return -std::log(1.0 - hashFraction(hash)) / std::max(peer.strength, kLeastStrength);
+    return -std::log(1.0 - hashFraction(hash)) / std::max(peer.strength, kMinStrength);
 }
 
-void PeerLinks::passOn(std::string datagram, const std::vector<const Peer *> &peers)
+void PeerLinks::forward(std::string datagram, const std::vector<const Peer *> &peers)
 {
-    datagram.front() = static_cast<char>(Delivery::Passed);
+    datagram.front() = static_cast<char>(Delivery::Forwarded);
     for (const Peer *it : peers)
         send(datagram, *it);
 }
 
-void PeerLinks::keepTurns()
+void PeerLinks::startTickTimer()
 {
     tick();
-    m_turnTimer.expires_after(kTurnEvery);
-    m_turnTimer.async_wait([this](const ErrorCode &ec) {
+    m_tickTimer.expires_after(kTickInterval);
+    m_tickTimer.async_wait([this](const ErrorCode &ec) {
         if (!ec)
-            keepTurns();
+            startTickTimer();
     });
 }
 
 void PeerLinks::tick()
 {
-    const Duration stoodStill = m_standstill.turn();
-    if (stoodStill == Duration::zero())
+    const Duration stallTime = m_stallDetector.turn();
+    if (stallTime == Duration::zero())
         return;
-    const std::size_t dropped = dropWaiting();
+    const std::size_t dropped = dropPending();
     logEvent(Event::StoodStill,
-             {{"stood_still_ms", std::chrono::floor<std::chrono::milliseconds>(stoodStill).count()},
+             {{"stood_still_ms", std::chrono::floor<std::chrono::milliseconds>(stallTime).count()},
               {"datagrams_dropped", dropped}});
 }
 
 // What peers said while this node stood still would count as said now, here and, where it is passed
 // on, with nodes that ran. They say it anew several times a second.
-std::size_t PeerLinks::dropWaiting()
+std::size_t PeerLinks::dropPending()
 {
     std::array<char, 1> byte{};
     udp::endpoint from;
     ErrorCode ec;
     std::size_t n = 0;
-    while (n < kMostWaiting && !ec) {
+    while (n < kMaxDroppedDatagrams && !ec) {
         m_socket.receive_from(net::buffer(byte), from, 0, ec);
         n += ec ? 0 : 1;
     }
@@ -187,12 +188,12 @@
                                     if (ec == net::error::operation_aborted)
                                         return;
                                     if (!ec)
-                                        received({m_bytes.data(), n});
+                                        onDatagram({m_bytes.data(), n});
                                     receive();
                                 });
 }
 
-void PeerLinks::received(std::string_view datagram)
+void PeerLinks::onDatagram(std::string_view datagram)
 {
     tick();
     if (m_isDropping || datagram.empty())
@@ -201,15 +202,15 @@
     const auto message = decodeGossip(datagram.substr(1));
     if (!message || message->node == m_roster.self().name)
         return;
-    const bool isDirect = delivery != Delivery::Passed;
-    if (delivery == Delivery::PassOn)
-        passOn(std::string(datagram), m_roster.near());
+    const bool isDirect = delivery != Delivery::Forwarded;
+    if (delivery == Delivery::Forward)
+        forward(std::string(datagram), m_roster.domainPeers());
     // The sums of another failure domain reached a node that may be no relay: its relays, which
     // the sender does not know, learn of it by them.
     else if (isDirect && message->scope == LoadScope::Domain)
-        passOn(std::string(datagram), m_roster.relaysNear());
-    m_roster.heard(*message, isDirect ? std::optional(m_sender) : std::nullopt);
-    m_heard(*message);
+        forward(std::string(datagram), m_roster.domainRelays());
+    m_roster.update(*message, isDirect ? std::optional(m_sender) : std::nullopt);
+    m_onMessage(*message);
 }
 
 } // namespace fordwood::node
--- a/src/node/peer_links.hpp
+++ b/src/node/peer_links.hpp
@@ -24,12 +24,12 @@
 class PeerLinks
 {
 public:
-    using Heard = std::function<void(const Gossip &)>;
+    using OnMessage = std::function<void(const Gossip &)>;
     using Self = PeerRoster::Self;
 
     // `smallFleet`: up to so many nodes, each tells each other one.
     PeerLinks(net::io_context &context, const Clock &clock, Self self, std::size_t smallFleet,
-              Heard heard);
+              OnMessage onMessage);
 
     // False when the address cannot be used; `ec` tells why.
     bool open(const std::string &address, ErrorCode &ec);
@@ -53,10 +53,10 @@
     void sendToRelays(const Gossip &message);
 
     // The sums of all nodes, to those of this failure domain. Returns the bytes sent.
-    std::size_t sendNear(const Gossip &message);
+    std::size_t sendToDomain(const Gossip &message);
 
     // The sums of this failure domain, to a relay of each other one. Returns the bytes sent.
-    std::size_t sendAcross(const Gossip &message);
+    std::size_t sendToOtherDomains(const Gossip &message);
 
     // Datagrams that this node has sent.
     std::size_t datagramsSent() const { return m_datagramsSent; }
@@ -67,33 +67,33 @@
     // What a datagram's first byte says of the message behind it.
     enum class Delivery : char {
         Direct, // from the node that wrote it
-        PassOn, // likewise; the receiver tells the others of its failure domain
-        Passed, // from a node that was asked to, or that is no relay and knows one
+        Forward, // likewise; the receiver tells the others of its failure domain
+        Forwarded, // from a node that was asked to, or that is no relay and knows one
     };
 
-    void keepTurns();
+    void startTickTimer();
     // Returns the number of datagrams.
-    std::size_t dropWaiting();
+    std::size_t dropPending();
     void receive();
-    void received(std::string_view datagram);
-    void passOn(std::string datagram, const std::vector<const Peer *> &peers);
+    void onDatagram(std::string_view datagram);
+    void forward(std::string datagram, const std::vector<const Peer *> &peers);
     void send(const std::string &datagram, const Peer &peer);
-    std::size_t sendEach(const Gossip &message, const std::vector<const Peer *> &peers);
-    double distanceTo(const Peer &peer) const;
-    void passAcross(std::string datagram, const std::vector<const Peer *> &members);
+    std::size_t sendToPeers(const Gossip &message, const std::vector<const Peer *> &peers);
+    double forwardingDistance(const Peer &peer) const;
+    void sendForForwarding(std::string datagram, const std::vector<const Peer *> &members);
 
-    static constexpr std::size_t kMostBytes = 65'507; // of a datagram
+    static constexpr std::size_t kMaxDatagramBytes = 65'507; // of a datagram
 
     PeerRoster m_roster;
     const std::size_t m_smallFleet;
-    Heard m_heard;
+    OnMessage m_onMessage;
     udp::socket m_socket;
-    net::steady_timer m_turnTimer;
-    StandstillWatch m_standstill;
+    net::steady_timer m_tickTimer;
+    StandstillWatch m_stallDetector;
     bool m_isDropping = false; // what was read before this node was seen to have stood still
     udp::endpoint m_sender;
-    std::array<char, kMostBytes> m_bytes{};
-    std::size_t m_sends = 0; // messages
+    std::array<char, kMaxDatagramBytes> m_bytes{};
+    std::size_t m_messagesSent = 0; // messages
     std::size_t m_datagramsSent = 0;
 };
 
--- a/src/node/peer_messages.cpp
+++ b/src/node/peer_messages.cpp
@@ -18,10 +18,10 @@
         std::clamp<std::int64_t>(number.get<std::int64_t>(), 0, kOldest));
 }
 
-using ShownByEngine = decltype(OrderWord::weightsShown);
+using VersionsByEngine = decltype(OrderReport::observedVersions);
 
 // Two texts and two numbers for each version. Older nodes read another form, under another name.
-Json encodeShown(const ShownByEngine &shown)
+Json encodeVersions(const VersionsByEngine &shown)
 {
     Json list = Json::array();
     for (const auto &[id, models] : shown) {
@@ -31,16 +31,16 @@
     return list;
 }
 
-ShownByEngine decodeShown(const Json &list)
+VersionsByEngine decodeVersions(const Json &list)
 {
-    ShownByEngine shown;
+    VersionsByEngine shown;
     for (const Json &row : list)
         shown[row.at(0).get<std::string>()][row.at(1).get<std::string>()]
             = {row.at(2).get<std::uint64_t>(), decodeAge(row.at(3))};
     return shown;
 }
 
-Json encodeOrders(const OrderWord &word)
+Json encodeOrders(const OrderReport &word)
 {
     Json object = Json::object();
     if (word.age.count() > 0)
@@ -49,26 +49,26 @@
         object["ordered"] = word.lastOrder->count();
     if (!word.enginesLoading.empty())
         object["loading"] = word.enginesLoading;
-    if (!word.weightsShown.empty())
-        object["seen"] = encodeShown(word.weightsShown);
+    if (!word.observedVersions.empty())
+        object["seen"] = encodeVersions(word.observedVersions);
     return object;
 }
 
-OrderWord decodeOrders(const Json &object)
+OrderReport decodeOrders(const Json &object)
 {
-    OrderWord word;
+    OrderReport word;
     word.age = std::chrono::milliseconds(object.value("age", std::int64_t{0}));
     if (object.contains("ordered"))
         word.lastOrder = std::chrono::milliseconds(object.at("ordered").get<std::int64_t>());
     if (object.contains("loading"))
         object.at("loading").get_to(word.enginesLoading);
     if (object.contains("seen"))
-        word.weightsShown = decodeShown(object.at("seen"));
+        word.observedVersions = decodeVersions(object.at("seen"));
     return word;
 }
 
 // Two numbers name a request, a third one the life that ended under it.
-Json encodeRequestNews(const std::vector<QuarantineUpdate> &news)
+Json encodeQuarantineUpdates(const std::vector<QuarantineUpdate> &news)
 {
     Json list = Json::array();
     for (const QuarantineUpdate &it : news) {
@@ -80,7 +80,7 @@
     return list;
 }
 
-std::vector<QuarantineUpdate> decodeRequestNews(const Json &list)
+std::vector<QuarantineUpdate> decodeQuarantineUpdates(const Json &list)
 {
     std::vector<QuarantineUpdate> news;
     for (const Json &row : list) {
@@ -129,28 +129,28 @@
 }
 
 // Two numbers; two more where it is known how long ago it may have been at most.
-Json encodeNamedAge(std::uint64_t version, const NamedAge &age)
+Json encodeNamingAge(std::uint64_t version, const NamingAge &age)
 {
-    Json row{version, age.least.count()};
-    if (age.most && age.after) {
-        row.push_back(age.most->count());
-        row.push_back(*age.after);
+    Json row{version, age.min.count()};
+    if (age.max && age.newestBefore) {
+        row.push_back(age.max->count());
+        row.push_back(*age.newestBefore);
     }
     return row;
 }
 
-NamedAge decodeNamedAge(const Json &row)
+NamingAge decodeNamingAge(const Json &row)
 {
-    NamedAge age;
-    age.least = decodeAge(row.at(1));
+    NamingAge age;
+    age.min = decodeAge(row.at(1));
     if (row.size() > 3) {
-        age.most = decodeAge(row.at(2));
-        age.after = row.at(3).get<std::uint64_t>();
+        age.max = decodeAge(row.at(2));
+        age.newestBefore = row.at(3).get<std::uint64_t>();
     }
     return age;
 }
 
-constexpr std::size_t kNumbersOfRow = 4;
+constexpr std::size_t kNumbersPerLoadRow = 4;
 
 Json encodeLoad(const LoadReport &report)
 {
@@ -175,8 +175,8 @@
     object.at("nodes").get_to(report.nodes);
     const Json &numbers = object.at("at");
     std::vector<UpstreamLoads::Row> rows;
-    rows.reserve(numbers.size() / kNumbersOfRow);
-    for (std::size_t n = 0; n < numbers.size(); n += kNumbersOfRow)
+    rows.reserve(numbers.size() / kNumbersPerLoadRow);
+    for (std::size_t n = 0; n < numbers.size(); n += kNumbersPerLoadRow)
         rows.push_back({numbers.at(n).get<std::uint64_t>(),
                         {numbers.at(n + 1).get<std::size_t>(), numbers.at(n + 2).get<std::size_t>(),
                          numbers.at(n + 3).get<std::size_t>()}});
@@ -225,13 +225,13 @@
                 {"load", encodeLoad(message.load)}};
     if (message.version.epoch > 0)
         object["epoch"] = message.version.epoch;
-    if (message.number > 0)
-        object["number"] = message.number;
-    if (!message.numbers.empty())
-        object["numbers"] = message.numbers;
+    if (message.reportNumber > 0)
+        object["number"] = message.reportNumber;
+    if (!message.reportNumbers.empty())
+        object["numbers"] = message.reportNumbers;
     if (message.strength > 0.0)
         object["strength"] = message.strength;
-    if (message.hearsStore)
+    if (message.getsStoreChanges)
         object["hears"] = true;
     if (message.isRelay)
         object["relay"] = true;
@@ -241,16 +241,16 @@
         object["leaving"] = true;
     if (!message.orders.isEmpty())
         object["orders"] = encodeOrders(message.orders);
-    for (const auto &[node, word] : message.ordersHeard)
+    for (const auto &[node, word] : message.forwardedOrders)
         object["heard"][node] = encodeOrders(word);
-    for (const auto &[model, versions] : message.weightsNamed) {
+    for (const auto &[model, versions] : message.namingAges) {
         for (const auto &[version, age] : versions)
-            object["named"][model].push_back(encodeNamedAge(version, age));
+            object["named"][model].push_back(encodeNamingAge(version, age));
     }
-    if (message.wholeFor)
-        object["whole"] = message.wholeFor->count();
-    if (!message.requestNews.empty())
-        object["requests"] = encodeRequestNews(message.requestNews);
+    if (message.copyAge)
+        object["whole"] = message.copyAge->count();
+    if (!message.quarantineUpdates.empty())
+        object["requests"] = encodeQuarantineUpdates(message.quarantineUpdates);
     if (!message.limits.empty())
         object["limits"] = encodeLimits(message.limits);
     if (!message.draining.empty())
@@ -271,11 +271,11 @@
         object.at("reachable").get_to(message.storeReachable);
         message.scope = decodeScope(object.at("scope").get<int>());
         message.load = decodeLoad(object.at("load"));
-        message.number = object.value("number", std::uint64_t{0});
+        message.reportNumber = object.value("number", std::uint64_t{0});
         if (object.contains("numbers"))
-            object.at("numbers").get_to(message.numbers);
+            object.at("numbers").get_to(message.reportNumbers);
         message.strength = object.value("strength", 0.0);
-        message.hearsStore = object.value("hears", false);
+        message.getsStoreChanges = object.value("hears", false);
         message.isRelay = object.value("relay", false);
         message.followsContext = object.value("follows", false);
         message.leaving = object.value("leaving", false);
@@ -283,16 +283,16 @@
             message.orders = decodeOrders(object.at("orders"));
         const Json heard = object.value("heard", Json::object());
         for (const auto &[node, word] : heard.items())
-            message.ordersHeard[node] = decodeOrders(word);
+            message.forwardedOrders[node] = decodeOrders(word);
         const Json named = object.value("named", Json::object());
         for (const auto &[model, versions] : named.items()) {
             for (const Json &it : versions)
-                message.weightsNamed[model][it.at(0).get<std::uint64_t>()] = decodeNamedAge(it);
+                message.namingAges[model][it.at(0).get<std::uint64_t>()] = decodeNamingAge(it);
         }
         if (object.contains("whole"))
-            message.wholeFor = decodeAge(object.at("whole"));
+            message.copyAge = decodeAge(object.at("whole"));
         if (object.contains("requests"))
-            message.requestNews = decodeRequestNews(object.at("requests"));
+            message.quarantineUpdates = decodeQuarantineUpdates(object.at("requests"));
         if (object.contains("limits"))
             message.limits = decodeLimits(object.at("limits"));
         if (object.contains("draining"))
--- a/src/node/peer_messages.hpp
+++ b/src/node/peer_messages.hpp
@@ -35,38 +35,41 @@
 };
 
 // A weight version that an engine was seen to run so long ago.
-struct ShownWeights
+struct ObservedVersion
 {
     std::uint64_t version = 0;
     std::chrono::milliseconds age{0};
 
-    bool operator==(const ShownWeights &) const = default;
+    bool operator==(const ObservedVersion &) const = default;
 };
 
 // What a node has said of orders to engines, as others pass it on.
-struct OrderWord
+struct OrderReport
 {
     std::chrono::milliseconds age{0}; // since the node said so
     std::optional<std::chrono::milliseconds> lastOrder; // how long ago the node ordered an engine
     std::set<std::string> enginesLoading;
     // By instance id and model; ages from when the node said so.
-    std::map<std::string, std::map<std::string, ShownWeights>> weightsShown;
+    std::map<std::string, std::map<std::string, ObservedVersion>> observedVersions;
 
-    bool isEmpty() const { return !lastOrder && enginesLoading.empty() && weightsShown.empty(); }
+    bool isEmpty() const
+    {
+        return !lastOrder && enginesLoading.empty() && observedVersions.empty();
+    }
 };
 
 // How long ago weights were named, as far as a node knows; see WeightNaming.
-struct NamedAge
+struct NamingAge
 {
-    std::chrono::milliseconds least{0};
-    std::optional<std::chrono::milliseconds> most; // nothing: any time
-    std::optional<std::uint64_t> after = std::nullopt; // of other weights; goes with `most`
+    std::chrono::milliseconds min{0};
+    std::optional<std::chrono::milliseconds> max; // nothing: any time
+    std::optional<std::uint64_t> newestBefore = std::nullopt; // of other weights; goes with `most`
 
-    bool operator==(const NamedAge &) const = default;
+    bool operator==(const NamingAge &) const = default;
 };
 
 // By model and weight version.
-using NamedWeights = std::map<std::string, std::map<std::uint64_t, NamedAge>>;
+using NamingAges = std::map<std::string, std::map<std::uint64_t, NamingAge>>;
 
 // The short message by which nodes tell each other of themselves, several times a second: in a
 // small fleet each to each, in a large one by relays.
@@ -79,21 +82,21 @@
     StoreVersion version; // up to which the node's copy of the store is whole
     bool storeReachable = false; // by the node, which follows it
     double strength = 0.0; // of the node's VM; see vmStrength()
-    bool hearsStore = false; // the node is reached by word of one that reaches it
+    bool getsStoreChanges = false; // the node is reached by word of one that reaches it
     bool isRelay = false; // see RelayRole
     bool followsContext = false; // likewise
     bool leaving = false; // the node stops: its last message
     LoadScope scope = LoadScope::Node;
     LoadReport load; // what has been sent to upstreams
-    std::uint64_t number = 0; // of the writer's own report
-    std::map<std::string, std::uint64_t> numbers; // of the reports in a sum, by node
-    OrderWord orders; // from the node that orders engines
-    std::map<std::string, OrderWord> ordersHeard; // from others, by node; in sums
+    std::uint64_t reportNumber = 0; // of the writer's own report
+    std::map<std::string, std::uint64_t> reportNumbers; // of the reports in a sum, by node
+    OrderReport orders; // from the node that orders engines
+    std::map<std::string, OrderReport> forwardedOrders; // from others, by node; in sums
     // How long ago the store itself showed the node that its copy was whole; nothing: never.
-    std::optional<std::chrono::milliseconds> wholeFor;
+    std::optional<std::chrono::milliseconds> copyAge;
     // A node that starts learns it from its peers.
-    NamedWeights weightsNamed;
-    std::vector<QuarantineUpdate> requestNews; // of requests that end upstreams
+    NamingAges namingAges;
+    std::vector<QuarantineUpdate> quarantineUpdates; // of requests that end upstreams
     std::vector<LimitGossip> limits; // that upstreams name; ages in whole milliseconds
     std::vector<std::string> draining; // upstreams that say so in their answers
 };
--- a/src/node/replica_fetcher.cpp
+++ b/src/node/replica_fetcher.cpp
@@ -69,10 +69,10 @@
 {
     const TimePoint now = m_clock.now();
     // A seed's copy may lack the keys of peers that have just started: ask until one is heard.
-    const bool knowsNobody = !reachesStore && roster.live().empty();
+    const bool knowsNobody = !reachesStore && roster.livePeers().empty();
     if ((m_replica.isEmpty() || knowsNobody) && now >= m_nextSeedAsk)
         askSeeds();
-    const auto ahead = roster.aheadOf(m_replica.version());
+    const auto ahead = roster.findPeerAheadOf(m_replica.version());
     if (!ahead) {
         m_isBehind = false;
         return;
--- a/src/node/serving_loop.cpp
+++ b/src/node/serving_loop.cpp
@@ -79,7 +79,7 @@
 void ServingLoop::reportLoads(bool isUrgent)
 {
     m_publishLoads({m_state.loads().own(), m_state.shortContextTokens(),
-                    m_state.contexts().recentSends(), m_state.limitNews(),
+                    m_state.contexts().recentSends(), m_state.limitUpdates(),
                     m_state.upstreams().reportedDraining(), isUrgent});
 }
 
--- a/src/node/update_queue.cpp
+++ b/src/node/update_queue.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string silenceOf(const std::string &store)
+std::string failureSubject(const std::string &store)
 {
     return "context store silent " + store;
 }
@@ -16,40 +16,43 @@
 // What an update is about: of two about the same subject only the newer one matters.
 struct Subject
 {
-    std::string operator()(const ConfigInForce &) const { return "configuration"; }
-    std::string operator()(const UpstreamWritten &it) const
+    std::string operator()(const ConfigApplied &) const { return "configuration"; }
+    std::string operator()(const UpstreamRecordWritten &it) const
     {
         return "upstream " + it.record.instanceId;
     }
-    std::string operator()(const UpstreamRemoved &it) const { return "upstream " + it.instanceId; }
+    std::string operator()(const UpstreamRecordRemoved &it) const
+    {
+        return "upstream " + it.instanceId;
+    }
     std::string operator()(const DomainEvacuated &it) const
     {
         return "evacuation " + it.failureDomain;
     }
     std::string operator()(const StoreReachability &) const { return "store reachability"; }
     std::string operator()(const StoreRestored &) const { return "store restored"; }
-    std::string operator()(const WeightsWanted &it) const
+    std::string operator()(const WeightVersionNamed &it) const
     {
         return "weights wanted " + it.model + " " + std::to_string(it.version);
     }
-    std::string operator()(const WeightsShown &it) const
+    std::string operator()(const WeightsObserved &it) const
     {
         return "weights shown " + it.instanceId + " " + it.model;
     }
     std::string operator()(const EnginesLoading &it) const { return "engines loading " + it.node; }
     std::string operator()(const PeerLoads &it) const { return "loads " + it.peer; }
-    std::string operator()(const LiveNodes &) const { return "live nodes"; }
+    std::string operator()(const LiveNodeCount &) const { return "live nodes"; }
     std::string operator()(const KnownNodes &) const { return "known nodes"; }
-    std::string operator()(const ContextStoreTold &it) const
+    std::string operator()(const ContextStoreUpdated &it) const
     {
-        return "context store " + it.news.store;
+        return "context store " + it.update.store;
     }
-    std::string operator()(const ContextStoreSilent &it) const { return silenceOf(it.store); }
-    std::string operator()(const Informed &) const { return "informed"; }
-    std::string operator()(const RequestsHeard &) const { return "requests heard"; }
-    std::string operator()(const LimitsHeard &it) const { return "limits " + it.peer; }
-    std::string operator()(const DrainingReported &it) const { return "draining " + it.instanceId; }
-    std::string operator()(const StopBegins &) const { return "stop"; }
+    std::string operator()(const ContextStoreFailed &it) const { return failureSubject(it.store); }
+    std::string operator()(const ReceivesVersions &) const { return "informed"; }
+    std::string operator()(const PeerQuarantineUpdates &) const { return "requests heard"; }
+    std::string operator()(const PeerLimits &it) const { return "limits " + it.peer; }
+    std::string operator()(const PeerDrainReport &it) const { return "draining " + it.instanceId; }
+    std::string operator()(const StopStarted &) const { return "stop"; }
 };
 
 bool isSamePart(const StorePartChange &a, const StorePartChange &b)
@@ -58,7 +61,7 @@
 }
 
 // Adds what a store tells to what it told before.
-void addNews(ContextStoreUpdate &older, ContextStoreUpdate newer)
+void mergeUpdate(ContextStoreUpdate &older, ContextStoreUpdate newer)
 {
     if (newer.isSnapshot || newer.epoch != older.epoch) {
         older = std::move(newer);
@@ -76,21 +79,21 @@
 }
 
 // All of it is as old as the newer word.
-void addWord(ContextStoreTold &older, ContextStoreTold newer)
+void mergeStoreUpdate(ContextStoreUpdated &older, ContextStoreUpdated newer)
 {
-    older.heard = newer.heard;
-    older.news.age = newer.news.age;
-    addNews(older.news, std::move(newer.news));
+    older.receivedAt = newer.receivedAt;
+    older.update.age = newer.update.age;
+    mergeUpdate(older.update, std::move(newer.update));
 }
 
 // News of requests that wait; beyond it the oldest go. As many as a node remembers requests.
-constexpr std::size_t kMostRequestNews = 2'048;
+constexpr std::size_t kMaxQuarantineUpdates = 2'048;
 
-void addRequests(std::vector<QuarantineUpdate> &older, const std::vector<QuarantineUpdate> &newer)
+void appendUpdates(std::vector<QuarantineUpdate> &older, const std::vector<QuarantineUpdate> &newer)
 {
     older.insert(older.end(), newer.begin(), newer.end());
-    if (older.size() > kMostRequestNews)
-        older.erase(older.begin(), older.end() - kMostRequestNews);
+    if (older.size() > kMaxQuarantineUpdates)
+        older.erase(older.begin(), older.end() - kMaxQuarantineUpdates);
 }
 
 } // namespace
@@ -98,39 +101,39 @@
 void UpdateQueue::push(FleetUpdate update)
 {
     const std::string subject = std::visit(Subject{}, update);
-    auto *told = std::get_if<ContextStoreTold>(&update);
-    if (told != nullptr)
-        drop(silenceOf(told->news.store)); // it answers again
-    const auto known = m_bySubject.find(subject);
-    if (known == m_bySubject.end()) {
+    auto *storeUpdate = std::get_if<ContextStoreUpdated>(&update);
+    if (storeUpdate != nullptr)
+        remove(failureSubject(storeUpdate->update.store)); // it answers again
+    const auto queued = m_bySubject.find(subject);
+    if (queued == m_bySubject.end()) {
         m_updates.push_back({subject, std::move(update)});
         m_bySubject.emplace(subject, std::prev(m_updates.end()));
         return;
     }
-    FleetUpdate &older = known->second->update;
-    if (told != nullptr)
-        addWord(std::get<ContextStoreTold>(older), std::move(*told));
-    else if (const auto *requests = std::get_if<RequestsHeard>(&update))
-        addRequests(std::get<RequestsHeard>(older).news, requests->news);
+    FleetUpdate &older = queued->second->update;
+    if (storeUpdate != nullptr)
+        mergeStoreUpdate(std::get<ContextStoreUpdated>(older), std::move(*storeUpdate));
+    else if (const auto *quarantineUpdates = std::get_if<PeerQuarantineUpdates>(&update))
+        appendUpdates(std::get<PeerQuarantineUpdates>(older).updates, quarantineUpdates->updates);
     else
         older = std::move(update);
 }
 
-void UpdateQueue::flush(const std::function<bool(const FleetUpdate &)> &take)
+void UpdateQueue::flush(const std::function<bool(const FleetUpdate &)> &tryTake)
 {
-    while (!m_updates.empty() && take(m_updates.front().update)) {
+    while (!m_updates.empty() && tryTake(m_updates.front().update)) {
         m_bySubject.erase(m_updates.front().subject);
         m_updates.pop_front();
     }
 }
 
-void UpdateQueue::drop(const std::string &subject)
+void UpdateQueue::remove(const std::string &subject)
 {
-    const auto known = m_bySubject.find(subject);
-    if (known == m_bySubject.end())
+    const auto queued = m_bySubject.find(subject);
+    if (queued == m_bySubject.end())
         return;
-    m_updates.erase(known->second);
-    m_bySubject.erase(known);
+    m_updates.erase(queued->second);
+    m_bySubject.erase(queued);
 }
 
 } // namespace fordwood::node
--- a/src/node/update_queue.hpp
+++ b/src/node/update_queue.hpp
@@ -21,7 +21,7 @@
     void push(FleetUpdate update);
 
     // Hands over in order as long as `take` takes.
-    void flush(const std::function<bool(const FleetUpdate &)> &take);
+    void flush(const std::function<bool(const FleetUpdate &)> &tryTake);
 
     bool isEmpty() const { return m_updates.empty(); }
     std::size_t size() const { return m_updates.size(); }
@@ -33,7 +33,7 @@
         FleetUpdate update;
     };
 
-    void drop(const std::string &subject);
+    void remove(const std::string &subject);
 
     std::list<Entry> m_updates;
     std::unordered_map<std::string, std::list<Entry>::iterator> m_bySubject;
--- a/src/node/weight_news.cpp
+++ b/src/node/weight_naming_tracker.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "node/weight_news.hpp"
+#include "node/weight_naming_tracker.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -15,15 +15,15 @@
 using std::chrono::milliseconds;
 
 // A word that moves a time by less than this is not logged: each peer's differs by its delay.
-constexpr Duration kLeastToLog = milliseconds(250);
+constexpr Duration kMinChangeToLog = milliseconds(250);
 
-NamedAge ageOf(const WeightNaming &naming, TimePoint now)
+NamingAge ageOf(const WeightNaming &naming, TimePoint now)
 {
-    NamedAge age;
-    age.least = std::chrono::floor<milliseconds>(now - naming.named.latest);
+    NamingAge age;
+    age.min = std::chrono::floor<milliseconds>(now - naming.named.latest);
     if (naming.named.earliest && naming.after) {
-        age.most = std::chrono::ceil<milliseconds>(now - *naming.named.earliest);
-        age.after = naming.after;
+        age.max = std::chrono::ceil<milliseconds>(now - *naming.named.earliest);
+        age.newestBefore = naming.after;
     }
     return age;
 }
@@ -33,13 +33,14 @@
     if (before.earliest.has_value() != now.earliest.has_value())
         return true;
     const Duration earliest = now.earliest ? *now.earliest - *before.earliest : Duration::zero();
-    return std::chrono::abs(earliest) >= kLeastToLog || before.latest - now.latest >= kLeastToLog;
+    return std::chrono::abs(earliest) >= kMinChangeToLog
+           || before.latest - now.latest >= kMinChangeToLog;
 }
 
 } // namespace
 
-void WeightNews::read(const std::string &model, std::uint64_t version,
-                      std::optional<TimePoint> notBefore)
+void WeightNamingTracker::recordFromStore(const std::string &model, std::uint64_t version,
+                                          std::optional<TimePoint> notBefore)
 {
     std::uint64_t &newest = m_newestRead[model];
     if (version <= newest)
@@ -49,31 +50,31 @@
     if (notBefore)
         naming.after = newest;
     newest = version;
-    note(model, version, naming, m_node);
+    record(model, version, naming, m_node);
 }
 
-void WeightNews::heard(const std::string &peer, const NamedWeights &named)
+void WeightNamingTracker::recordFromPeer(const std::string &peer, const NamingAges &named)
 {
     const TimePoint now = m_clock.now();
     for (const auto &[model, versions] : named) {
         for (const auto &[version, age] : versions) {
-            WeightNaming naming{{std::nullopt, now - age.least}, age.after};
-            if (age.most)
-                naming.named.earliest = now - *age.most;
-            note(model, version, naming, peer);
+            WeightNaming naming{{std::nullopt, now - age.min}, age.newestBefore};
+            if (age.max)
+                naming.named.earliest = now - *age.max;
+            record(model, version, naming, peer);
         }
     }
 }
 
-void WeightNews::marked(const std::string &model, std::uint64_t version, TimePoint moment,
-                        std::uint64_t after)
+void WeightNamingTracker::recordFromMark(const std::string &model, std::uint64_t version,
+                                         TimePoint moment, std::uint64_t newestBefore)
 {
-    note(model, version, {{moment, m_clock.now()}, after}, "mark");
+    record(model, version, {{moment, m_clock.now()}, newestBefore}, "mark");
 }
 
-NamedWeights WeightNews::forPeers() const
+NamingAges WeightNamingTracker::agesForPeers() const
 {
-    NamedWeights named;
+    NamingAges named;
     for (const auto &[model, history] : m_histories) {
         for (const auto &[version, naming] : history.named())
             named[model][version] = ageOf(naming, m_clock.now());
@@ -81,8 +82,8 @@
     return named;
 }
 
-void WeightNews::note(const std::string &model, std::uint64_t version, const WeightNaming &naming,
-                      const std::string &from)
+void WeightNamingTracker::record(const std::string &model, std::uint64_t version,
+                                 const WeightNaming &naming, const std::string &from)
 {
     WeightHistory &history = m_histories[model];
     const std::optional<WeightNaming> before = history.find(version);
@@ -92,16 +93,16 @@
     if (!known)
         return;
     if (!before || isWorthLogging(before->named, known->named)) {
-        const NamedAge age = ageOf(*known, m_clock.now());
+        const NamingAge age = ageOf(*known, m_clock.now());
         logEvent(Event::WeightsAgeLearnt,
                  {{"model", model},
                   {"weights", version},
-                  {"age_at_least_ms", age.least.count()},
-                  {"age_at_most_ms", age.most ? std::to_string(age.most->count()) : "unknown"},
+                  {"age_at_least_ms", age.min.count()},
+                  {"age_at_most_ms", age.max ? std::to_string(age.max->count()) : "unknown"},
                   {"after", known->after.value_or(0)},
                   {"from", from}});
     }
-    m_learnt(model, version, history);
+    m_onChange(model, version, history);
 }
 
 } // namespace fordwood::node
--- a/tests/node/caller_session_test.cpp
+++ b/tests/node/caller_session_test.cpp
@@ -110,7 +110,7 @@
     NodeState &state = fixture.state;
     ManualClock &clock = fixture.clock;
     CHECK(state.canFinishBeforeStop(clock.now() + 1h));
-    state.handle(StopBegins{});
+    state.handle(StopStarted{});
     const TimePoint end = state.stopDeadline();
     CHECK(end > clock.now() + 7s);
     CHECK(
--- a/tests/node/context_relay_reader_test.cpp
+++ b/tests/node/context_relay_reader_test.cpp
@@ -82,7 +82,7 @@
     ReaderFixture(const Clock &clock, ContextRelayReader::ChooseRelay chooseRelay)
         : client(context, clock),
           reader(context, client, clock, std::move(chooseRelay), [this](const FleetUpdate &it) {
-              published.push_back(std::get<ContextStoreTold>(it).news);
+              published.push_back(std::get<ContextStoreUpdated>(it).update);
           })
     {
         reader.setStores({storeNamed("s")});
--- a/tests/node/decoder_fuzz_test.cpp
+++ b/tests/node/decoder_fuzz_test.cpp
@@ -194,10 +194,10 @@
 {
     node::Gossip gossip;
     gossip.node = "n";
-    gossip.weightsNamed["m"][2] = {std::chrono::milliseconds(30), std::chrono::milliseconds(40), 1};
-    gossip.wholeFor = std::chrono::milliseconds(50);
+    gossip.namingAges["m"][2] = {std::chrono::milliseconds(30), std::chrono::milliseconds(40), 1};
+    gossip.copyAge = std::chrono::milliseconds(50);
     gossip.orders.enginesLoading = {"i-1"};
-    gossip.requestNews = {{{1, 2}, 3}, {{4, 5}, {}}};
+    gossip.quarantineUpdates = {{{1, 2}, 3}, {{4, 5}, {}}};
     gossip.limits = {{7, 2, 3.2, std::chrono::seconds(1), {{8, 9}, {10, 11}}}};
     gossip.load.loads = UpstreamLoads({{"i-1", {1, 2, 3}}});
     feed({node::encodeGossip(gossip)}, 12,
--- a/tests/node/belief_ages_test.cpp
+++ b/tests/node/information_age_test.cpp
@@ -21,7 +21,7 @@
 #include "fordwood/manual_clock.hpp"
 #include "node/context_store_watcher.hpp"
 #include "node/node_state.hpp"
-#include "node/order_words.hpp"
+#include "node/order_reports.hpp"
 #include "node/quarantine_duty.hpp"
 #include "node/update_queue.hpp"
 #include "process/platform_standins.hpp"
@@ -40,19 +40,19 @@
     Node(const ManualClock &clock, const std::string &name, const std::string &domain,
          const std::string &address)
         : m_name(name), m_domain(domain), m_address(address),
-          m_links(m_context, clock, {name, domain, 0.0}, kTellsNobodyAlone,
-                  [this](const Gossip &it) { m_heard.push_back(it.version.revision); })
+          m_links(m_context, clock, {name, domain, 0.0}, kAlwaysForward,
+                  [this](const Gossip &it) { m_received.push_back(it.version.revision); })
     {
         ErrorCode ec;
         REQUIRE(m_links.open(address, ec));
     }
 
-    void know(const Node &other)
+    void addPeer(const Node &other)
     {
         m_links.setAddress(other.m_name, {other.m_address, other.m_address, other.m_domain, 0.0});
     }
 
-    void say(std::int64_t revision)
+    void sendMessage(std::int64_t revision)
     {
         Gossip message;
         message.node = m_name;
@@ -62,7 +62,7 @@
     }
 
     // All that is ready: datagrams on loopback have arrived when they are sent.
-    void work()
+    void poll()
     {
         while (m_context.poll() > 0) { }
         m_links.tick();
@@ -72,57 +72,57 @@
     void tick() { m_links.tick(); }
 
     // The revisions in the messages heard since the last call.
-    std::vector<std::int64_t> takeHeard() { return std::exchange(m_heard, {}); }
+    std::vector<std::int64_t> takeHeard() { return std::exchange(m_received, {}); }
 
     const PeerRoster &roster() const { return m_links.roster(); }
 
 private:
     // Messages to another failure domain are passed on there, however few nodes there are.
-    static constexpr std::size_t kTellsNobodyAlone = 0;
+    static constexpr std::size_t kAlwaysForward = 0;
 
     const std::string m_name;
     const std::string m_domain;
     const std::string m_address;
     net::io_context m_context;
-    std::vector<std::int64_t> m_heard;
+    std::vector<std::int64_t> m_received;
     PeerLinks m_links;
 };
 
 // A sender in one failure domain; in another one a node that passes its messages on to a third.
-class Line
+class ForwardingChain
 {
 public:
-    Line()
+    ForwardingChain()
     {
         for (Node *it : all()) {
             for (const Node *other : all()) {
                 if (it != other)
-                    it->know(*other);
+                    it->addPeer(*other);
             }
         }
-        passer.say(1);
-        workAll();
+        forwarder.sendMessage(1);
+        pollAll();
         for (Node *it : all())
             it->takeHeard();
     }
 
-    std::vector<Node *> all() { return {&sender, &passer, &last}; }
+    std::vector<Node *> all() { return {&sender, &forwarder, &last}; }
 
-    void workAll()
+    void pollAll()
     {
         for (int n = 0; n < 3; ++n) {
             for (Node *it : all())
-                it->work();
+                it->poll();
         }
     }
 
     // In steps in which all nodes but the one in the middle work.
-    void standStill(Duration time)
+    void stallMiddle(Duration time)
     {
         for (Duration gone{}; gone < time; gone += kStep) {
             clock.advance(kStep);
-            sender.work();
-            last.work();
+            sender.poll();
+            last.poll();
         }
     }
 
@@ -131,7 +131,7 @@
     ManualClock clock;
     const std::string net = "127.73." + std::to_string(static_cast<int>(getpid()) % 250 + 1) + ".";
     Node sender{clock, "a", "d0", net + "1:9000"};
-    Node passer{clock, "b", "d1", net + "2:9000"};
+    Node forwarder{clock, "b", "d1", net + "2:9000"};
     Node last{clock, "c", "d1", net + "3:9000"};
 };
 
@@ -139,68 +139,68 @@
 
 TEST_CASE("ages: what waited in the socket of a node that stood still is no news [standstill]")
 {
-    Line line;
-    line.sender.say(5);
-    line.standStill(3s);
-    line.passer.work();
-    CHECK(line.passer.takeHeard().empty());
-    CHECK(line.passer.roster().live().empty());
+    ForwardingChain chain;
+    chain.sender.sendMessage(5);
+    chain.stallMiddle(3s);
+    chain.forwarder.poll();
+    CHECK(chain.forwarder.takeHeard().empty());
+    CHECK(chain.forwarder.roster().livePeers().empty());
     // The other side: it hears at once what is said from now on.
-    line.sender.say(6);
-    line.passer.work();
-    CHECK(line.passer.takeHeard() == std::vector<std::int64_t>{6});
-    CHECK(line.passer.roster().live() == std::vector<std::string>{"a"});
+    chain.sender.sendMessage(6);
+    chain.forwarder.poll();
+    CHECK(chain.forwarder.takeHeard() == std::vector<std::int64_t>{6});
+    CHECK(chain.forwarder.roster().livePeers() == std::vector<std::string>{"a"});
 }
 
 TEST_CASE("ages: a node that stood still passes on nothing that waited in its socket [standstill]")
 {
-    Line line;
-    line.sender.say(5);
-    line.standStill(3s);
-    line.workAll();
-    CHECK(line.last.takeHeard().empty());
-    line.sender.say(6);
-    line.workAll();
-    CHECK(line.last.takeHeard() == std::vector<std::int64_t>{6});
+    ForwardingChain chain;
+    chain.sender.sendMessage(5);
+    chain.stallMiddle(3s);
+    chain.pollAll();
+    CHECK(chain.last.takeHeard().empty());
+    chain.sender.sendMessage(6);
+    chain.pollAll();
+    CHECK(chain.last.takeHeard() == std::vector<std::int64_t>{6});
 }
 
 TEST_CASE("ages: it is the same where timers run first [standstill]")
 {
-    Line line;
-    line.sender.say(5);
-    line.standStill(3s);
-    line.passer.tick();
-    line.workAll();
-    CHECK(line.passer.takeHeard().empty());
-    CHECK(line.last.takeHeard().empty());
-    line.sender.say(6);
-    line.workAll();
-    CHECK(line.passer.takeHeard() == std::vector<std::int64_t>{6});
+    ForwardingChain chain;
+    chain.sender.sendMessage(5);
+    chain.stallMiddle(3s);
+    chain.forwarder.tick();
+    chain.pollAll();
+    CHECK(chain.forwarder.takeHeard().empty());
+    CHECK(chain.last.takeHeard().empty());
+    chain.sender.sendMessage(6);
+    chain.pollAll();
+    CHECK(chain.forwarder.takeHeard() == std::vector<std::int64_t>{6});
 }
 
 TEST_CASE("ages: a full socket is emptied at once when its node wakes [standstill]")
 {
-    Line line;
+    ForwardingChain chain;
     for (int n = 0; n < 20; ++n) {
-        line.sender.say(n);
-        line.standStill(100ms);
+        chain.sender.sendMessage(n);
+        chain.stallMiddle(100ms);
     }
-    line.passer.work();
-    line.sender.say(100);
-    line.passer.work();
-    CHECK(line.passer.takeHeard() == std::vector<std::int64_t>{100});
+    chain.forwarder.poll();
+    chain.sender.sendMessage(100);
+    chain.forwarder.poll();
+    CHECK(chain.forwarder.takeHeard() == std::vector<std::int64_t>{100});
 }
 
 TEST_CASE("ages: a node that is slow but runs hears all that was said [standstill]")
 {
-    Line line;
+    ForwardingChain chain;
     for (int n = 0; n < 10; ++n) {
-        line.sender.say(n);
-        line.standStill(800ms);
-        line.workAll();
+        chain.sender.sendMessage(n);
+        chain.stallMiddle(800ms);
+        chain.pollAll();
     }
-    CHECK(line.passer.takeHeard().size() == 10);
-    CHECK(line.last.takeHeard().size() == 10);
+    CHECK(chain.forwarder.takeHeard().size() == 10);
+    CHECK(chain.last.takeHeard().size() == 10);
 }
 
 // What one node knows of requests that end upstreams, before the store's stand-in. A request was
@@ -213,27 +213,27 @@
 namespace {
 
 const RequestFingerprint kPage{1, 2};
-const std::vector<QuarantineUpdate> kThreeEnds{{kPage, 1}, {kPage, 2}, {kPage, 3}};
+const std::vector<QuarantineUpdate> kThreeFailures{{kPage, 1}, {kPage, 2}, {kPage, 3}};
 const std::vector<QuarantineUpdate> kAnswered{{kPage, {}}};
 
-class HoldingNode : private StoreListener
+class QuarantineNode : private StoreListener
 {
 public:
-    explicit HoldingNode(const std::string &store) : m_store(store) { m_link.start(); }
+    explicit QuarantineNode(const std::string &store) : m_store(store) { m_link.start(); }
 
     // Until it holds, or for a while.
-    bool work(const std::function<bool()> &holds)
+    bool poll(const std::function<bool()> &holds)
     {
-        constexpr int kTurns = 2'000;
-        for (int n = 0; n < kTurns && !holds(); ++n)
-            turn();
+        constexpr int kMaxSteps = 2'000;
+        for (int n = 0; n < kMaxSteps && !holds(); ++n)
+            step();
         return holds();
     }
 
-    void workFor(Duration time)
+    void runFor(Duration time)
     {
         for (const TimePoint end = m_clock.now() + time; m_clock.now() < end;)
-            turn();
+            step();
     }
 
     bool hasRead() const { return !m_replica.isEmpty(); }
@@ -243,7 +243,7 @@
     bool holds() const
     {
         Quarantine quarantine(m_clock);
-        for (const QuarantineUpdate &it : m_told)
+        for (const QuarantineUpdate &it : m_published)
             quarantine.apply(it);
         return quarantine.isHeld(kPage);
     }
@@ -251,7 +251,7 @@
     QuarantineDuty &duty() { return m_duty; }
 
 private:
-    void turn()
+    void step()
     {
         m_context.run_one_for(1ms);
         m_clock.advance(10ms);
@@ -272,17 +272,17 @@
     ManualClock m_clock;
     const std::string m_store;
     net::io_context m_context;
-    HttpClient m_caller{m_context, m_clock};
+    HttpClient m_client{m_context, m_clock};
     StoreReplica m_replica;
-    StoreLink m_link{m_context, m_caller, m_clock, m_store, m_replica, *this};
-    std::vector<QuarantineUpdate> m_told;
+    StoreLink m_link{m_context, m_client, m_clock, m_store, m_replica, *this};
+    std::vector<QuarantineUpdate> m_published;
     QuarantineDuty m_duty{m_clock, m_link, m_replica,
                           [this](const std::vector<QuarantineUpdate> &it) {
-                              m_told.insert(m_told.end(), it.begin(), it.end());
+                              m_published.insert(m_published.end(), it.begin(), it.end());
                           }};
 };
 
-struct HoldingFleet
+struct QuarantineFixture
 {
     const std::string address
         = "127.74." + std::to_string(static_cast<int>(getpid()) % 250 + 1) + ".1:7000";
@@ -290,10 +290,10 @@
 
     bool hasKey() { return store.has("fordwood/quarantine/"); }
 
-    bool isHeldByOneThatStartsNow()
+    bool isHeldByNewNode()
     {
-        HoldingNode late(address);
-        REQUIRE(late.work([&] { return late.hasRead(); }));
+        QuarantineNode late(address);
+        REQUIRE(late.poll([&] { return late.hasRead(); }));
         return late.holds();
     }
 };
@@ -303,75 +303,75 @@
 TEST_CASE("ages: a node that starts after a held request was released does not hold it "
           "[quarantine]")
 {
-    HoldingFleet fleet;
-    HoldingNode node(fleet.address);
-    node.duty().takeOwn(kThreeEnds);
-    REQUIRE(node.work([&] { return fleet.hasKey(); }));
+    QuarantineFixture fleet;
+    QuarantineNode node(fleet.address);
+    node.duty().takeOwn(kThreeFailures);
+    REQUIRE(node.poll([&] { return fleet.hasKey(); }));
     node.duty().takeOwn(kAnswered);
-    node.workFor(5s);
+    node.runFor(5s);
     CHECK_FALSE(fleet.hasKey());
-    CHECK_FALSE(fleet.isHeldByOneThatStartsNow());
+    CHECK_FALSE(fleet.isHeldByNewNode());
 }
 
 TEST_CASE("ages: a request that is released while it is written to the store leaves no key there "
           "[quarantine]")
 {
-    HoldingFleet fleet;
-    HoldingNode node(fleet.address);
-    REQUIRE(node.work([&] { return node.hasRead(); }));
-    node.duty().takeOwn(kThreeEnds);
+    QuarantineFixture fleet;
+    QuarantineNode node(fleet.address);
+    REQUIRE(node.poll([&] { return node.hasRead(); }));
+    node.duty().takeOwn(kThreeFailures);
     node.duty().tick();
     node.duty().takeHeard(kAnswered, false);
-    node.workFor(5s);
+    node.runFor(5s);
     CHECK_FALSE(fleet.hasKey());
 }
 
 TEST_CASE("ages: two nodes that wrote a held request both take it back [quarantine]")
 {
-    HoldingFleet fleet;
-    HoldingNode first(fleet.address);
-    HoldingNode second(fleet.address);
-    REQUIRE(first.work([&] { return first.hasRead(); }));
-    REQUIRE(second.work([&] { return second.hasRead(); }));
-    for (HoldingNode *it : {&first, &second}) {
-        it->duty().takeOwn(kThreeEnds);
+    QuarantineFixture fleet;
+    QuarantineNode first(fleet.address);
+    QuarantineNode second(fleet.address);
+    REQUIRE(first.poll([&] { return first.hasRead(); }));
+    REQUIRE(second.poll([&] { return second.hasRead(); }));
+    for (QuarantineNode *it : {&first, &second}) {
+        it->duty().takeOwn(kThreeFailures);
         it->duty().tick(); // neither has read yet that the other writes
     }
-    first.workFor(2s);
-    second.workFor(2s);
+    first.runFor(2s);
+    second.runFor(2s);
     REQUIRE(fleet.hasKey());
     second.duty().takeOwn(kAnswered);
     first.duty().takeHeard(kAnswered, false);
-    second.workFor(2s);
-    first.workFor(2s);
+    second.runFor(2s);
+    first.runFor(2s);
     CHECK_FALSE(fleet.hasKey());
 }
 
 TEST_CASE("ages: a key that could not be taken back goes once the store answers [quarantine]")
 {
-    HoldingFleet fleet;
-    HoldingNode node(fleet.address);
-    node.duty().takeOwn(kThreeEnds);
-    REQUIRE(node.work([&] { return fleet.hasKey(); }));
+    QuarantineFixture fleet;
+    QuarantineNode node(fleet.address);
+    node.duty().takeOwn(kThreeFailures);
+    REQUIRE(node.poll([&] { return fleet.hasKey(); }));
     fleet.store.setDown(true);
     node.duty().takeOwn(kAnswered);
-    node.workFor(10s);
+    node.runFor(10s);
     REQUIRE(fleet.hasKey());
     fleet.store.setDown(false);
-    node.workFor(5s);
+    node.runFor(5s);
     CHECK_FALSE(fleet.hasKey());
 }
 
 // The other side: what ends upstreams stays held, also for those that start.
 TEST_CASE("ages: a node that starts holds what is held [quarantine]")
 {
-    HoldingFleet fleet;
-    HoldingNode node(fleet.address);
-    node.duty().takeOwn(kThreeEnds);
-    REQUIRE(node.work([&] { return fleet.hasKey(); }));
-    node.workFor(60s);
+    QuarantineFixture fleet;
+    QuarantineNode node(fleet.address);
+    node.duty().takeOwn(kThreeFailures);
+    REQUIRE(node.poll([&] { return fleet.hasKey(); }));
+    node.runFor(60s);
     CHECK(fleet.hasKey());
-    CHECK(fleet.isHeldByOneThatStartsNow());
+    CHECK(fleet.isHeldByNewNode());
 }
 
 // A store of kept context lists what it holds where a node has missed some of its events. An answer
@@ -390,8 +390,8 @@
 
     const std::string address
         = "127.75." + std::to_string(static_cast<int>(getpid()) % 250 + 1) + ".1:7100";
-    std::atomic<int> lists{0};
-    std::promise<void> mayList;
+    std::atomic<int> listRequests{0};
+    std::promise<void> releaseList;
 
 private:
     standins::Answer answer(const standins::Request &request)
@@ -403,8 +403,8 @@
                 = R"({"epoch": 7, "next-token": 1, "clock_ms": 5, "lost": true, "events": []})";
             return made;
         }
-        if (++lists == 1)
-            mayList.get_future().wait();
+        if (++listRequests == 1)
+            releaseList.get_future().wait();
         made.body = R"({"epoch": 7, "next-token": 4, "clock_ms": 5, "held": []})";
         return made;
     }
@@ -419,26 +419,26 @@
         ContextStore config;
         config.name = "s";
         config.address = address;
-        watch.setStores({config});
+        watcher.setStores({config});
     }
-    ~ListReader() { watch.setStores({}); }
+    ~ListReader() { watcher.setStores({}); }
 
     void runUntil(const std::function<bool()> &holds)
     {
-        constexpr int kTurns = 500;
-        for (int n = 0; n < kTurns && !holds(); ++n)
+        constexpr int kMaxSteps = 500;
+        for (int n = 0; n < kMaxSteps && !holds(); ++n)
             context.run_one_for(10ms);
         REQUIRE(holds());
     }
 
     net::io_context context;
     ManualClock clock;
-    HttpClient caller{context, clock};
-    std::vector<std::uint64_t> told; // numbers of next events
-    ContextStoreWatcher watch{context, caller, clock, [this](const FleetUpdate &it) {
-                                  if (const auto *news = std::get_if<ContextStoreTold>(&it))
-                                      told.push_back(news->news.next);
-                              }};
+    HttpClient client{context, clock};
+    std::vector<std::uint64_t> published; // numbers of next events
+    ContextStoreWatcher watcher{context, client, clock, [this](const FleetUpdate &it) {
+                                    if (const auto *updated = std::get_if<ContextStoreUpdated>(&it))
+                                        published.push_back(updated->update.next);
+                                }};
 };
 
 } // namespace
@@ -447,25 +447,25 @@
 {
     ListingStore store;
     ListReader reader(store.address);
-    reader.runUntil([&] { return store.lists > 0; });
+    reader.runUntil([&] { return store.listRequests > 0; });
     reader.clock.advance(5s); // the node stands still while the answer comes
-    store.mayList.set_value();
-    reader.runUntil([&] { return store.lists > 1 || !reader.told.empty(); });
-    CHECK(reader.told.empty());
+    store.releaseList.set_value();
+    reader.runUntil([&] { return store.listRequests > 1 || !reader.published.empty(); });
+    CHECK(reader.published.empty());
     // The other side: the next one counts.
-    reader.runUntil([&] { return !reader.told.empty(); });
-    CHECK(reader.told.front() == 4);
+    reader.runUntil([&] { return !reader.published.empty(); });
+    CHECK(reader.published.front() == 4);
 }
 
 TEST_CASE("ages: a list of a store that is read in time counts [stores]")
 {
     ListingStore store;
     ListReader reader(store.address);
-    reader.runUntil([&] { return store.lists > 0; });
+    reader.runUntil([&] { return store.listRequests > 0; });
     reader.clock.advance(1s); // slow, but running
-    store.mayList.set_value();
-    reader.runUntil([&] { return !reader.told.empty(); });
-    CHECK(store.lists == 1);
+    store.releaseList.set_value();
+    reader.runUntil([&] { return !reader.published.empty(); });
+    CHECK(store.listRequests == 1);
 }
 
 // What one thread of a node tells the other waits in a ring: for milliseconds, longer where the
@@ -475,9 +475,9 @@
 namespace {
 
 // The serving thread's state, with one store of kept context in its configuration.
-struct ServingThread
+struct ServingState
 {
-    ServingThread()
+    ServingState()
     {
         ContextStore store;
         store.name = "s";
@@ -485,23 +485,23 @@
         store.capacityTokens = 1'000'000;
         ServingConfig config;
         config.stores.push_back(store);
-        traffic.handle(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
+        state.handle(ConfigApplied{std::make_shared<const RouteTable>(std::move(config))});
     }
 
     // As the other thread puts it into the ring.
     FleetUpdate storeTold() const
     {
-        ContextStoreUpdate news;
-        news.store = "s";
-        news.epoch = 1;
-        return ContextStoreTold{news, clock.now()};
+        ContextStoreUpdate update;
+        update.store = "s";
+        update.epoch = 1;
+        return ContextStoreUpdated{update, clock.now()};
     }
 
     net::io_context context;
     ManualClock clock;
     config::OneProcessSettings settings;
     adapters::Metrics metrics;
-    NodeState traffic{context, clock, settings, metrics};
+    NodeState state{context, clock, settings, metrics};
 };
 
 } // namespace
@@ -509,35 +509,35 @@
 TEST_CASE("ages: word of kept context that waited between threads is no word since waking "
           "[standstill][stores]")
 {
-    ServingThread serving;
-    const FleetUpdate waiting = serving.storeTold();
+    ServingState serving;
+    const FleetUpdate queued = serving.storeTold();
     serving.clock.advance(3s);
-    serving.traffic.handle(waiting);
-    CHECK(serving.traffic.isRecoveringFromStall());
+    serving.state.handle(queued);
+    CHECK(serving.state.isRecoveringFromStall());
     // The other side: the next word ends the wait.
-    serving.traffic.handle(serving.storeTold());
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    serving.state.handle(serving.storeTold());
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
 TEST_CASE("ages: words of a store that wait together are as old as the last [stores]")
 {
-    const auto wordAt = [](Duration time, std::chrono::milliseconds age) {
-        ContextStoreUpdate news;
-        news.store = "s";
-        news.age = age;
-        return ContextStoreTold{news, TimePoint{} + time};
+    const auto updateAt = [](Duration time, std::chrono::milliseconds age) {
+        ContextStoreUpdate update;
+        update.store = "s";
+        update.age = age;
+        return ContextStoreUpdated{update, TimePoint{} + time};
     };
     UpdateQueue queue;
-    queue.push(wordAt(1s, 300ms));
-    queue.push(wordAt(2s, 20ms));
+    queue.push(updateAt(1s, 300ms));
+    queue.push(updateAt(2s, 20ms));
     std::vector<FleetUpdate> taken;
     queue.flush([&](const FleetUpdate &it) {
         taken.push_back(it);
         return true;
     });
     REQUIRE(taken.size() == 1);
-    CHECK(std::get<ContextStoreTold>(taken.front()).heard == TimePoint{} + 2s);
-    CHECK(std::get<ContextStoreTold>(taken.front()).news.age == 20ms);
+    CHECK(std::get<ContextStoreUpdated>(taken.front()).receivedAt == TimePoint{} + 2s);
+    CHECK(std::get<ContextStoreUpdated>(taken.front()).update.age == 20ms);
 }
 
 // Nodes do not send to engines that load by the word of the node that orders them, for a second
@@ -548,53 +548,53 @@
 {
     ManualClock clock;
     clock.advance(1h);
-    OrderWords words(clock);
-    OrderWord last{0ms, 40ms, {"e"}, {}};
-    REQUIRE(words.note("a", last));
-    const TimePoint said = clock.now();
-    int news = 0;
+    OrderReports reports(clock);
+    OrderReport last{0ms, 40ms, {"e"}, {}};
+    REQUIRE(reports.record("a", last));
+    const TimePoint entry = clock.now();
+    int acceptedCount = 0;
     for (int n = 1; n <= 10; ++n) {
         clock.advance(200ms);
         last.age += 198ms; // what it takes on its way is lost each time
-        news += words.note("a", last) ? 1 : 0;
+        acceptedCount += reports.record("a", last) ? 1 : 0;
     }
-    CHECK(news == 0);
-    CHECK(words.lastSaid("a") == said);
+    CHECK(acceptedCount == 0);
+    CHECK(reports.lastReportTime("a") == entry);
 }
 
 TEST_CASE("ages: each new word of a node that orders engines is news [relays]")
 {
     ManualClock clock;
     clock.advance(1h);
-    OrderWords words(clock);
+    OrderReports reports(clock);
     std::chrono::milliseconds lastOrder = 40ms;
-    REQUIRE(words.note("a", {0ms, lastOrder, {"e"}, {}}));
+    REQUIRE(reports.record("a", {0ms, lastOrder, {"e"}, {}}));
     for (int n = 0; n < 10; ++n) { // the same engine loads on
         clock.advance(200ms);
         lastOrder += 200ms;
-        CHECK(words.note("a", {30ms, lastOrder, {"e"}, {}}));
+        CHECK(reports.record("a", {30ms, lastOrder, {"e"}, {}}));
     }
     clock.advance(10ms);
-    CHECK(words.note("a", {0ms, lastOrder + 40ms, {}, {{"e", {{"m", {2, 0ms}}}}}}));
+    CHECK(reports.record("a", {0ms, lastOrder + 40ms, {}, {{"e", {{"m", {2, 0ms}}}}}}));
     clock.advance(10ms);
-    CHECK(words.note("a", {0ms, 0ms, {"f"}, {{"e", {{"m", {2, 0ms}}}}}}));
+    CHECK(reports.record("a", {0ms, 0ms, {"f"}, {{"e", {{"m", {2, 0ms}}}}}}));
 }
 
 TEST_CASE("ages: a node that waits before its first order is heard often enough [relays]")
 {
     ManualClock clock;
     clock.advance(1h);
-    OrderWords words(clock);
-    const OrderWord waits{0ms, std::nullopt, {"e"}, {}};
-    REQUIRE(words.note("a", waits));
-    TimePoint lastNews = clock.now();
-    Duration longest{};
+    OrderReports reports(clock);
+    const OrderReport unchanged{0ms, std::nullopt, {"e"}, {}};
+    REQUIRE(reports.record("a", unchanged));
+    TimePoint lastNew = clock.now();
+    Duration maxGap{};
     for (int n = 0; n < 20; ++n) {
         clock.advance(200ms);
-        if (!words.note("a", waits))
+        if (!reports.record("a", unchanged))
             continue;
-        longest = std::max(longest, clock.now() - lastNews);
-        lastNews = clock.now();
+        maxGap = std::max(maxGap, clock.now() - lastNew);
+        lastNew = clock.now();
     }
-    CHECK(longest == 400ms); // a second after a word its engines are used again
+    CHECK(maxGap == 400ms); // a second after a word its engines are used again
 }
--- a/tests/node/late_send_test.cpp
+++ b/tests/node/late_send_test.cpp
@@ -100,10 +100,10 @@
         route.resumable = true;
         route.maxAttempts = 2;
         config.routes.push_back(route);
-        state.handle(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
+        state.handle(ConfigApplied{std::make_shared<const RouteTable>(std::move(config))});
         add("older", older, 1);
-        state.handle(WeightsWanted{"m", 1, {EventTime::at(clock.now() - 1h), 0}});
-        state.handle(WeightsWanted{"m", 2, {EventTime::at(clock.now()), 1}});
+        state.handle(WeightVersionNamed{"m", 1, {EventTime::at(clock.now() - 1h), 0}});
+        state.handle(WeightVersionNamed{"m", 2, {EventTime::at(clock.now()), 1}});
     }
 
     static config::OneProcessSettings makeSettings()
@@ -120,7 +120,7 @@
         record.service = "service";
         record.address = engine.address();
         record.weightVersions["m"] = weights;
-        state.handle(UpstreamWritten{record});
+        state.handle(UpstreamRecordWritten{record});
     }
 
     // Starts a request. The engine is chosen at once, but its channel is connected only when the
--- a/tests/node/mailbox_test.cpp
+++ b/tests/node/mailbox_test.cpp
@@ -20,7 +20,7 @@
     news.epoch = epoch;
     news.isSnapshot = isSnapshot;
     news.changes = std::move(changes);
-    return ContextStoreTold{news};
+    return ContextStoreUpdated{news};
 }
 
 std::vector<FleetUpdate> takeAll(UpdateQueue &queue)
@@ -57,12 +57,12 @@
     UpdateQueue queue;
     for (std::size_t n = 0; n < 10'000; ++n) {
         queue.push(PeerLoads{"n" + std::to_string(n % 3), {}, n, {}});
-        queue.push(LiveNodes{n});
-        queue.push(UpstreamWritten{{}});
+        queue.push(LiveNodeCount{n});
+        queue.push(UpstreamRecordWritten{{}});
     }
     CHECK(queue.size() == 5);
     for (const FleetUpdate &it : takeAll(queue)) {
-        if (const auto *live = std::get_if<LiveNodes>(&it))
+        if (const auto *live = std::get_if<LiveNodeCount>(&it))
             CHECK(live->n == 9'999);
     }
     CHECK(queue.isEmpty());
@@ -73,11 +73,11 @@
     UpdateQueue queue;
     UpstreamRecord record;
     record.instanceId = "i-1";
-    queue.push(UpstreamWritten{record});
-    queue.push(UpstreamRemoved{"i-1", false});
+    queue.push(UpstreamRecordWritten{record});
+    queue.push(UpstreamRecordRemoved{"i-1", false});
     const auto taken = takeAll(queue);
     REQUIRE(taken.size() == 1);
-    CHECK(std::holds_alternative<UpstreamRemoved>(taken.front()));
+    CHECK(std::holds_alternative<UpstreamRecordRemoved>(taken.front()));
 }
 
 TEST_CASE("update queue: what a store of kept context tells is added up [mailbox]")
@@ -87,7 +87,7 @@
     queue.push(told("s", 1, {{"salt", "a", false, 0}, {"salt", "c", true, 300}}));
     const auto taken = takeAll(queue);
     REQUIRE(taken.size() == 1);
-    const ContextStoreUpdate &news = std::get<ContextStoreTold>(taken.front()).news;
+    const ContextStoreUpdate &news = std::get<ContextStoreUpdated>(taken.front()).update;
     REQUIRE(news.changes.size() == 3);
     CHECK(news.changes[0].partId == "a");
     CHECK_FALSE(news.changes[0].held);
@@ -102,7 +102,7 @@
     queue.push(told("s", 2, {{"salt", "c", true, 1}}, true));
     const auto taken = takeAll(queue);
     REQUIRE(taken.size() == 1);
-    const ContextStoreUpdate &news = std::get<ContextStoreTold>(taken.front()).news;
+    const ContextStoreUpdate &news = std::get<ContextStoreUpdated>(taken.front()).update;
     REQUIRE(news.changes.size() == 1);
     CHECK(news.changes.front().partId == "c");
     CHECK(news.isSnapshot);
@@ -111,24 +111,24 @@
 TEST_CASE("update queue: a store that answers again is not taken as silent [mailbox]")
 {
     UpdateQueue queue;
-    queue.push(ContextStoreSilent{"s"});
+    queue.push(ContextStoreFailed{"s"});
     queue.push(told("s", 1, {}));
     auto taken = takeAll(queue);
     REQUIRE(taken.size() == 1);
-    CHECK(std::holds_alternative<ContextStoreTold>(taken.front()));
+    CHECK(std::holds_alternative<ContextStoreUpdated>(taken.front()));
 
     queue.push(told("s", 1, {}));
-    queue.push(ContextStoreSilent{"s"});
+    queue.push(ContextStoreFailed{"s"});
     taken = takeAll(queue);
     REQUIRE(taken.size() == 2);
-    CHECK(std::holds_alternative<ContextStoreSilent>(taken.back()));
+    CHECK(std::holds_alternative<ContextStoreFailed>(taken.back()));
 }
 
 TEST_CASE("update queue: stops at what is not taken, and goes on from there [mailbox]")
 {
     UpdateQueue queue;
-    queue.push(LiveNodes{1});
-    queue.push(Informed{true});
+    queue.push(LiveNodeCount{1});
+    queue.push(ReceivesVersions{true});
     int room = 1;
     const auto take = [&](const FleetUpdate &) { return room-- > 0; };
     queue.flush(take);
--- /dev/null
+++ b/tests/node/order_reports_test.cpp
@@ -0,0 +1,68 @@
+// SPDX-License-Identifier: MIT
+// What nodes pass on of each other's orders to engines.
+#include "node/order_reports.hpp"
+
+#include <doctest/doctest.h>
+
+#include "fordwood/manual_clock.hpp"
+
+using namespace fordwood;
+using namespace fordwood::node;
+using namespace std::chrono_literals;
+
+namespace {
+
+OrderReport report(std::chrono::milliseconds age, std::chrono::milliseconds lastOrder)
+{
+    return {age, lastOrder, {"e"}, {}};
+}
+
+} // namespace
+
+TEST_CASE("order words: nodes that never order are not kept and not passed on [sums]")
+{
+    ManualClock clock;
+    OrderReports reports(clock);
+    for (int n = 0; n < 300; ++n)
+        CHECK_FALSE(reports.record("n" + std::to_string(n), {}));
+    CHECK(reports.toForward().empty());
+}
+
+TEST_CASE("order words: the newest word counts, however it came here [sums]")
+{
+    ManualClock clock;
+    clock.advance(10s);
+    OrderReports reports(clock);
+    CHECK(reports.record("a", report(300ms, 50ms)));
+    CHECK(reports.record("a", report(20ms, 10ms)));
+    CHECK_FALSE(reports.record("a", report(200ms, 50ms))); // an echo
+    CHECK(reports.lastOrder("a") == clock.now() - 30ms);
+    CHECK(reports.lastReportTime("a") == clock.now() - 20ms);
+    CHECK_FALSE(reports.lastOrder("b"));
+}
+
+TEST_CASE("order words: a word grows older while it is passed on, and ends [sums]")
+{
+    ManualClock clock;
+    clock.advance(10s);
+    OrderReports reports(clock);
+    reports.record("a", report(0ms, 50ms));
+    clock.advance(400ms);
+    REQUIRE(reports.toForward().contains("a"));
+    CHECK(reports.toForward().at("a").age == 400ms);
+    CHECK(reports.toForward().at("a").lastOrder == 50ms);
+    clock.advance(3s);
+    CHECK(reports.toForward().empty());
+}
+
+TEST_CASE(
+    "order words: the word that nothing loads any more takes the place of the last one [sums]")
+{
+    ManualClock clock;
+    clock.advance(10s);
+    OrderReports reports(clock);
+    reports.record("a", report(0ms, 50ms));
+    clock.advance(10ms);
+    CHECK(reports.record("a", {}));
+    CHECK(reports.toForward().empty());
+}
--- a/tests/node/standstill_test.cpp
+++ b/tests/node/standstill_test.cpp
@@ -34,7 +34,7 @@
     {
         ServingConfig config;
         config.stores.push_back(storeAt("127.0.0.1:1"));
-        traffic.handle(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
+        traffic.handle(ConfigApplied{std::make_shared<const RouteTable>(std::move(config))});
     }
 
     void tellStore()
@@ -42,7 +42,7 @@
         ContextStoreUpdate news;
         news.store = "s";
         news.epoch = 1;
-        traffic.handle(ContextStoreTold{news, clock.now()});
+        traffic.handle(ContextStoreUpdated{news, clock.now()});
     }
 
     boost::asio::io_context context;
--- a/tests/node/store_restored_test.cpp
+++ b/tests/node/store_restored_test.cpp
@@ -136,9 +136,9 @@
     fleet.advance(kInForce);
     for (const int node : {0, 1}) {
         CAPTURE(node);
-        CHECK(Restored::versionOf(fleet.at(node).traffic()) == 3);
-        CHECK_FALSE(Restored::uses(fleet.at(node).traffic(), "i-1"));
-        CHECK(Restored::uses(fleet.at(node).traffic(), "i-2"));
+        CHECK(Restored::versionOf(fleet.at(node).state()) == 3);
+        CHECK_FALSE(Restored::uses(fleet.at(node).state(), "i-1"));
+        CHECK(Restored::uses(fleet.at(node).state(), "i-2"));
     }
 }
 
@@ -167,17 +167,17 @@
     };
     fleet.restore();
     for (const int node : {0, 1})
-        CHECK(isAsBefore(fleet.at(node).traffic()));
+        CHECK(isAsBefore(fleet.at(node).state()));
     fleet.configure(2, {"a", "b"});
     fleet.nameWeights(1);
     fleet.advance(500ms);
     for (const int node : {0, 1})
-        CHECK(isAsBefore(fleet.at(node).traffic()));
+        CHECK(isAsBefore(fleet.at(node).state()));
     fleet.putUpstream("i-1", "draining");
     fleet.store().put("op/evacuate/y", "");
     fleet.advance(12s);
     for (const int node : {0, 1}) {
-        NodeState &traffic = fleet.at(node).traffic();
+        NodeState &traffic = fleet.at(node).state();
         CHECK_FALSE(Restored::uses(traffic, "i-1"));
         CHECK(traffic.upstreams().evacuatedDomains() == 1);
     }
@@ -197,10 +197,10 @@
     REQUIRE(fleet.waitForUse("i-4", true));
     fleet.restore();
     for (const int node : {0, 1})
-        CHECK(Restored::uses(fleet.at(node).traffic(), "i-4")); // it may live
+        CHECK(Restored::uses(fleet.at(node).state(), "i-4")); // it may live
     fleet.advance(12s);
     for (const int node : {0, 1}) {
-        NodeState &traffic = fleet.at(node).traffic();
+        NodeState &traffic = fleet.at(node).state();
         traffic.tick();
         CHECK(Restored::uses(traffic, "i-3")); // its record has stood for so long
         CHECK_FALSE(Restored::uses(traffic, "i-4"));
--- a/tests/node/weight_age_random_test.cpp
+++ b/tests/node/weight_age_random_test.cpp
@@ -17,30 +17,30 @@
 
 constexpr int kNodes = 3;
 // The fleet's bound, less what a request that finds an idle engine takes on its way.
-constexpr Duration kMayUse = 9500ms;
+constexpr Duration kMaxUseTime = 9500ms;
 constexpr Duration kStep = 500ms;
 
 // A naming that all nodes heard in calm is dated to about two seconds, and who starts anew learns
 // it from its peers or from the store within another.
-constexpr Duration kSurelyUsed = 4s;
-constexpr Duration kSettled = 2s;
+constexpr Duration kMinUseTime = 4s;
+constexpr Duration kSettleTime = 2s;
 
 // Plays random troubles and holds the fleet to what is true.
-class WeightsStorm
+class RandomWeightFaults
 {
 public:
-    explicit WeightsStorm(unsigned seed) : m_random(seed), m_fleet(kNodes)
+    explicit RandomWeightFaults(unsigned seed) : m_random(seed), m_fleet(kNodes)
     {
         m_fleet.startAll();
         REQUIRE(m_fleet.waitForWeights(1));
         REQUIRE(m_fleet.waitForPeers());
-        m_fleet.advance(kSettled);
+        m_fleet.advance(kSettleTime);
     }
 
-    void play(int steps)
+    void run(int steps)
     {
         for (int n = 0; n < steps; ++n) {
-            trouble();
+            injectFaults();
             m_fleet.advance(kStep);
             m_now += kStep;
             check();
@@ -48,31 +48,31 @@
     }
 
 private:
-    void trouble();
+    void injectFaults();
     void nameWeights();
-    void killSome();
-    void troubleStore();
+    void restartSome();
+    void toggleStoreFault();
     void check();
     bool chance(int percent) { return static_cast<int>(m_random() % 100) < percent; }
 
     std::mt19937 m_random;
     WeightsFleet m_fleet;
     Duration m_now{0};
-    std::map<std::uint64_t, Duration> m_named; // true times
+    std::map<std::uint64_t, Duration> m_namingTimes; // true times
     std::uint64_t m_newest = 1;
-    std::optional<Duration> m_storeTrouble; // since when
-    Duration m_calmSince{0};
+    std::optional<Duration> m_storeFaultSince; // since when
+    Duration m_lastFaultAt{0};
 };
 
-void WeightsStorm::nameWeights()
+void RandomWeightFaults::nameWeights()
 {
     m_fleet.nameWeights(++m_newest);
-    m_named[m_newest] = m_now;
+    m_namingTimes[m_newest] = m_now;
 }
 
-void WeightsStorm::killSome()
+void RandomWeightFaults::restartSome()
 {
-    m_calmSince = m_now;
+    m_lastFaultAt = m_now;
     if (chance(40)) {
         m_fleet.killAll();
         m_fleet.startAll();
@@ -83,48 +83,48 @@
     m_fleet.start(node);
 }
 
-void WeightsStorm::troubleStore()
+void RandomWeightFaults::toggleStoreFault()
 {
-    m_calmSince = m_now;
-    if (m_storeTrouble) {
+    m_lastFaultAt = m_now;
+    if (m_storeFaultSince) {
         m_fleet.store().setDown(false);
         m_fleet.store().setDeafWatches(false);
-        m_storeTrouble.reset();
+        m_storeFaultSince.reset();
     } else if (chance(50)) {
         m_fleet.store().setDown(true);
-        m_storeTrouble = m_now;
+        m_storeFaultSince = m_now;
     } else if (chance(50)) {
         m_fleet.store().setDeafWatches(true);
-        m_storeTrouble = m_now;
+        m_storeFaultSince = m_now;
     } else {
         m_fleet.store().forgetHistory();
     }
 }
 
-void WeightsStorm::trouble()
+void RandomWeightFaults::injectFaults()
 {
     if (chance(8))
         nameWeights();
     if (chance(12))
-        killSome();
-    if (chance(m_storeTrouble ? 30 : 8))
-        troubleStore();
+        restartSome();
+    if (chance(m_storeFaultSince ? 30 : 8))
+        toggleStoreFault();
 }
 
-void WeightsStorm::check()
+void RandomWeightFaults::check()
 {
-    for (const auto &it : m_named) {
+    for (const auto &it : m_namingTimes) {
         const std::uint64_t version = it.first;
         const Duration named = it.second;
         const Duration age = m_now - named;
         const int users = m_fleet.nodesThatUse(version - 1);
         INFO("version ", version, " named ", age.count() / 1'000'000, " ms ago at ",
              m_now.count() / 1'000'000, " ms");
-        if (age > kMayUse)
+        if (age > kMaxUseTime)
             CHECK(users == 0);
-        const bool isCalm
-            = !m_storeTrouble && m_calmSince < named && m_now - m_calmSince >= kSettled;
-        if (isCalm && age < kSurelyUsed)
+        const bool isUndisturbed
+            = !m_storeFaultSince && m_lastFaultAt < named && m_now - m_lastFaultAt >= kSettleTime;
+        if (isUndisturbed && age < kMinUseTime)
             CHECK(users == kNodes);
     }
 }
@@ -144,7 +144,7 @@
 {
     for (const unsigned it : seeds()) {
         CAPTURE(it);
-        WeightsStorm storm(it);
-        storm.play(50);
+        RandomWeightFaults faults(it);
+        faults.run(50);
     }
 }
--- a/tests/node/weight_age_test.cpp
+++ b/tests/node/weight_age_test.cpp
@@ -196,7 +196,7 @@
     old.failureDomain = "domain-9";
     old.gossipAddress = fleet.host(9) + ":8083";
     old.replicaAddress = fleet.host(9) + ":8082";
-    old.weightsNamed["m"][2] = {150ms, 200ms, 1};
+    old.namingAges["m"][2] = {150ms, 200ms, 1};
     fleet.sendToAll(old);
     fleet.advance(500ms);
     CHECK(fleet.nodesThatUse(1) == 0);
--- a/tests/node/weights_fleet.cpp
+++ b/tests/node/weights_fleet.cpp
@@ -30,7 +30,7 @@
 
 WeightsNode::WeightsNode(config::OneProcessSettings settings)
     : m_settings(std::move(settings)), m_context(1),
-      m_traffic(m_context, m_clock, m_settings, m_metrics),
+      m_state(m_context, m_clock, m_settings, m_metrics),
       m_control(m_settings, m_clock, m_metrics, [this](FleetUpdate it) {
           const std::lock_guard lock(m_mutex);
           m_updates.push_back(std::move(it));
@@ -48,7 +48,7 @@
     m_thread.join();
 }
 
-void WeightsNode::takeUpdates()
+void WeightsNode::applyUpdates()
 {
     std::vector<FleetUpdate> updates;
     {
@@ -56,28 +56,28 @@
         updates.swap(m_updates);
     }
     for (const FleetUpdate &it : updates) {
-        m_traffic.handle(it);
-        if (const auto *live = std::get_if<LiveNodes>(&it))
-            m_live = live->n;
+        m_state.handle(it);
+        if (const auto *live = std::get_if<LiveNodeCount>(&it))
+            m_liveNodes = live->n;
     }
 }
 
-NodeState &WeightsNode::traffic()
+NodeState &WeightsNode::state()
 {
-    takeUpdates();
-    return m_traffic;
+    applyUpdates();
+    return m_state;
 }
 
-std::size_t WeightsNode::peersHeard()
+std::size_t WeightsNode::livePeerCount()
 {
-    takeUpdates();
-    return m_live - 1;
+    applyUpdates();
+    return m_liveNodes - 1;
 }
 
 std::uint64_t WeightsNode::weightsOf(const std::string &instanceId)
 {
-    takeUpdates();
-    const UpstreamRecord *record = m_traffic.upstreams().find(instanceId);
+    applyUpdates();
+    const UpstreamRecord *record = m_state.upstreams().find(instanceId);
     if (record == nullptr)
         return 0;
     const auto version = record->weightVersions.find(kModel);
@@ -86,11 +86,11 @@
 
 std::uint64_t WeightsNode::newestWeights()
 {
-    takeUpdates();
-    return m_traffic.weights(kModel).newest();
+    applyUpdates();
+    return m_state.weights(kModel).newest();
 }
 
-bool WeightsNode::mayBeginOn(std::uint64_t weights)
+bool WeightsNode::canStartOn(std::uint64_t weights)
 {
     // A node that has read nothing yet knows of no engine either.
     if (newestWeights() == 0)
@@ -100,14 +100,14 @@
     engine.weightVersions[kModel] = weights;
     const Prompt prompt{kModel, {{"context", 300}, {"own", 80}}, 380, 10};
     const EngineTraits traits;
-    const EngineChooser::Query query{prompt, "", m_traffic.weights(kModel), traits, {}, {}};
-    return m_traffic.engines()
-        .choose(query, {&engine}, m_traffic.loads(), m_traffic.health(), m_traffic.contexts())
+    const EngineChooser::Query query{prompt, "", m_state.weights(kModel), traits, {}, {}};
+    return m_state.engines()
+        .choose(query, {&engine}, m_state.loads(), m_state.health(), m_state.contexts())
         .has_value();
 }
 
 WeightsFleet::WeightsFleet(int nodes, std::uint64_t named)
-    : m_size(nodes), m_net(network()), m_store(m_net + "1:7000")
+    : m_size(nodes), m_addressPrefix(network()), m_store(m_addressPrefix + "1:7000")
 {
     if (named > 0)
         nameWeights(named);
@@ -129,7 +129,7 @@
     settings.peers.gossipListen = host(node) + ":8083";
     settings.peers.metricsListen = host(node) + ":8084";
     settings.peers.seeds = {host(0) + ":8082", host(1) + ":8082"};
-    settings.store.address = storeAddress.empty() ? m_net + "1:7000" : storeAddress;
+    settings.store.address = storeAddress.empty() ? m_addressPrefix + "1:7000" : storeAddress;
     settings.bounds.weightsWithin = 10s;
     m_nodes[node] = std::make_unique<WeightsNode>(settings);
 }
@@ -150,11 +150,11 @@
         socket.send_to(net::buffer(bytes), *parseEndpoint<udp>(host(n) + ":8083"));
 }
 
-bool WeightsFleet::waitFor(const std::function<bool()> &holds, Duration stepSize)
+bool WeightsFleet::waitFor(const std::function<bool()> &predicate, Duration stepSize)
 {
     // By the wall's clock: only a fault makes it take this long.
     const auto until = std::chrono::steady_clock::now() + 20s;
-    while (!holds()) {
+    while (!predicate()) {
         if (std::chrono::steady_clock::now() >= until)
             return false;
         step(stepSize);
@@ -188,12 +188,12 @@
         kStep);
 }
 
-bool WeightsFleet::waitForAll(const std::function<bool(NodeState &)> &holds)
+bool WeightsFleet::waitForAll(const std::function<bool(NodeState &)> &predicate)
 {
     return waitFor(
         [&] {
             return std::all_of(m_nodes.begin(), m_nodes.end(),
-                               [&](const auto &it) { return holds(it.second->traffic()); });
+                               [&](const auto &it) { return predicate(it.second->state()); });
         },
         kMessageStep);
 }
@@ -203,7 +203,7 @@
     return waitFor(
         [&] {
             for (const auto &[n, node] : m_nodes) {
-                if (node->peersHeard() + 1 != m_nodes.size())
+                if (node->livePeerCount() + 1 != m_nodes.size())
                     return false;
             }
             return true;
@@ -220,9 +220,9 @@
     }
     m_store.passTime(by);
     // A turn of the node reads the clock several times; the next one begins within 20 ms.
-    constexpr std::uint64_t kReadsOfATurn = 40;
+    constexpr std::uint64_t kReadsPerIteration = 40;
     for (const auto &[n, node] : m_nodes) {
-        while (node->clock().reads() < reads[n] + kReadsOfATurn)
+        while (node->clock().reads() < reads[n] + kReadsPerIteration)
             std::this_thread::sleep_for(1ms);
     }
 }
@@ -237,7 +237,7 @@
 {
     int n = 0;
     for (const auto &[name, node] : m_nodes)
-        n += node->mayBeginOn(weights) ? 1 : 0;
+        n += node->canStartOn(weights) ? 1 : 0;
     return n;
 }
 
--- a/tests/node/weights_fleet.hpp
+++ b/tests/node/weights_fleet.hpp
@@ -35,28 +35,28 @@
     std::uint64_t newestWeights();
 
     // Whether the node would send a request to an engine that runs these weights.
-    bool mayBeginOn(std::uint64_t weights);
+    bool canStartOn(std::uint64_t weights);
 
     // The weights that the node takes an engine to run; zero: none are known.
     std::uint64_t weightsOf(const std::string &instanceId);
 
     // How many other nodes it hears.
-    std::size_t peersHeard();
+    std::size_t livePeerCount();
 
     // The serving thread's state, with all that the control thread has told it.
-    NodeState &traffic();
+    NodeState &state();
 
 private:
-    void takeUpdates();
+    void applyUpdates();
 
     const config::OneProcessSettings m_settings;
     CountingClock m_clock;
     adapters::Metrics m_metrics;
     net::io_context m_context; // of the serving thread; never runs
-    NodeState m_traffic;
+    NodeState m_state;
     std::mutex m_mutex;
     std::vector<FleetUpdate> m_updates;
-    std::size_t m_live = 1;
+    std::size_t m_liveNodes = 1;
     ControlDuty m_control;
     std::thread m_thread;
 };
@@ -80,7 +80,7 @@
     process::KeyValueStandin &store() { return m_store; }
 
     // The address of a node's VM.
-    std::string host(int node) const { return m_net + std::to_string(10 + node); }
+    std::string host(int node) const { return m_addressPrefix + std::to_string(10 + node); }
 
     // A datagram that reaches all live nodes as if from a node that is not one of them.
     void sendToAll(const Gossip &message);
@@ -91,7 +91,7 @@
     // Until every live node hears all others.
     bool waitForPeers();
     // Until it holds for the state of every live node's serving thread.
-    bool waitForAll(const std::function<bool(NodeState &)> &holds);
+    bool waitForAll(const std::function<bool(NodeState &)> &predicate);
 
     // Until every live node takes the engine to run these.
     bool waitForEngine(const std::string &instanceId, std::uint64_t weights);
@@ -105,11 +105,11 @@
 private:
     // Moves the clocks by so much at a time until it holds. What takes only messages takes small
     // steps, so that little time passes; what a lease or a load bounds takes large ones.
-    bool waitFor(const std::function<bool()> &holds, Duration stepSize);
+    bool waitFor(const std::function<bool()> &predicate, Duration stepSize);
     void step(Duration by);
 
     const int m_size;
-    const std::string m_net;
+    const std::string m_addressPrefix;
     process::KeyValueStandin m_store;
     std::map<int, std::unique_ptr<WeightsNode>> m_nodes;
 };
--- a/tests/support/relay_fleet.hpp
+++ b/tests/support/relay_fleet.hpp
@@ -143,8 +143,8 @@
         if (m_dropEvery > 0 && m_receivedCount % m_dropEvery == 0)
             return;
         node.received += 1;
-        node.exchange->take(message, node.isRelay);
-        node.quarantine->takeHeard(message.requestNews, node.isRelay);
+        node.exchange->handle(message, node.isRelay);
+        node.quarantine->takeHeard(message.quarantineUpdates, node.isRelay);
     }
 
     void send(Node &node)
@@ -156,7 +156,7 @@
         message.replicaAddress = node.address;
         message.strength = node.strength;
         message.isRelay = node.isRelay;
-        message.requestNews = node.quarantine->newsForPeers();
+        message.quarantineUpdates = node.quarantine->newsForPeers();
         LoadReport own;
         own.loads = {{"e", {1, 10, 10}}};
         node.exchange->setOwn(own);
--- a/tests/support/serving_thread.hpp
+++ b/tests/support/serving_thread.hpp
@@ -66,10 +66,10 @@
         config.services = {std::move(pool)};
         m_traffic.onLoadReportRequest([] {});
         m_traffic.onQuarantineUpdates([] {});
-        m_traffic.handle(ConfigInForce{std::make_shared<RouteTable>(std::move(config))});
+        m_traffic.handle(ConfigApplied{std::make_shared<RouteTable>(std::move(config))});
     }
 
-    void write(const UpstreamRecord &record) { m_traffic.handle(UpstreamWritten{record}); }
+    void write(const UpstreamRecord &record) { m_traffic.handle(UpstreamRecordWritten{record}); }
 
     void advance(Duration by)
     {
