--- a/src/node/naming_marks.cpp
+++ b/src/node/naming_marks.cpp
@@ -15,14 +15,14 @@
 
 constexpr std::string_view kKeyPrefix = "fordwood/named/";
 
-// A lease runs from the arrival of the call that asked for it: one that was answered later than
-// this may run on for too long, and is ended.
+// A lease runs from the time at which its request arrives at the store. If the answer takes longer
+// than this, the lease may expire too late, and is revoked.
 constexpr Duration kMaxGrantTime = std::chrono::milliseconds(250);
 
-// A write that was done shows in the copy of the store within this.
+// A completed write appears in the copy of the store within this time.
 constexpr Duration kRetryPause = std::chrono::milliseconds(700);
 
-// Nothing: the value is no version.
+// Returns nothing if the value is not a version.
 std::optional<std::uint64_t> parseNewestBefore(std::string_view value)
 {
     std::uint64_t newestBefore = 0;
@@ -54,7 +54,7 @@
     }
 }
 
-// So long that the mark ends with its life at the latest, whenever the call arrives.
+// Chosen so that the mark expires `ttl` after the naming at the latest, whenever the call arrives.
 Duration NamingMarks::leaseFor(const WeightNaming &naming) const
 {
     if (!naming.named.earliest || !naming.after)
@@ -94,7 +94,7 @@
                      }
                      if (isOwn)
                          m_store.send(platform::endCall(granted->lease.id), [](const HttpResult &) {
-                             // A lease without a key harms nobody.
+                             // A lease without a key has no effect, so the result is ignored.
                          });
                      onWriteFinished(naming);
                  });
--- a/src/node/naming_marks.hpp
+++ b/src/node/naming_marks.hpp
@@ -15,18 +15,18 @@
 
 namespace fordwood::node {
 
-// Keeps the age of namings where it outlives all nodes: a key in the platform's store under a lease
-// that runs out a fixed time after the naming. While the key is there, the naming is no older than
-// that, whoever reads it, but for time in which the store was away and its leases waited; clocks of
-// two nodes are never compared. Without it nodes that all start anew could not use engines that
-// have the replaced weights, which just after a naming are all.
+// Persists a bound on the age of namings beyond the lifetime of all nodes: a key in the platform's
+// store whose lease expires a fixed time after the naming. As long as the key exists, the naming is
+// no older than that, except for outages of the store, during which leases do not run. Clocks of
+// different nodes are never compared. Without marks, nodes that all restart at the same time could
+// not use engines with replaced weights, which right after a naming are all engines.
 class NamingMarks
 {
 public:
     struct Limits
     {
-        Duration ttl{}; // from the naming to the end of its mark
-        Duration minLease{}; // the shortest that the store grants
+        Duration ttl{}; // from the naming to the expiry of its mark
+        Duration minLease{}; // the shortest lease that the store grants
     };
 
     NamingMarks(const Clock &clock, StoreLink &store, const StoreReplica &replica,
@@ -34,21 +34,21 @@
         : m_clock(clock), m_store(store), m_replica(replica), m_tracker(tracker), m_limits(limits)
     { }
 
-    // Learns from the marks in the copy of the store, which was whole at that time.
+    // Reads the marks in the copy of the store, which was complete as of the given time.
     void read(std::optional<TimePoint> completeAsOf);
 
-    // Writes those that are missing. `patience`: how long after a naming this node leaves that to
-    // others.
+    // Writes missing marks. `delay`: time after a naming during which this node leaves writing to
+    // other nodes.
     void write(Duration delay);
 
-    // The key of a mark. Its value is the newest version that had been named before, as text.
+    // The key of a mark. Its value is the newest previously named version, as decimal text.
     static std::string keyOf(const std::string &model, std::uint64_t version);
 
 private:
     using Naming = std::pair<std::string, std::uint64_t>; // model, version
     struct Write
     {
-        bool isPending = false; // a call is on its way
+        bool isPending = false; // a call to the store is in flight
         TimePoint nextAttempt{};
     };
 
--- a/src/node/order_reports.cpp
+++ b/src/node/order_reports.cpp
@@ -5,12 +5,12 @@
 
 namespace {
 
-// A word that is passed on says how old it is; after this it is in nobody's interest. Longer than
-// the life of the lock, shorter than an echo between relays could keep it going.
+// Forwarded reports carry their age and are dropped at this age. It is longer than the lifetime of
+// the lock, and short enough that relays can't keep a report alive by echoing it to each other.
 constexpr Duration kForwardFor = std::chrono::seconds(2);
 
-// Two that say the same are one word if they seem to be no further apart: what a word takes on its
-// way is lost from its age.
+// Reports with the same content whose times differ by less than this count as the same report: the
+// age of a forwarded report does not include its transit time, so its computed time varies.
 constexpr Duration kSameReportWithin = std::chrono::milliseconds(300);
 
 std::chrono::milliseconds inMilliseconds(Duration duration)
@@ -18,7 +18,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
 }
 
-// A new word names another time since the last order.
+// A new report has a different time since the last order.
 bool hasSameContent(const OrderReport &a, const OrderReport &b)
 {
     return a.lastOrder == b.lastOrder && a.enginesLoading == b.enginesLoading
@@ -32,12 +32,13 @@
     const TimePoint now = m_clock.now();
     const TimePoint reportedAt = now - report.age;
     const auto known = m_entries.find(node);
-    // Nearly all nodes never order anything: what they say is not worth keeping and passing on.
+    // Most nodes never order anything; their empty reports are neither kept nor forwarded.
     if (known == m_entries.end() && report.isEmpty())
         return false;
     if (known != m_entries.end() && known->second.reportedAt > reportedAt)
         return false;
-    // One that relays pass on again, perhaps after its node's death, keeps no engine out of use.
+    // A report that relays forward again, possibly after the death of its node, must not keep
+    // engines out of use.
     if (known != m_entries.end() && reportedAt - known->second.reportedAt < kSameReportWithin
         && hasSameContent(known->second.report, report))
         return false;
--- a/src/node/order_reports.hpp
+++ b/src/node/order_reports.hpp
@@ -11,24 +11,25 @@
 
 namespace fordwood::node {
 
-// The last word of each node that has ordered engines of late. Relays pass it on, so that all nodes
-// know which engines load, and a new holder of the lock when its predecessor sent its last order.
+// The last report of each node that has recently ordered engines to load weights. Relays forward
+// the reports, so that all nodes learn which engines are loading, and a new lock holder learns when
+// its predecessor sent its last order.
 class OrderReports
 {
 public:
     explicit OrderReports(const Clock &clock) : m_clock(clock) { }
 
-    // False: this word or a newer one of the node is known, or it has never said anything of
-    // orders.
+    // Returns false if this report or a newer one of the node is already recorded, or if the node
+    // has never reported any orders.
     bool record(const std::string &node, const OrderReport &report);
 
-    // When the node sent its last order, as far as it has said.
+    // The time of the node's last order, according to its reports.
     std::optional<TimePoint> lastOrder(const std::string &node) const;
 
-    // When the node said its last word.
+    // The time at which the node made its last report.
     std::optional<TimePoint> lastReportTime(const std::string &node) const;
 
-    // Those that others should hear.
+    // The reports to send on to other nodes.
     std::map<std::string, OrderReport> toForward() const;
 
 private:
--- a/src/node/peer_links.cpp
+++ b/src/node/peer_links.cpp
@@ -19,10 +19,10 @@
 using adapters::Event;
 using adapters::logEvent;
 
-// Several turns within the time from which on a node is held to have stood still.
+// Several ticks fit into the shortest gap that counts as a stall.
 constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 
-// Datagrams that are dropped at once; the sockets of any VM hold fewer.
+// Bound on the datagrams dropped in one call; socket buffers hold fewer.
 constexpr std::size_t kMaxDroppedDatagrams = 100'000;
 
 } // namespace
@@ -47,7 +47,7 @@
         m_socket.non_blocking(true, ec);
     if (ec)
         return false;
-    m_stallDetector.turn(); // the thread does not work before
+    m_stallDetector.turn(); // the thread does not run before this
     startTickTimer();
     receive();
     return true;
@@ -57,7 +57,7 @@
 {
     m_roster.removeSilent();
     const std::string datagram = static_cast<char>(Delivery::Direct) + encodeGossip(message);
-    // A last message must not be overtaken by one before it.
+    // Sent directly, so that no earlier message of this node arrives after its last one.
     const bool sendsToEach = message.leaving || m_roster.size() < m_smallFleet;
     std::map<std::string, std::vector<const Peer *>> byDomain; // by failure domain
     for (const auto &[name, peer] : m_roster.peers()) {
@@ -99,13 +99,14 @@
 {
     if (!peer.gossip)
         return;
-    ErrorCode ec; // a datagram that is lost here is one more lost datagram
+    ErrorCode ec; // ignored: receivers tolerate lost datagrams
     m_socket.send_to(net::buffer(datagram), *peer.gossip, 0, ec);
     m_datagramsSent += 1;
 }
 
-// Two members in turn pass messages on, so that one that has just died costs every other message.
-// Each node has two of its own, by a hash that favours strong ones: so the work is spread.
+// Messages alternate between two forwarders, so that a forwarder that has just died loses only
+// every other message. Each sender picks its own two by a hash weighted by strength, which
+// distributes the work.
 void PeerLinks::sendForForwarding(std::string datagram, const std::vector<const Peer *> &members)
 {
     constexpr std::size_t kForwarders = 2;
@@ -126,10 +127,10 @@
     send(datagram, *candidates[m_messagesSent % n].second);
 }
 
-// Weighted rendezvous: the least one wins, in proportion to the strengths.
+// Weighted rendezvous hashing: the smallest value wins, with probability proportional to strength.
 double PeerLinks::forwardingDistance(const Peer &peer) const
 {
-    constexpr double kMinStrength = 1.0; // of one that is not known
+    constexpr double kMinStrength = 1.0; // for unknown strengths
     const std::uint64_t hash = rendezvousWeight(stableHash(m_roster.self().name),
                                                 stableHash(peer.gossip->address().to_string()));
     return -std::log(1.0 - hashFraction(hash)) / std::max(peer.strength, kMinStrength);
@@ -163,8 +164,8 @@
               {"datagrams_dropped", dropped}});
 }
 
-// What peers said while this node stood still would count as said now, here and, where it is passed
-// on, with nodes that ran. They say it anew several times a second.
+// Messages received during a stall would count as new, on this node and, once forwarded, on nodes
+// that did not stall. Peers send new ones several times a second.
 std::size_t PeerLinks::dropPending()
 {
     std::array<char, 1> byte{};
@@ -175,7 +176,7 @@
         m_socket.receive_from(net::buffer(byte), from, 0, ec);
         n += ec ? 0 : 1;
     }
-    // One may have been read already and wait for its turn behind this one.
+    // One datagram may have been read already, with its handler queued behind this one.
     m_isDropping = true;
     net::post(m_socket.get_executor(), [this] { m_isDropping = false; });
     return n;
@@ -205,8 +206,8 @@
     const bool isDirect = delivery != Delivery::Forwarded;
     if (delivery == Delivery::Forward)
         forward(std::string(datagram), m_roster.domainPeers());
-    // The sums of another failure domain reached a node that may be no relay: its relays, which
-    // the sender does not know, learn of it by them.
+    // The sender does not know the relays of this failure domain, and this node may not be one:
+    // forward the sums to the relays, which also learn of the sender this way.
     else if (isDirect && message->scope == LoadScope::Domain)
         forward(std::string(datagram), m_roster.domainRelays());
     m_roster.update(*message, isDirect ? std::optional(m_sender) : std::nullopt);
--- a/src/node/peer_links.hpp
+++ b/src/node/peer_links.hpp
@@ -17,25 +17,26 @@
 
 namespace fordwood::node {
 
-// Datagrams to and from the other nodes. In a small fleet each node tells each other one. In a
-// large one nodes report to the relays of their failure domain, which exchange sums and tell them
-// to the nodes. Without sums a message crosses to each other failure domain once, and is passed on
-// there: as many datagrams as there are domains, not nodes.
+// Sends and receives datagrams between nodes. In a small fleet every node sends to every other. In
+// a large one, nodes report to the relays of their failure domain, which exchange sums and send
+// them to the nodes. Without sums, a message is sent once to each other failure domain and
+// forwarded there, so that the number of datagrams between domains grows with the number of
+// domains, not of nodes.
 class PeerLinks
 {
 public:
     using OnMessage = std::function<void(const Gossip &)>;
     using Self = PeerRoster::Self;
 
-    // `smallFleet`: up to so many nodes, each tells each other one.
+    // `smallFleet`: the largest fleet in which every node sends to every other.
     PeerLinks(net::io_context &context, const Clock &clock, Self self, std::size_t smallFleet,
               OnMessage onMessage);
 
-    // False when the address cannot be used; `ec` tells why.
+    // Returns false and sets `ec` if the address cannot be used.
     bool open(const std::string &address, ErrorCode &ec);
 
-    // Regular work, which the node's thread does by itself too. After a standstill of the thread
-    // drops what waits in the socket.
+    // Periodic work; a timer on the node's thread calls it too. After the thread has stalled, drops
+    // the datagrams that wait in the socket.
     void tick();
 
     void setAddress(const std::string &node, const PeerAddress &address)
@@ -46,33 +47,33 @@
 
     const PeerRoster &roster() const { return m_roster; }
 
-    // To every node, directly or passed on.
+    // Sends to every node, directly or through forwarding.
     void sendAll(const Gossip &message);
 
-    // What this node has sent to upstreams, to the relays of its failure domain.
+    // Sends this node's load report to the relays of its failure domain.
     void sendToRelays(const Gossip &message);
 
-    // The sums of all nodes, to those of this failure domain. Returns the bytes sent.
+    // Sends the sums of all nodes to the nodes of this failure domain. Returns the bytes sent.
     std::size_t sendToDomain(const Gossip &message);
 
-    // The sums of this failure domain, to a relay of each other one. Returns the bytes sent.
+    // Sends the sums of this failure domain to a relay of each other one. Returns the bytes sent.
     std::size_t sendToOtherDomains(const Gossip &message);
 
-    // Datagrams that this node has sent.
+    // Total number of datagrams sent.
     std::size_t datagramsSent() const { return m_datagramsSent; }
 
 private:
     using Peer = PeerRoster::Peer;
 
-    // What a datagram's first byte says of the message behind it.
+    // The first byte of a datagram: how the message was delivered.
     enum class Delivery : char {
-        Direct, // from the node that wrote it
-        Forward, // likewise; the receiver tells the others of its failure domain
-        Forwarded, // from a node that was asked to, or that is no relay and knows one
+        Direct, // sent by the node that wrote it
+        Forward, // as Direct; the receiver forwards it within its failure domain
+        Forwarded, // by the receiver of Forward, or by a node that received sums for its relays
     };
 
     void startTickTimer();
-    // Returns the number of datagrams.
+    // Returns the number of datagrams dropped.
     std::size_t dropPending();
     void receive();
     void onDatagram(std::string_view datagram);
@@ -90,7 +91,7 @@
     udp::socket m_socket;
     net::steady_timer m_tickTimer;
     StandstillWatch m_stallDetector;
-    bool m_isDropping = false; // what was read before this node was seen to have stood still
+    bool m_isDropping = false; // ignores a datagram read before the stall was detected
     udp::endpoint m_sender;
     std::array<char, kMaxDatagramBytes> m_bytes{};
     std::size_t m_messagesSent = 0; // messages
--- a/src/node/peer_messages.cpp
+++ b/src/node/peer_messages.cpp
@@ -13,14 +13,15 @@
 
 std::chrono::milliseconds decodeAge(const Json &number)
 {
-    constexpr std::int64_t kOldest = 86'400'000; // milliseconds; older is no different
+    constexpr std::int64_t kOldest = 86'400'000; // milliseconds; greater ages make no difference
     return std::chrono::milliseconds(
         std::clamp<std::int64_t>(number.get<std::int64_t>(), 0, kOldest));
 }
 
 using VersionsByEngine = decltype(OrderReport::observedVersions);
 
-// Two texts and two numbers for each version. Older nodes read another form, under another name.
+// One row per version: instance id, model, version, age. Older nodes use another format under
+// another key.
 Json encodeVersions(const VersionsByEngine &shown)
 {
     Json list = Json::array();
@@ -67,7 +68,8 @@
     return word;
 }
 
-// Two numbers name a request, a third one the life that ended under it.
+// One row per update: the two halves of the request's fingerprint and, if there is one, the
+// upstream instance that crashed during the request.
 Json encodeQuarantineUpdates(const std::vector<QuarantineUpdate> &news)
 {
     Json list = Json::array();
@@ -92,7 +94,7 @@
     return news;
 }
 
-// Four numbers of each limit, and two of each sender.
+// One row per limit: upstream, version, rate, age, then node and sequence number of each sender.
 Json encodeLimits(const std::vector<LimitGossip> &words)
 {
     Json list = Json::array();
@@ -110,7 +112,7 @@
 
 std::vector<LimitGossip> decodeLimits(const Json &list)
 {
-    constexpr std::int64_t kOldest = 3'600'000; // milliseconds; only for the log
+    constexpr std::int64_t kOldest = 3'600'000; // milliseconds; the age is only logged
     std::vector<LimitGossip> words;
     for (const Json &row : list) {
         LimitGossip it;
@@ -128,7 +130,7 @@
     return words;
 }
 
-// Two numbers; two more where it is known how long ago it may have been at most.
+// Version and minimum age, followed by the maximum age and the previous version if known.
 Json encodeNamingAge(std::uint64_t version, const NamingAge &age)
 {
     Json row{version, age.min.count()};
@@ -154,7 +156,7 @@
 
 Json encodeLoad(const LoadReport &report)
 {
-    // Four numbers a row in one array: read without an allocation for each row.
+    // One flat array with four numbers per row avoids an allocation per row when decoding.
     Json loads = Json::array();
     for (const auto &[upstream, load] : report.loads.rows()) {
         loads.push_back(upstream);
@@ -187,7 +189,7 @@
     return report;
 }
 
-// Numbers on the wire; what is not known is a node's own load.
+// Values on the wire. Unknown values are decoded as LoadScope::Node.
 constexpr int kDomainScope = 1;
 constexpr int kFleetScope = 2;
 
--- a/src/node/peer_messages.hpp
+++ b/src/node/peer_messages.hpp
@@ -18,7 +18,8 @@
 
 namespace fordwood::node {
 
-// Where a node's peers reach it; also the value of its key in the platform's store.
+// The addresses of a node for its peers. Stored as the value of the node's key in the platform's
+// store.
 struct PeerAddress
 {
     std::string gossip; // UDP
@@ -27,29 +28,29 @@
     double strength = 0.0; // of the node's VM; see vmStrength()
 };
 
-// Whose load a message tells.
+// Whose load a message reports.
 enum class LoadScope {
-    Node, // the writer's own
-    Domain, // all nodes of the writer's failure domain, by one of its relays
-    Fleet, // all nodes, by a relay to those of its failure domain
+    Node, // the sender's own
+    Domain, // the sum over the sender's failure domain, sent by one of its relays
+    Fleet, // the sum over all nodes, sent by a relay to the nodes of its failure domain
 };
 
-// A weight version that an engine was seen to run so long ago.
+// The weight version that an engine was last observed to run.
 struct ObservedVersion
 {
     std::uint64_t version = 0;
-    std::chrono::milliseconds age{0};
+    std::chrono::milliseconds age{0}; // of the observation
 
     bool operator==(const ObservedVersion &) const = default;
 };
 
-// What a node has said of orders to engines, as others pass it on.
+// What a node reports about its load orders to engines. Other nodes forward it.
 struct OrderReport
 {
-    std::chrono::milliseconds age{0}; // since the node said so
-    std::optional<std::chrono::milliseconds> lastOrder; // how long ago the node ordered an engine
+    std::chrono::milliseconds age{0}; // since the node made the report
+    std::optional<std::chrono::milliseconds> lastOrder; // time since the node's last order
     std::set<std::string> enginesLoading;
-    // By instance id and model; ages from when the node said so.
+    // By instance id and model. Ages are as of the time of the report.
     std::map<std::string, std::map<std::string, ObservedVersion>> observedVersions;
 
     bool isEmpty() const
@@ -58,12 +59,12 @@
     }
 };
 
-// How long ago weights were named, as far as a node knows; see WeightNaming.
+// Bounds on how long ago a weight version was named; see WeightNaming.
 struct NamingAge
 {
     std::chrono::milliseconds min{0};
-    std::optional<std::chrono::milliseconds> max; // nothing: any time
-    std::optional<std::uint64_t> newestBefore = std::nullopt; // of other weights; goes with `most`
+    std::optional<std::chrono::milliseconds> max; // nothing: unbounded
+    std::optional<std::uint64_t> newestBefore = std::nullopt; // set if and only if `max` is
 
     bool operator==(const NamingAge &) const = default;
 };
@@ -71,44 +72,45 @@
 // By model and weight version.
 using NamingAges = std::map<std::string, std::map<std::uint64_t, NamingAge>>;
 
-// The short message by which nodes tell each other of themselves, several times a second: in a
-// small fleet each to each, in a large one by relays.
+// The short status message that nodes exchange several times a second. In a small fleet every node
+// sends it to every other; in a large one it goes through relays.
 struct Gossip
 {
     std::string node;
     std::string failureDomain;
     std::string gossipAddress;
     std::string replicaAddress;
-    StoreVersion version; // up to which the node's copy of the store is whole
-    bool storeReachable = false; // by the node, which follows it
+    StoreVersion version; // the version up to which the node's copy of the store is complete
+    bool storeReachable = false; // the node itself reads the platform's store
     double strength = 0.0; // of the node's VM; see vmStrength()
-    bool getsStoreChanges = false; // the node is reached by word of one that reaches it
+    bool getsStoreChanges = false; // the node, or a peer whose messages reach it, reads the store
     bool isRelay = false; // see RelayRole
-    bool followsContext = false; // likewise
-    bool leaving = false; // the node stops: its last message
+    bool followsContext = false; // see RelayRole
+    bool leaving = false; // the node stops; this is its last message
     LoadScope scope = LoadScope::Node;
-    LoadReport load; // what has been sent to upstreams
-    std::uint64_t reportNumber = 0; // of the writer's own report
-    std::map<std::string, std::uint64_t> reportNumbers; // of the reports in a sum, by node
-    OrderReport orders; // from the node that orders engines
-    std::map<std::string, OrderReport> forwardedOrders; // from others, by node; in sums
-    // How long ago the store itself showed the node that its copy was whole; nothing: never.
+    LoadReport load; // requests sent to upstreams
+    std::uint64_t reportNumber = 0; // of the sender's own load report
+    std::map<std::string, std::uint64_t> reportNumbers; // of the reports included in a sum, by node
+    OrderReport orders; // the sender's own
+    std::map<std::string, OrderReport>
+        forwardedOrders; // of other nodes, by node; sent by relays with the sums
+    // Time since the store itself confirmed that the node's copy was complete; nothing: never.
     std::optional<std::chrono::milliseconds> copyAge;
-    // A node that starts learns it from its peers.
+    // A starting node learns these from its peers.
     NamingAges namingAges;
-    std::vector<QuarantineUpdate> quarantineUpdates; // of requests that end upstreams
-    std::vector<LimitGossip> limits; // that upstreams name; ages in whole milliseconds
-    std::vector<std::string> draining; // upstreams that say so in their answers
+    std::vector<QuarantineUpdate> quarantineUpdates; // on requests that crash upstreams
+    std::vector<LimitGossip> limits; // that upstreams announced; ages in whole milliseconds
+    std::vector<std::string> draining; // upstreams that announced it in their answers
 };
 
-// A node's answer to a peer that lacks changes of the store.
+// A node's answer to a peer that has missed changes of the store.
 struct ReplicaPart
 {
     StoreChanges changes;
-    bool mayBeExpiry = false; // removals may be leases that ran out while the store was away
+    bool mayBeExpiry = false; // removals may be leases that expired during an outage of the store
 };
 
-// The encodings are CBOR. What cannot be read gives nothing.
+// Messages are encoded as CBOR. The decoders return nothing for malformed input.
 std::string encodeGossip(const Gossip &message);
 std::optional<Gossip> decodeGossip(std::string_view bytes);
 std::string encodeReplicaPart(const ReplicaPart &part);
--- a/src/node/peer_roster.cpp
+++ b/src/node/peer_roster.cpp
@@ -11,14 +11,13 @@
 
 namespace {
 
-// Some ten messages long, so that lost datagrams do not make a peer seem gone.
+// The time of about ten messages, so that lost datagrams do not make a peer appear dead.
 constexpr Duration kLiveTimeout = std::chrono::seconds(2);
 
-// A relay that does not speak for so long is replaced: what it told is too old to choose engines
-// by.
+// A relay that sends nothing for this long is replaced: its sums are too old for choosing engines.
 constexpr Duration kRelayTimeout = std::chrono::seconds(1);
 
-// A peer without a key in the store is forgotten after this silence.
+// A peer without a key in the store is removed if it sends nothing for this long.
 constexpr Duration kForgetAfter = std::chrono::seconds(60);
 
 } // namespace
@@ -210,11 +209,11 @@
     return found;
 }
 
-// Two of the nodes, the next two with each turn, in the order in which they become relays.
+// Returns two of the nodes, the next two in each round, in the order in which they become relays.
 std::vector<const PeerRoster::Peer *>
 PeerRoster::nextPair(std::vector<std::pair<std::string, const Peer *>> nodes, std::size_t round)
 {
-    constexpr std::size_t kPairSize = 2; // as many as there are relays
+    constexpr std::size_t kPairSize = 2; // the number of relays per failure domain
     const auto order = [key = stableHash("relay")](const auto &it) {
         return std::pair(it.second->strength, rendezvousWeight(key, stableHash(it.first)));
     };
@@ -282,8 +281,8 @@
                          [&](const Peer &it) { return it.replicaAddress != failed; });
 }
 
-// The live peer to read from among those that will do, by its address: preferred ones first, then
-// those near this node, then by a hash that spreads the readers.
+// Returns the replica address of the best eligible live peer: preferred ones first, then those in
+// this node's failure domain, then by a hash that distributes the readers over the peers.
 std::optional<std::string>
 PeerRoster::selectAddress(const std::function<bool(const Peer &)> &isEligible,
                           const std::function<bool(const Peer &)> &isPreferred) const
--- a/src/node/peer_roster.hpp
+++ b/src/node/peer_roster.hpp
@@ -15,8 +15,9 @@
 
 namespace fordwood::node {
 
-// The other nodes: who is known, who lives, and whom to tell what. A peer is known by its key in
-// the platform's store or by its own messages; it counts as live while it is heard.
+// The other nodes: which are known and live, and which of them to send each kind of message. A peer
+// becomes known through its key in the platform's store or through its own messages; it counts as
+// live while its messages arrive.
 class PeerRoster
 {
 public:
@@ -34,8 +35,8 @@
         std::optional<TimePoint> lastReceived;
         std::string replicaAddress;
         StoreVersion version; // of its copy of the store
-        std::string failureDomain; // empty: not known
-        double strength = 0.0; // of its VM; zero: not known
+        std::string failureDomain; // empty: unknown
+        double strength = 0.0; // of its VM; zero: unknown
         bool reachesStore = false;
         bool getsStoreChanges = false;
         bool isRelay = false;
@@ -44,22 +45,22 @@
 
     PeerRoster(const Clock &clock, Self self) : m_clock(clock), m_self(std::move(self)) { }
 
-    // A node has written its address, or its key is gone. A live peer is kept all the same.
+    // A node has written its address, or its key was removed. A live peer is kept without a key.
     void setAddress(const std::string &node, const PeerAddress &address);
     void removeAddress(const std::string &node);
 
-    // What a message says of the node that wrote it; `from`: where it came from, if directly.
+    // Updates the peer that wrote the message. `from`: the source address, if it came directly.
     void update(const Gossip &message, const std::optional<udp::endpoint> &from);
 
-    // Forgets peers without a key that have been silent for long.
+    // Removes peers without a key that have sent nothing for a long time.
     void removeSilent();
 
     const Self &self() const { return m_self; }
     const std::map<std::string, Peer> &peers() const { return m_peers; }
     std::size_t size() const { return m_peers.size(); }
 
-    // The peers that have a key in the platform's store: the same for all nodes that have read up
-    // to the same revision.
+    // The peers that have a key in the platform's store. The list is the same on all nodes that
+    // have read up to the same revision.
     std::vector<std::string> registeredPeers() const;
     bool isLive(const Peer &peer) const;
     bool isInOwnDomain(const Peer &peer) const
@@ -67,53 +68,52 @@
         return peer.failureDomain == m_self.failureDomain;
     }
 
-    // Peers heard of late, by name, without this node.
+    // Names of the live peers.
     std::vector<std::string> livePeers() const;
 
-    // When the peer was last heard; nothing: never.
+    // Time of the peer's last message; nothing: none received.
     std::optional<TimePoint> lastReceivedFrom(const std::string &node) const;
 
-    // The live peers that say that the platform's store answers them.
+    // The live peers that reach the platform's store.
     std::vector<std::string> peersReachingStore() const;
 
-    // Whether a live peer is answered by the platform's store or hears of one that is.
+    // Whether a live peer reaches the platform's store or gets its changes from another peer.
     bool anyPeerGetsStoreChanges() const;
 
-    // Of these, the ones in this node's failure domain.
+    // The live peers in this node's failure domain that reach the platform's store.
     std::vector<RelayCandidate> domainPeersReachingStore() const;
 
-    // All live peers.
+    // All live peers as relay candidates.
     std::vector<RelayCandidate> liveCandidates() const;
 
     // The live peers that are relays.
     std::vector<RelayCandidate> relays() const;
 
-    // Of these, the ones in this node's failure domain. A relay sends several times a second: one
-    // that is silent for a second is replaced, sooner than a node counts as gone.
+    // The live relays in this node's failure domain. A relay sends several times a second; one that
+    // sends nothing for a second is replaced, earlier than other nodes count as gone.
     std::vector<const Peer *> domainRelays() const;
     std::vector<RelayCandidate> domainRelayCandidates() const;
 
-    // How many nodes of this failure domain rank before this one as relays, live or not.
+    // The number of nodes in this failure domain, live or not, that rank before this one as relays.
     std::size_t countHigherRanked() const;
 
-    // The nodes of this failure domain, without this one.
+    // The other nodes of this failure domain whose address is known.
     std::vector<const Peer *> domainPeers() const;
 
-    // Whom this node reports its load to: the relays of its failure domain. Where none is heard,
-    // two candidates at a time, from the first on, so that one of them is found.
+    // The peers to which this node reports its load: the relays of its failure domain. If no relay
+    // is live, two candidates per call in rank order, until a relay is found.
     std::vector<const Peer *> reportTargets();
 
-    // Whom a relay tells its domain's sums: one node of each other failure domain, its relays in
-    // turn. Where none is heard, two candidates at a time.
+    // The peers to which a relay sends the sums of its domain: one relay of each other failure
+    // domain, round robin. For a domain without a live relay, two candidates per call.
     std::vector<const Peer *> otherDomainTargets();
 
-    // A live peer whose copy of the store is ahead of the version; its address for reading it.
-    // Those that the store answers come first, then those of this node's failure domain.
+    // The replica address of a live peer whose copy of the store is ahead of the version. Prefers
+    // peers that reach the store, then those in this node's failure domain.
     std::optional<std::string> findPeerAheadOf(const StoreVersion &version) const;
 
-    // A live peer that follows the stores of kept context, other than the one at the address that
-    // failed if there is another; its address for reading. Those of this node's failure domain come
-    // first.
+    // The replica address of a live peer that follows the context stores. Avoids the address that
+    // failed if there is another, and prefers peers in this node's failure domain.
     std::optional<std::string> chooseContextRelay(const std::string &failed) const;
 
 private:
@@ -131,10 +131,10 @@
     const Clock &m_clock;
     const Self m_self;
     std::map<std::string, Peer> m_peers;
-    std::map<std::string, const Peer *> m_recent; // those heard of late: few, in a large fleet
-    mutable std::optional<std::size_t> m_higherRanked; // until the known nodes change
-    std::size_t m_domainRound = 0; // of sums told to other domains
-    std::size_t m_relaySearchRound = 0; // for a relay of this domain
+    std::map<std::string, const Peer *> m_recent; // with recent messages; few in a large fleet
+    mutable std::optional<std::size_t> m_higherRanked; // cached until the known nodes change
+    std::size_t m_domainRound = 0; // of sums sent to other domains
+    std::size_t m_relaySearchRound = 0; // of the search for a relay of this domain
 };
 
 } // namespace fordwood::node
--- a/src/node/weight_naming_tracker.cpp
+++ b/src/node/weight_naming_tracker.cpp
@@ -14,7 +14,8 @@
 using adapters::logEvent;
 using std::chrono::milliseconds;
 
-// A word that moves a time by less than this is not logged: each peer's differs by its delay.
+// Smaller changes of a time bound are not logged: the values from different peers differ by their
+// message delays.
 constexpr Duration kMinChangeToLog = milliseconds(250);
 
 NamingAge ageOf(const WeightNaming &naming, TimePoint now)
@@ -44,8 +45,8 @@
 {
     std::uint64_t &newest = m_newestRead[model];
     if (version <= newest)
-        return; // written again, which is no naming
-    // Zero where none had been named: engines ran what they came with.
+        return; // the key was rewritten, which is not a new naming
+    // Zero if no version had been named: engines ran their initial weights.
     WeightNaming naming{{notBefore, m_clock.now()}, std::nullopt};
     if (notBefore)
         naming.after = newest;
--- a/src/node/weight_naming_tracker.hpp
+++ b/src/node/weight_naming_tracker.hpp
@@ -14,12 +14,12 @@
 
 namespace fordwood::node {
 
-// What a node knows of the weights that operators have named and of when they did so, from the
-// platform's store and from its peers.
+// Tracks which weight versions operators have named, and bounds on when they did so, from the
+// platform's store and from peers.
 class WeightNamingTracker
 {
 public:
-    // Told of each version about which more is known now.
+    // Called when the bounds for a version have become tighter.
     using OnChange = std::function<void(const std::string &model, std::uint64_t version,
                                         const WeightHistory &history)>;
 
@@ -27,16 +27,16 @@
         : m_clock(clock), m_node(std::move(node)), m_onChange(std::move(onChange))
     { }
 
-    // The store holds the naming; `notBefore`: when it surely did not hold it yet.
+    // The store contains the naming. `notBefore`: a time at which it did not contain it yet.
     void recordFromStore(const std::string &model, std::uint64_t version,
                          std::optional<TimePoint> notBefore);
 
-    // A peer's word, also of versions that this node has not read itself: it may be the one that
-    // the store turns away.
+    // Records ages received from a peer. They may include versions that this node has not read: the
+    // store may be rejecting this node only.
     void recordFromPeer(const std::string &peer, const NamingAges &named);
 
-    // A mark shows that a version that is known was named after that moment, at which the newest
-    // weights were `newestBefore`.
+    // A mark shows that a known version was named after `moment`, when the newest version was
+    // `newestBefore`.
     void recordFromMark(const std::string &model, std::uint64_t version, TimePoint moment,
                         std::uint64_t newestBefore);
 
@@ -53,7 +53,7 @@
     const std::string m_node;
     const OnChange m_onChange;
     std::map<std::string, WeightHistory> m_histories;
-    std::map<std::string, std::uint64_t> m_newestRead; // by model; peers may know newer ones
+    std::map<std::string, std::uint64_t> m_newestRead; // by model; peers may have read newer ones
 };
 
 } // namespace fordwood::node
