--- a/tests/node/information_age_test.cpp
+++ b/tests/node/information_age_test.cpp
@@ -72,7 +72,7 @@
     void tick() { m_links.tick(); }
 
     // The revisions in the messages heard since the last call.
-    std::vector<std::int64_t> takeHeard() { return std::exchange(m_received, {}); }
+    std::vector<std::int64_t> takeReceived() { return std::exchange(m_received, {}); }
 
     const PeerRoster &roster() const { return m_links.roster(); }
 
@@ -103,7 +103,7 @@
         forwarder.sendMessage(1);
         pollAll();
         for (Node *it : all())
-            it->takeHeard();
+            it->takeReceived();
     }
 
     std::vector<Node *> all() { return {&sender, &forwarder, &last}; }
@@ -143,12 +143,12 @@
     chain.sender.sendMessage(5);
     chain.stallMiddle(3s);
     chain.forwarder.poll();
-    CHECK(chain.forwarder.takeHeard().empty());
+    CHECK(chain.forwarder.takeReceived().empty());
     CHECK(chain.forwarder.roster().livePeers().empty());
     // The other side: it hears at once what is said from now on.
     chain.sender.sendMessage(6);
     chain.forwarder.poll();
-    CHECK(chain.forwarder.takeHeard() == std::vector<std::int64_t>{6});
+    CHECK(chain.forwarder.takeReceived() == std::vector<std::int64_t>{6});
     CHECK(chain.forwarder.roster().livePeers() == std::vector<std::string>{"a"});
 }
 
@@ -158,10 +158,10 @@
     chain.sender.sendMessage(5);
     chain.stallMiddle(3s);
     chain.pollAll();
-    CHECK(chain.last.takeHeard().empty());
+    CHECK(chain.last.takeReceived().empty());
     chain.sender.sendMessage(6);
     chain.pollAll();
-    CHECK(chain.last.takeHeard() == std::vector<std::int64_t>{6});
+    CHECK(chain.last.takeReceived() == std::vector<std::int64_t>{6});
 }
 
 TEST_CASE("ages: it is the same where timers run first [standstill]")
@@ -171,11 +171,11 @@
     chain.stallMiddle(3s);
     chain.forwarder.tick();
     chain.pollAll();
-    CHECK(chain.forwarder.takeHeard().empty());
-    CHECK(chain.last.takeHeard().empty());
+    CHECK(chain.forwarder.takeReceived().empty());
+    CHECK(chain.last.takeReceived().empty());
     chain.sender.sendMessage(6);
     chain.pollAll();
-    CHECK(chain.forwarder.takeHeard() == std::vector<std::int64_t>{6});
+    CHECK(chain.forwarder.takeReceived() == std::vector<std::int64_t>{6});
 }
 
 TEST_CASE("ages: a full socket is emptied at once when its node wakes [standstill]")
@@ -188,7 +188,7 @@
     chain.forwarder.poll();
     chain.sender.sendMessage(100);
     chain.forwarder.poll();
-    CHECK(chain.forwarder.takeHeard() == std::vector<std::int64_t>{100});
+    CHECK(chain.forwarder.takeReceived() == std::vector<std::int64_t>{100});
 }
 
 TEST_CASE("ages: a node that is slow but runs hears all that was said [standstill]")
@@ -199,8 +199,8 @@
         chain.stallMiddle(800ms);
         chain.pollAll();
     }
-    CHECK(chain.forwarder.takeHeard().size() == 10);
-    CHECK(chain.last.takeHeard().size() == 10);
+    CHECK(chain.forwarder.takeReceived().size() == 10);
+    CHECK(chain.last.takeReceived().size() == 10);
 }
 
 // What one node knows of requests that end upstreams, before the store's stand-in. A request was
--- a/tests/node/order_reports_test.cpp
+++ b/tests/node/order_reports_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-OrderReport report(std::chrono::milliseconds age, std::chrono::milliseconds lastOrder)
+OrderReport makeReport(std::chrono::milliseconds age, std::chrono::milliseconds lastOrder)
 {
     return {age, lastOrder, {"e"}, {}};
 }
@@ -33,9 +33,9 @@
     ManualClock clock;
     clock.advance(10s);
     OrderReports reports(clock);
-    CHECK(reports.record("a", report(300ms, 50ms)));
-    CHECK(reports.record("a", report(20ms, 10ms)));
-    CHECK_FALSE(reports.record("a", report(200ms, 50ms))); // an echo
+    CHECK(reports.record("a", makeReport(300ms, 50ms)));
+    CHECK(reports.record("a", makeReport(20ms, 10ms)));
+    CHECK_FALSE(reports.record("a", makeReport(200ms, 50ms))); // an echo
     CHECK(reports.lastOrder("a") == clock.now() - 30ms);
     CHECK(reports.lastReportTime("a") == clock.now() - 20ms);
     CHECK_FALSE(reports.lastOrder("b"));
@@ -46,7 +46,7 @@
     ManualClock clock;
     clock.advance(10s);
     OrderReports reports(clock);
-    reports.record("a", report(0ms, 50ms));
+    reports.record("a", makeReport(0ms, 50ms));
     clock.advance(400ms);
     REQUIRE(reports.toForward().contains("a"));
     CHECK(reports.toForward().at("a").age == 400ms);
@@ -61,7 +61,7 @@
     ManualClock clock;
     clock.advance(10s);
     OrderReports reports(clock);
-    reports.record("a", report(0ms, 50ms));
+    reports.record("a", makeReport(0ms, 50ms));
     clock.advance(10ms);
     CHECK(reports.record("a", {}));
     CHECK(reports.toForward().empty());
