--- a/src/node/control_limits.cpp
+++ b/src/node/control_limits.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// By then a node has read the platform's store a second time, and knows the others that started
-// with it: a large fleet that starts at once would else consist of relays.
+// After this time a node has read the platform's store twice and knows the nodes that started with
+// it. Otherwise every node of a large fleet that starts at once would become a relay.
 constexpr Duration kDiscoveryTime = std::chrono::milliseconds(750);
 
 } // namespace
--- a/src/node/control_limits.hpp
+++ b/src/node/control_limits.hpp
@@ -9,25 +9,26 @@
 #include "fordwood/relay_role.hpp"
 #include "fordwood/serving_config.hpp"
 
-// What ControlDuty takes from the node's settings and from the configuration.
+// Values that ControlDuty derives from the node's settings and from the configuration.
 namespace fordwood::node {
 
-// Names this life of the node as a holder of the lock.
+// Returns an id for this process of the node, which differs after each restart. It identifies the
+// process as a holder of the lock, among others.
 std::string makeNodeInstanceId(const std::string &node);
 
 FencedLock::Limits lockLimits(const config::OneProcessSettings &settings);
 
-// How strong the VM is for work that it does for others: a hundredth of a core counts as much as a
-// Mbit/s, and what is scarcer counts.
+// The capacity of the VM for work on behalf of other nodes: the smaller of its link rate in Mbit/s
+// and its processor capacity in hundredths of a core.
 double vmStrength(const config::VmSettings &vm);
 
 RelayRole::Limits relayRoleLimits(const config::OneProcessSettings &settings);
 
-// Up to how many nodes each tells each other one.
+// The largest number of nodes at which every node sends to every other.
 std::size_t directGossipLimit(const config::OneProcessSettings &settings);
 
-// How many readers the stores of kept context serve at once, by the strictest of them or, where
-// none says, by what engines say; 0: not stated.
+// How many readers the context stores serve at once: the lowest limit of any store or, if none has
+// one, of any engine; 0: not configured.
 std::size_t maxContextReaders(const ServingConfig &config);
 
 } // namespace fordwood::node
--- a/src/node/drain_reports.hpp
+++ b/src/node/drain_reports.hpp
@@ -12,26 +12,28 @@
 
 namespace fordwood::node {
 
-// Reports between nodes of upstreams that say in their answers that they are draining. Without them
-// each node sends one request more to each such upstream while the platform's store is away.
+// Shares with other nodes which upstreams announced in their answers that they are draining.
+// Without these reports, each node sends one more request to each such upstream while the
+// platform's store is unreachable.
 class DrainReports
 {
 public:
     using Publish = std::function<void(FleetUpdate)>;
 
-    // `tell`: is given what the thread that serves requests does not know yet.
+    // `publish` receives the reports that are new to the thread that serves requests.
     DrainReports(UpstreamDirectory &upstreams, Publish publish)
         : m_upstreams(upstreams), m_publish(std::move(publish))
     { }
 
-    // What the thread that serves requests knows. Whether one of them is new.
+    // Adds the draining upstreams known to the thread that serves requests. Returns whether one of
+    // them is new.
     bool addOwn(const std::vector<std::string> &instanceIds);
 
-    // What a peer reports. Upstreams that this node does not know are passed over: the peer
-    // repeats its report for as long as it knows them.
+    // Adds a peer's reports. Returns whether one of them is new. Ignores upstreams that this node
+    // does not know: the peer repeats its report as long as it knows them.
     bool addFromPeer(const std::string &peer, const std::vector<std::string> &instanceIds);
 
-    // For the next message to peers.
+    // The reports for the next message to peers.
     std::vector<std::string> nextBatch() { return m_batches.next(m_upstreams.reportedDraining()); }
 
 private:
--- a/src/node/fleet_update.hpp
+++ b/src/node/fleet_update.hpp
@@ -18,10 +18,11 @@
 #include "fordwood/upstream_record.hpp"
 #include "fordwood/weight_history.hpp"
 
-// What the control thread tells the thread that serves requests.
+// Messages between the control thread and the thread that serves requests. FleetUpdate goes to the
+// latter, OwnLoads to the former.
 namespace fordwood::node {
 
-// A configuration is in force.
+// A configuration was applied.
 struct ConfigApplied
 {
     std::shared_ptr<const RouteTable> table;
@@ -33,21 +34,21 @@
     UpstreamRecord record;
 };
 
-// The record of an upstream is gone.
+// The record of an upstream was removed.
 struct UpstreamRecordRemoved
 {
     std::string instanceId;
     bool mayBeExpiry = false;
 };
 
-// Operators have evacuated a failure domain, or taken that back.
+// Operators have evacuated a failure domain or revoked its evacuation.
 struct DomainEvacuated
 {
     std::string failureDomain;
     bool isEvacuated = true;
 };
 
-// Whether the platform's store answers any node.
+// Whether any node reaches the platform's store.
 struct StoreReachability
 {
     bool reachable = true;
@@ -58,7 +59,7 @@
 struct StoreRestored
 { };
 
-// A model shall run on a weight version.
+// Operators have named a weight version for a model.
 struct WeightVersionNamed
 {
     std::string model;
@@ -66,7 +67,7 @@
     WeightNaming naming;
 };
 
-// An engine runs on a weight version, though its record may not say so yet.
+// An engine was observed to run a weight version, which may not be in its record yet.
 struct WeightsObserved
 {
     std::string instanceId;
@@ -74,7 +75,7 @@
     ObservedWeights weights;
 };
 
-// The engines that load weights, or are about to, by the word of one node.
+// The engines that are loading weights, or are about to, as reported by one node.
 struct EnginesLoading
 {
     std::string node;
@@ -86,11 +87,11 @@
 {
     std::string peer;
     UpstreamLoads loads;
-    std::size_t shortContextTokens = 0; // shared by its short prompts
+    std::size_t shortContextTokens = 0; // of context shared by its short prompts
     std::vector<std::uint64_t> contextsSent; // see ContextDirectory::recentSends()
 };
 
-// How many nodes live, this one included.
+// The number of live nodes, including this one.
 struct LiveNodeCount
 {
     std::size_t n = 1;
@@ -102,46 +103,46 @@
     std::vector<std::string> others;
 };
 
-// Whether this node hears of changes at all: from the platform's store or from a peer.
+// Whether this node receives changes at all, from the platform's store or from a peer.
 struct ReceivesVersions
 {
     bool receives = true;
 };
 
-// A store of kept context has told what it holds.
+// A context store has reported what it holds.
 struct ContextStoreUpdated
 {
     ContextStoreUpdate update;
-    TimePoint receivedAt{}; // by this node, which is when the age in the news holds
+    TimePoint receivedAt{}; // by this node; the age in the update is as of this time
 };
 
-// A store of kept context does not answer.
+// A context store does not answer.
 struct ContextStoreFailed
 {
     std::string store;
 };
 
-// What other nodes know of requests that end upstreams.
+// Updates from other nodes on requests that crash upstreams.
 struct PeerQuarantineUpdates
 {
     std::vector<QuarantineUpdate> updates;
 };
 
-// What a peer has told of limits that upstreams name.
+// A peer's reports of limits that upstreams announced.
 struct PeerLimits
 {
     std::string peer;
     std::vector<LimitGossip> limits;
 };
 
-// A peer knows an upstream to be draining, by its answers.
+// A peer reports that an upstream announced in its answers that it is draining.
 struct PeerDrainReport
 {
     std::string peer;
     std::string instanceId;
 };
 
-// The planned stop begins.
+// The planned stop has started.
 struct StopStarted
 { };
 
@@ -152,23 +153,23 @@
                    ContextStoreFailed, ReceivesVersions, PeerQuarantineUpdates, PeerLimits,
                    PeerDrainReport, StopStarted>;
 
-// What peers should hear of limits that upstreams name: of this node alone, or of all nodes where
-// it is a relay.
+// Limits announced by upstreams, to be sent to peers: those of this node or, if it is a relay, of
+// all nodes.
 struct LimitUpdates
 {
     std::vector<LimitGossip> own;
     std::vector<LimitGossip> all;
 };
 
-// What the thread that serves requests tells the control thread: its own load, now and then.
+// Sent periodically by the thread that serves requests to the control thread: the node's own load.
 struct OwnLoads
 {
     LoadBook::Loads loads;
     std::size_t shortContextTokens = 0;
     std::vector<std::uint64_t> contextsSent;
     LimitUpdates limits;
-    std::vector<std::string> draining; // upstreams that say so in their answers
-    bool isUrgent = false; // peers should hear it at once
+    std::vector<std::string> draining; // upstreams that announced it in their answers
+    bool isUrgent = false; // to be sent to peers at once
 };
 
 } // namespace fordwood::node
--- a/src/node/load_exchange.cpp
+++ b/src/node/load_exchange.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Nodes hear two relays, so that the newest sum is half as old on average: less than a long prompt
-// takes to be computed.
+// Nodes receive sums from two relays, which halves the average age of the newest sum. It is then
+// less than the time to compute a long prompt.
 constexpr Duration kMinSumInterval = std::chrono::milliseconds(100);
 
-// A weak VM that has become a relay sends less often rather than crowd out its own answers.
+// A relay on a weak VM sends less often, so that sums leave enough bandwidth for its answers.
 constexpr double kLinkShare = 0.25;
 constexpr Duration kMaxSumInterval = std::chrono::milliseconds(500);
 
--- a/src/node/load_exchange.hpp
+++ b/src/node/load_exchange.hpp
@@ -12,18 +12,18 @@
 
 namespace fordwood::node {
 
-// In a large fleet, what nodes tell each other of the load at the upstreams: each its own to the
-// relays of its failure domain, these their sums to one relay of each other domain, and the sum of
-// all to the nodes.
+// Exchanges the load at the upstreams between the nodes of a large fleet. Each node sends its own
+// load to the relays of its failure domain. Relays send the sum of their domain to one relay of
+// each other domain, and the sum of all nodes to the nodes of their domain.
 class LoadExchange
 {
 public:
-    // Is told what all other nodes together have sent.
+    // Called with the total load that all other nodes have sent.
     using OnOthersLoad = std::function<void(LoadReport)>;
 
     struct Pace
     {
-        Duration reportEvery{}; // a node to its relays
+        Duration reportEvery{}; // interval of a node's reports to its relays
         double linkBytesPerSecond = 0.0; // of this VM
     };
 
@@ -33,17 +33,17 @@
 
     void setOwn(LoadReport report) { m_sums.setOwn(std::move(report)); }
 
-    // What a peer told of load. `isRelay`: this node is one.
+    // Handles the load in a peer's message. `isRelay`: whether this node is a relay.
     void handle(const Gossip &message, bool isRelay);
 
-    // Sends `message`, which says all but the load, to those who need it. Returns the time until
-    // the next one is due.
+    // Adds the load to `message` and sends it to the peers that need it. Returns the time until the
+    // next one is due.
     Duration send(Gossip message, bool isRelay);
 
-    // How many nodes live, by the last sum heard or made; zero: none yet.
+    // The number of live nodes according to the last sum received or computed; zero: none yet.
     std::size_t liveNodes() const { return m_liveNodes; }
 
-    // Nodes that report to this one.
+    // Number of nodes that report to this one.
     std::size_t reportingNodes() const { return m_sums.nodeCount(); }
 
 private:
--- a/src/node/round_robin_batcher.hpp
+++ b/src/node/round_robin_batcher.hpp
@@ -7,13 +7,13 @@
 
 namespace fordwood::node {
 
-// Which reports go into one message to peers: all, or where there are many, some of them in turn,
-// so that a message stays within a datagram.
+// Selects the reports for one message to peers: all of them or, if there are too many for a
+// datagram, successive batches round robin.
 template <typename Report>
 class RoundRobinBatcher
 {
 public:
-    // Of limits with up to 64 senders each: some 50 KB, and as a rule a tenth of that.
+    // For limits with up to 64 senders each: about 50 KB, and usually a tenth of that.
     static constexpr std::size_t kMaxPerMessage = 64;
 
     std::vector<Report> next(const std::vector<Report> &reports)
--- a/src/node/update_queue.cpp
+++ b/src/node/update_queue.cpp
@@ -10,10 +10,10 @@
 
 std::string failureSubject(const std::string &store)
 {
-    return "context store silent " + store;
+    return "context store failed " + store;
 }
 
-// What an update is about: of two about the same subject only the newer one matters.
+// The subject of an update. A newer update on a subject replaces or extends a queued one.
 struct Subject
 {
     std::string operator()(const ConfigApplied &) const { return "configuration"; }
@@ -33,23 +33,23 @@
     std::string operator()(const StoreRestored &) const { return "store restored"; }
     std::string operator()(const WeightVersionNamed &it) const
     {
-        return "weights wanted " + it.model + " " + std::to_string(it.version);
+        return "weights named " + it.model + " " + std::to_string(it.version);
     }
     std::string operator()(const WeightsObserved &it) const
     {
-        return "weights shown " + it.instanceId + " " + it.model;
+        return "weights observed " + it.instanceId + " " + it.model;
     }
     std::string operator()(const EnginesLoading &it) const { return "engines loading " + it.node; }
     std::string operator()(const PeerLoads &it) const { return "loads " + it.peer; }
-    std::string operator()(const LiveNodeCount &) const { return "live nodes"; }
+    std::string operator()(const LiveNodeCount &) const { return "live node count"; }
     std::string operator()(const KnownNodes &) const { return "known nodes"; }
     std::string operator()(const ContextStoreUpdated &it) const
     {
         return "context store " + it.update.store;
     }
     std::string operator()(const ContextStoreFailed &it) const { return failureSubject(it.store); }
-    std::string operator()(const ReceivesVersions &) const { return "informed"; }
-    std::string operator()(const PeerQuarantineUpdates &) const { return "requests heard"; }
+    std::string operator()(const ReceivesVersions &) const { return "receives versions"; }
+    std::string operator()(const PeerQuarantineUpdates &) const { return "quarantine updates"; }
     std::string operator()(const PeerLimits &it) const { return "limits " + it.peer; }
     std::string operator()(const PeerDrainReport &it) const { return "draining " + it.instanceId; }
     std::string operator()(const StopStarted &) const { return "stop"; }
@@ -60,7 +60,7 @@
     return a.salt == b.salt && a.partId == b.partId;
 }
 
-// Adds what a store tells to what it told before.
+// Merges a store's newer update into an older one.
 void mergeUpdate(ContextStoreUpdate &older, ContextStoreUpdate newer)
 {
     if (newer.isSnapshot || newer.epoch != older.epoch) {
@@ -78,7 +78,7 @@
     }
 }
 
-// All of it is as old as the newer word.
+// The merged update has the age and receipt time of the newer one.
 void mergeStoreUpdate(ContextStoreUpdated &older, ContextStoreUpdated newer)
 {
     older.receivedAt = newer.receivedAt;
@@ -86,7 +86,8 @@
     mergeUpdate(older.update, std::move(newer.update));
 }
 
-// News of requests that wait; beyond it the oldest go. As many as a node remembers requests.
+// Queued quarantine updates; the oldest are dropped beyond this. Equals the number of requests that
+// a node remembers.
 constexpr std::size_t kMaxQuarantineUpdates = 2'048;
 
 void appendUpdates(std::vector<QuarantineUpdate> &older, const std::vector<QuarantineUpdate> &newer)
@@ -103,7 +104,7 @@
     const std::string subject = std::visit(Subject{}, update);
     auto *storeUpdate = std::get_if<ContextStoreUpdated>(&update);
     if (storeUpdate != nullptr)
-        remove(failureSubject(storeUpdate->update.store)); // it answers again
+        remove(failureSubject(storeUpdate->update.store)); // the store answers again
     const auto queued = m_bySubject.find(subject);
     if (queued == m_bySubject.end()) {
         m_updates.push_back({subject, std::move(update)});
--- a/src/node/update_queue.hpp
+++ b/src/node/update_queue.hpp
@@ -11,16 +11,15 @@
 
 namespace fordwood::node {
 
-// Updates that wait because the serving thread's mailbox is full. An update that says all there is
-// to say about its subject takes the place of an older one that still waits; what a store of kept
-// context tells, and what peers tell of requests, is added up; so the queue is bounded by what the
-// fleet consists of, however long the serving thread is busy.
+// Holds updates while the serving thread's mailbox is full. An update that fully describes its
+// subject replaces a queued older one; updates of context stores and quarantine updates are merged.
+// This bounds the queue by the size of the fleet, however long the serving thread is busy.
 class UpdateQueue
 {
 public:
     void push(FleetUpdate update);
 
-    // Hands over in order as long as `take` takes.
+    // Passes the updates to `tryTake` in order until it returns false.
     void flush(const std::function<bool(const FleetUpdate &)> &tryTake);
 
     bool isEmpty() const { return m_updates.empty(); }
--- a/tests/node/decoder_fuzz_test.cpp
+++ b/tests/node/decoder_fuzz_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Whatever stands in the platform's store, in answers and in messages between nodes: decoders read
-// it or refuse it, and what they read keeps to its type.
+// Decoders of the platform's store documents, of answers and of messages between nodes accept or
+// reject any input, and their results stay valid for their types.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Changes texts a little: bytes, pieces left out or doubled, words of JSON put in.
+// Makes small changes to texts: replaces bytes, removes or duplicates pieces, inserts JSON tokens.
 class Mutator
 {
 public:
@@ -77,7 +77,7 @@
         }
     }
 
-    // Puts a word in the place of what follows some colon.
+    // Replaces the value after a random colon with the given token.
     void replaceValue(std::string &text, const std::string &word)
     {
         const std::size_t colon = text.find(':', below(text.size()));
@@ -90,8 +90,8 @@
     std::mt19937 m_random;
 };
 
-// Gives `rounds` mutations of each example to the decoder, which says whether it read anything.
-// Returns how many it read.
+// Passes `kRounds` mutations of each example to the decoder, which returns whether it accepted the
+// input. Returns the number of accepted inputs.
 std::size_t feed(const std::vector<std::string> &examples, unsigned seed,
                  const std::function<bool(const std::string &)> &decode)
 {
@@ -145,7 +145,7 @@
         CHECK(record->coldFor.count() >= 0);
         return true;
     });
-    CHECK(read > 0); // not all mutations make nonsense
+    CHECK(read > 0); // some mutations remain valid
 }
 
 TEST_CASE("fuzz: answers of the platform's store [fuzz][bad-input]")
--- a/tests/node/information_age_test.cpp
+++ b/tests/node/information_age_test.cpp
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: MIT
-// A belief whose age counts from the moment at which a node heard of it is too young wherever the
-// word has waited. A node that stands still (a frozen VM, a process that gets no processor) finds
-// what peers said meanwhile in its socket, takes it for news of now, and, as a relay, passes it on
-// to nodes that ran all the time. For those the word of a peer that has died since is 3 s younger
-// than it is: its load, the engines that it has load, when it last ordered one, until when its copy
-// of the store was whole, how old weights are. A node that wakes after 3 s with one such message in
-// its socket holds its sender for live (1 of 1) and passes the message on (1 of 1).
+// Ages of received information. If the age of a message counts from the time at which it was read,
+// it is too low whenever the message has waited. A node that stalls (a frozen VM, a process without
+// processor time) finds messages from the time of the stall in its socket, takes them for new and,
+// as a relay, forwards them to nodes that did not stall. There the information of a peer that has
+// died since appears 3 s too young: its load, the engines that it orders to load, the time of its
+// last order, the time as of which its copy of the store was complete, the ages of weights. Before
+// the fix, a node that resumed after 3 s with one such message in its socket counted the sender as
+// live (1 of 1) and forwarded the message (1 of 1).
 #include "node/peer_links.hpp"
 
 #include <algorithm>
@@ -33,7 +34,7 @@
 
 namespace {
 
-// A node whose work is done only when the test lets it.
+// A node that runs only when the test polls it.
 class Node
 {
 public:
@@ -61,23 +62,23 @@
         m_links.sendAll(message);
     }
 
-    // All that is ready: datagrams on loopback have arrived when they are sent.
+    // Runs all that is ready: datagrams on loopback arrive as soon as they are sent.
     void poll()
     {
         while (m_context.poll() > 0) { }
         m_links.tick();
     }
 
-    // Its timers may run before it reads its socket, or after.
+    // Runs the timers only, which may come before or after reading the socket.
     void tick() { m_links.tick(); }
 
-    // The revisions in the messages heard since the last call.
+    // The revisions in the messages received since the last call.
     std::vector<std::int64_t> takeReceived() { return std::exchange(m_received, {}); }
 
     const PeerRoster &roster() const { return m_links.roster(); }
 
 private:
-    // Messages to another failure domain are passed on there, however few nodes there are.
+    // Messages to another failure domain are forwarded there, however few nodes there are.
     static constexpr std::size_t kAlwaysForward = 0;
 
     const std::string m_name;
@@ -88,7 +89,8 @@
     PeerLinks m_links;
 };
 
-// A sender in one failure domain; in another one a node that passes its messages on to a third.
+// A sender in one failure domain, and in another one a node that forwards its messages to a third
+// node.
 class ForwardingChain
 {
 public:
@@ -116,7 +118,7 @@
         }
     }
 
-    // In steps in which all nodes but the one in the middle work.
+    // Advances the clock in steps in which all nodes but the forwarder run.
     void stallMiddle(Duration time)
     {
         for (Duration gone{}; gone < time; gone += kStep) {
@@ -137,7 +139,7 @@
 
 } // namespace
 
-TEST_CASE("ages: what waited in the socket of a node that stood still is no news [standstill]")
+TEST_CASE("ages: messages that waited in the socket of a stalled node are dropped [standstill]")
 {
     ForwardingChain chain;
     chain.sender.sendMessage(5);
@@ -145,14 +147,14 @@
     chain.forwarder.poll();
     CHECK(chain.forwarder.takeReceived().empty());
     CHECK(chain.forwarder.roster().livePeers().empty());
-    // The other side: it hears at once what is said from now on.
+    // Conversely, messages sent from now on are received at once.
     chain.sender.sendMessage(6);
     chain.forwarder.poll();
     CHECK(chain.forwarder.takeReceived() == std::vector<std::int64_t>{6});
     CHECK(chain.forwarder.roster().livePeers() == std::vector<std::string>{"a"});
 }
 
-TEST_CASE("ages: a node that stood still passes on nothing that waited in its socket [standstill]")
+TEST_CASE("ages: a stalled node forwards nothing that waited in its socket [standstill]")
 {
     ForwardingChain chain;
     chain.sender.sendMessage(5);
@@ -164,7 +166,7 @@
     CHECK(chain.last.takeReceived() == std::vector<std::int64_t>{6});
 }
 
-TEST_CASE("ages: it is the same where timers run first [standstill]")
+TEST_CASE("ages: waiting messages are also dropped if timers run first [standstill]")
 {
     ForwardingChain chain;
     chain.sender.sendMessage(5);
@@ -178,7 +180,7 @@
     CHECK(chain.forwarder.takeReceived() == std::vector<std::int64_t>{6});
 }
 
-TEST_CASE("ages: a full socket is emptied at once when its node wakes [standstill]")
+TEST_CASE("ages: a full socket is emptied at once when its node resumes [standstill]")
 {
     ForwardingChain chain;
     for (int n = 0; n < 20; ++n) {
@@ -191,7 +193,7 @@
     CHECK(chain.forwarder.takeReceived() == std::vector<std::int64_t>{100});
 }
 
-TEST_CASE("ages: a node that is slow but runs hears all that was said [standstill]")
+TEST_CASE("ages: a slow node that does not stall receives all messages [standstill]")
 {
     ForwardingChain chain;
     for (int n = 0; n < 10; ++n) {
@@ -203,13 +205,12 @@
     CHECK(chain.last.takeReceived().size() == 10);
 }
 
-// What one node knows of requests that end upstreams, before the store's stand-in. A request was
-// held by mistake (three upstreams crashed while a page that many ask for was there), and released
-// by the first answer, on all nodes within milliseconds. Its key in the store went on saying that
-// it is held, for the ten minutes of its lease: nodes that started meanwhile read it as news and
-// refused the page for ten minutes from then on, with nobody to tell them better, since those that
-// had seen the answer forget it after a minute. Started 5 s after the release: 1 of 1 nodes hold
-// it.
+// A node's quarantine against the store's stand-in. The failure: a request was held by mistake
+// (three upstreams crashed while a frequently requested page was running on them) and released by
+// the first answer, on all nodes within milliseconds. Its key remained in the store for the ten
+// minutes of its lease. Nodes that started meanwhile read the key as new and rejected the page for
+// another ten minutes; no peer corrected them, since those that had seen the answer forget it after
+// a minute. Of nodes started 5 s after the release, 1 of 1 held the request.
 namespace {
 
 const RequestFingerprint kPage{1, 2};
@@ -221,7 +222,7 @@
 public:
     explicit QuarantineNode(const std::string &store) : m_store(store) { m_link.start(); }
 
-    // Until it holds, or for a while.
+    // Runs until the predicate holds, or for a limited number of steps.
     bool poll(const std::function<bool()> &holds)
     {
         constexpr int kMaxSteps = 2'000;
@@ -238,8 +239,7 @@
 
     bool hasRead() const { return !m_replica.isEmpty(); }
 
-    // Whether the requests of this node would be told to hold it, by what they hear from peers and
-    // from the store.
+    // Whether this node would hold the request, according to the updates from peers and the store.
     bool holds() const
     {
         Quarantine quarantine(m_clock);
@@ -313,7 +313,7 @@
     CHECK_FALSE(fleet.isHeldByNewNode());
 }
 
-TEST_CASE("ages: a request that is released while it is written to the store leaves no key there "
+TEST_CASE("ages: a request that is released while its key is being written leaves no key "
           "[quarantine]")
 {
     QuarantineFixture fleet;
@@ -326,7 +326,7 @@
     CHECK_FALSE(fleet.hasKey());
 }
 
-TEST_CASE("ages: two nodes that wrote a held request both take it back [quarantine]")
+TEST_CASE("ages: two nodes that wrote a held request both remove its key [quarantine]")
 {
     QuarantineFixture fleet;
     QuarantineNode first(fleet.address);
@@ -335,7 +335,7 @@
     REQUIRE(second.poll([&] { return second.hasRead(); }));
     for (QuarantineNode *it : {&first, &second}) {
         it->duty().takeOwn(kThreeFailures);
-        it->duty().tick(); // neither has read yet that the other writes
+        it->duty().tick(); // neither has read the other's write yet
     }
     first.runFor(2s);
     second.runFor(2s);
@@ -347,7 +347,7 @@
     CHECK_FALSE(fleet.hasKey());
 }
 
-TEST_CASE("ages: a key that could not be taken back goes once the store answers [quarantine]")
+TEST_CASE("ages: a key that could not be removed is removed once the store answers [quarantine]")
 {
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
@@ -362,8 +362,8 @@
     CHECK_FALSE(fleet.hasKey());
 }
 
-// The other side: what ends upstreams stays held, also for those that start.
-TEST_CASE("ages: a node that starts holds what is held [quarantine]")
+// Conversely, a request that crashes upstreams stays held, also on nodes that start later.
+TEST_CASE("ages: a node that starts holds requests that are still held [quarantine]")
 {
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
@@ -374,10 +374,10 @@
     CHECK(fleet.isHeldByNewNode());
 }
 
-// A store of kept context lists what it holds where a node has missed some of its events. An answer
-// that lay unread while the node stood still was taken for what the store holds now (events are
-// asked for anew in that case, lists were not): 5 s old by this test, where a store's word holds
-// for 1.5 s. The node then reads from parts that may have been freed meanwhile.
+// A node that has missed events of a context store requests a list of its contents. A list that
+// waited unread while the node was stalled was taken for the store's current contents (events are
+// requested again in that case, lists were not). It is 5 s old in this test, while a store's answer
+// is valid for 1.5 s. The node then fetches parts that may have been freed meanwhile.
 namespace {
 
 class ListingStore
@@ -443,21 +443,21 @@
 
 } // namespace
 
-TEST_CASE("ages: a list of a store that lay unread is asked for anew [standstill][stores]")
+TEST_CASE("ages: a store's list that waited unread is requested again [standstill][stores]")
 {
     ListingStore store;
     ListReader reader(store.address);
     reader.runUntil([&] { return store.listRequests > 0; });
-    reader.clock.advance(5s); // the node stands still while the answer comes
+    reader.clock.advance(5s); // the node is stalled while the answer arrives
     store.releaseList.set_value();
     reader.runUntil([&] { return store.listRequests > 1 || !reader.published.empty(); });
     CHECK(reader.published.empty());
-    // The other side: the next one counts.
+    // Conversely, the next list is used.
     reader.runUntil([&] { return !reader.published.empty(); });
     CHECK(reader.published.front() == 4);
 }
 
-TEST_CASE("ages: a list of a store that is read in time counts [stores]")
+TEST_CASE("ages: a store's list that is read in time is used [stores]")
 {
     ListingStore store;
     ListReader reader(store.address);
@@ -468,10 +468,10 @@
     CHECK(store.listRequests == 1);
 }
 
-// What one thread of a node tells the other waits in a ring: for milliseconds, longer where the
-// ring is full, and as long as the node stands still. The word of a store of kept context counted
-// from when it was taken out: 3 s old by this test, and the node took it for a word since it woke
-// and fetched by it.
+// Updates between the threads of a node wait in a ring buffer: for milliseconds, longer if it is
+// full, and for the length of a stall. The age of a context store's update counted from the time at
+// which it was taken out. In this test it is 3 s old; the node took it for an update received after
+// the stall and fetched according to it.
 namespace {
 
 // The serving thread's state, with one store of kept context in its configuration.
@@ -488,7 +488,7 @@
         state.handle(ConfigApplied{std::make_shared<const RouteTable>(std::move(config))});
     }
 
-    // As the other thread puts it into the ring.
+    // The update as the other thread puts it into the ring buffer.
     FleetUpdate storeTold() const
     {
         ContextStoreUpdate update;
@@ -506,7 +506,7 @@
 
 } // namespace
 
-TEST_CASE("ages: word of kept context that waited between threads is no word since waking "
+TEST_CASE("ages: a context store update that waited between threads does not end the recovery "
           "[standstill][stores]")
 {
     ServingState serving;
@@ -514,12 +514,12 @@
     serving.clock.advance(3s);
     serving.state.handle(queued);
     CHECK(serving.state.isRecoveringFromStall());
-    // The other side: the next word ends the wait.
+    // Conversely, the next update ends the recovery.
     serving.state.handle(serving.storeTold());
     CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
-TEST_CASE("ages: words of a store that wait together are as old as the last [stores]")
+TEST_CASE("ages: queued updates of a store that are merged have the age of the last [stores]")
 {
     const auto updateAt = [](Duration time, std::chrono::milliseconds age) {
         ContextStoreUpdate update;
@@ -540,11 +540,11 @@
     CHECK(std::get<ContextStoreUpdated>(taken.front()).update.age == 20ms);
 }
 
-// Nodes do not send to engines that load by the word of the node that orders them, for a second
-// from each word. Relays pass on the last word of a node for two seconds, also after its death, and
-// each time it counted as a word of that moment: 10 of 10 in this test, so that the engines stood
-// idle for 3 s after the death of who had ordered them, where 1 s is meant.
-TEST_CASE("ages: the last word of a node that ordered engines is news once only [relays]")
+// Nodes do not send to engines that are loading according to the node that orders them, for a
+// second after each of its reports. Relays forward the last report of a node for two seconds, also
+// after its death, and each copy counted as a new report: 10 of 10 in this test. The engines were
+// idle for 3 s after the death of the node that had ordered them, instead of 1 s.
+TEST_CASE("ages: the last report of a node that ordered engines is accepted only once [relays]")
 {
     ManualClock clock;
     clock.advance(1h);
@@ -555,21 +555,21 @@
     int acceptedCount = 0;
     for (int n = 1; n <= 10; ++n) {
         clock.advance(200ms);
-        last.age += 198ms; // what it takes on its way is lost each time
+        last.age += 198ms; // the age does not include the transit time
         acceptedCount += reports.record("a", last) ? 1 : 0;
     }
     CHECK(acceptedCount == 0);
     CHECK(reports.lastReportTime("a") == entry);
 }
 
-TEST_CASE("ages: each new word of a node that orders engines is news [relays]")
+TEST_CASE("ages: each new report of a node that orders engines is accepted [relays]")
 {
     ManualClock clock;
     clock.advance(1h);
     OrderReports reports(clock);
     std::chrono::milliseconds lastOrder = 40ms;
     REQUIRE(reports.record("a", {0ms, lastOrder, {"e"}, {}}));
-    for (int n = 0; n < 10; ++n) { // the same engine loads on
+    for (int n = 0; n < 10; ++n) { // the same engine is still loading
         clock.advance(200ms);
         lastOrder += 200ms;
         CHECK(reports.record("a", {30ms, lastOrder, {"e"}, {}}));
@@ -580,7 +580,7 @@
     CHECK(reports.record("a", {0ms, 0ms, {"f"}, {{"e", {{"m", {2, 0ms}}}}}}));
 }
 
-TEST_CASE("ages: a node that waits before its first order is heard often enough [relays]")
+TEST_CASE("ages: unchanged reports before the first order are accepted often enough [relays]")
 {
     ManualClock clock;
     clock.advance(1h);
@@ -596,5 +596,5 @@
         maxGap = std::max(maxGap, clock.now() - lastNew);
         lastNew = clock.now();
     }
-    CHECK(maxGap == 400ms); // a second after a word its engines are used again
+    CHECK(maxGap == 400ms); // engines are used again a second after a report
 }
--- a/tests/node/load_exchange_test.cpp
+++ b/tests/node/load_exchange_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// How the nodes of a large fleet hear of the load that the others have sent.
+// Distribution of load reports between the nodes of a large fleet.
 #include "node/load_exchange.hpp"
 
 #include <utility>
@@ -11,7 +11,7 @@
 using namespace fordwood;
 using namespace fordwood::node;
 
-TEST_CASE("load exchange: each node hears what all others have sent, its own part left out "
+TEST_CASE("load exchange: each node receives the load of all others without its own "
           "[sums][relays]")
 {
     RelayFleet fleet(3, 12, 81);
@@ -23,7 +23,7 @@
     }
 }
 
-TEST_CASE("load exchange: what a node without a duty hears and sends does not grow with the fleet "
+TEST_CASE("load exchange: the traffic of a node that is no relay does not grow with the fleet "
           "[sums][relays]")
 {
     const auto messages = [](std::size_t nodesInEach, std::uint8_t subnet) {
@@ -36,12 +36,12 @@
         return std::pair(fleet.nodes()[last].received - heard,
                          fleet.nodes()[last].links->datagramsSent() - sent);
     };
-    // Ten rounds: one message of either relay, and one to either, in each.
+    // Ten rounds, each with one message from and one to each of the two relays.
     CHECK(messages(8, 82) == std::pair<std::size_t, std::size_t>(20, 20));
     CHECK(messages(32, 83) == std::pair<std::size_t, std::size_t>(20, 20));
 }
 
-TEST_CASE("load exchange: nothing is lost while one relay of each failure domain is gone "
+TEST_CASE("load exchange: no load is lost while one relay of each failure domain is down "
           "[sums][relays]")
 {
     RelayFleet fleet(3, 12, 84);
@@ -53,16 +53,16 @@
         CAPTURE(n);
         CHECK(fleet.runningElsewhere(n) >= 32);
     }
-    fleet.run(10); // what the dead ones had sent counts for a second
+    fleet.run(10); // the load of the stopped nodes counts for a second
     for (std::size_t n = 3; n < fleet.nodes().size(); ++n)
         CHECK(fleet.runningElsewhere(n) == 32);
 }
 
-TEST_CASE("load exchange: relays that nobody knew before are found by all [sums][relays]")
+TEST_CASE("load exchange: all nodes find relays that none of them knew before [sums][relays]")
 {
     RelayFleet fleet(3, 12, 85);
     fleet.withRelays().run(6);
-    // All strong VMs lose power; weak ones of each failure domain step in.
+    // All strong VMs lose power; weak ones of each failure domain become relays.
     for (std::size_t n = 0; n < 9; ++n)
         fleet.stop(n);
     for (std::size_t n = 30; n < 36; ++n)
@@ -74,7 +74,7 @@
     }
 }
 
-TEST_CASE("load exchange: a node that starts again takes no part of its last life out of a sum "
+TEST_CASE("load exchange: a restarted node subtracts no load of its previous run from a sum "
           "[sums][relays]")
 {
     RelayFleet fleet(3, 12, 86);
--- a/tests/node/order_reports_test.cpp
+++ b/tests/node/order_reports_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What nodes pass on of each other's orders to engines.
+// Forwarding of nodes' reports on their orders to engines.
 #include "node/order_reports.hpp"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("order words: nodes that never order are not kept and not passed on [sums]")
+TEST_CASE("order reports: empty reports are neither kept nor forwarded [sums]")
 {
     ManualClock clock;
     OrderReports reports(clock);
@@ -28,7 +28,7 @@
     CHECK(reports.toForward().empty());
 }
 
-TEST_CASE("order words: the newest word counts, however it came here [sums]")
+TEST_CASE("order reports: the newest report counts, whichever way it arrived [sums]")
 {
     ManualClock clock;
     clock.advance(10s);
@@ -41,7 +41,7 @@
     CHECK_FALSE(reports.lastOrder("b"));
 }
 
-TEST_CASE("order words: a word grows older while it is passed on, and ends [sums]")
+TEST_CASE("order reports: a forwarded report ages and expires [sums]")
 {
     ManualClock clock;
     clock.advance(10s);
@@ -55,8 +55,7 @@
     CHECK(reports.toForward().empty());
 }
 
-TEST_CASE(
-    "order words: the word that nothing loads any more takes the place of the last one [sums]")
+TEST_CASE("order reports: an empty report replaces the last one [sums]")
 {
     ManualClock clock;
     clock.advance(10s);
--- a/tests/node/peer_links_test.cpp
+++ b/tests/node/peer_links_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// How messages between nodes spread.
+// Distribution of messages between nodes.
 #include "node/peer_links.hpp"
 
 #include <algorithm>
@@ -56,13 +56,13 @@
         m_nodes[n].links->sendAll(message);
     }
 
-    // Until nothing is under way any more: datagrams on loopback have arrived when they are sent.
+    // Runs until no message is in flight: datagrams on loopback arrive as soon as they are sent.
     void deliverAll()
     {
         while (m_context.poll() > 0) { }
     }
 
-    // In which all nodes run and say nothing.
+    // Advances the clock while all nodes run without sending.
     void advanceSilently(Duration time)
     {
         constexpr Duration kStep = 500ms;
@@ -82,7 +82,8 @@
             it.received.clear();
     }
 
-    // How many of the others have heard node `n` since the introduction, and how often at most.
+    // The number of nodes that have received a message of node `n` since the first exchange, and
+    // the maximum number of times that one of them did.
     std::pair<std::size_t, std::ptrdiff_t> receiversOf(std::size_t n) const
     {
         std::size_t receivers = 0;
@@ -112,7 +113,7 @@
 
 } // namespace
 
-TEST_CASE("peers: in a large fleet each node hears each message once [peers][relays]")
+TEST_CASE("peers: in a large fleet each node receives each message once [peers][relays]")
 {
     Fleet fleet(3, 6);
     fleet.exchangeFirstMessages();
@@ -120,11 +121,11 @@
     fleet.sendFrom(0);
     fleet.deliverAll();
     CHECK(fleet.receiversOf(0) == std::pair<std::size_t, std::ptrdiff_t>(17, 1));
-    // To its own failure domain, and one to each other: those cross long links.
+    // One to each node of its failure domain and one to each other domain, over long links.
     CHECK(fleet.m_nodes[0].links->datagramsSent() - before == 5 + 2);
 }
 
-TEST_CASE("peers: a message comes through although the node that passed on the last one is gone "
+TEST_CASE("peers: a message arrives although the node that forwarded the last one has stopped "
           "[peers][relays]")
 {
     Fleet fleet(3, 6);
@@ -142,17 +143,17 @@
     }
 }
 
-TEST_CASE("peers: nobody live to pass a message on: all are told [peers][relays]")
+TEST_CASE("peers: without a live forwarder a message is sent to all [peers][relays]")
 {
     Fleet fleet(3, 6);
     fleet.exchangeFirstMessages();
-    fleet.advanceSilently(10s); // all others have fallen silent
+    fleet.advanceSilently(10s); // all others have sent nothing for too long
     fleet.sendFrom(0);
     fleet.deliverAll();
     CHECK(fleet.receiversOf(0).first == 17);
 }
 
-TEST_CASE("peers: a small fleet needs nobody to pass messages on [peers]")
+TEST_CASE("peers: a small fleet does not forward messages [peers]")
 {
     Fleet fleet(2, 4);
     fleet.exchangeFirstMessages();
--- a/tests/node/round_robin_batcher_test.cpp
+++ b/tests/node/round_robin_batcher_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The load pattern: a whole fleet of upstreams is overloaded at the same time.
+// Limits of many upstreams at once, as when a whole fleet of upstreams is overloaded.
 #include "node/round_robin_batcher.hpp"
 
 #include <doctest/doctest.h>
@@ -27,8 +27,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "message rounds: few limits go into each message, many in turn, and none is left out [limit]")
+TEST_CASE("round robin batcher: few limits all go into each message, many in batches that omit "
+          "none [limit]")
 {
     RoundRobinBatcher<LimitGossip> batcher;
     CHECK(batcher.next(makeLimits(3, 1)).size() == 3);
@@ -41,11 +41,11 @@
     CHECK(sent.size() == many.size());
 }
 
-TEST_CASE("message rounds: the largest message fits into a datagram [limit]")
+TEST_CASE("round robin batcher: the largest message fits into a datagram [limit]")
 {
     constexpr std::size_t kLargestDatagram = 65'507;
     RoundRobinBatcher<LimitGossip> batcher;
     Gossip message;
-    message.limits = batcher.next(makeLimits(1'000, 9)); // as many senders as a limit of 3.2 has
+    message.limits = batcher.next(makeLimits(1'000, 9)); // the number of senders for a limit of 3.2
     CHECK(encodeGossip(message).size() < kLargestDatagram / 4);
 }
--- a/tests/node/weight_age_random_test.cpp
+++ b/tests/node/weight_age_random_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Nodes are killed and start anew, one or all, while weights are named, the store turns nodes away,
-// its watches hear nothing or its history is dropped: no node uses weights that were replaced too
-// long ago, and those that can know it use what they may.
+// Restarts one node or all at random while weights are named, the store rejects calls, its watches
+// deliver nothing or its history is dropped. No node may use weights that were replaced too long
+// ago, and nodes that can know the age must use replaced weights as long as allowed.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -16,16 +16,16 @@
 namespace {
 
 constexpr int kNodes = 3;
-// The fleet's bound, less what a request that finds an idle engine takes on its way.
+// The fleet's limit, minus the transit time of a request to an idle engine.
 constexpr Duration kMaxUseTime = 9500ms;
 constexpr Duration kStep = 500ms;
 
-// A naming that all nodes heard in calm is dated to about two seconds, and who starts anew learns
-// it from its peers or from the store within another.
+// Without faults, all nodes bound the time of a naming to about two seconds, and a restarted node
+// learns it from its peers or from the store within another two.
 constexpr Duration kMinUseTime = 4s;
 constexpr Duration kSettleTime = 2s;
 
-// Plays random troubles and holds the fleet to what is true.
+// Injects random faults and checks the fleet against the actual times of the namings.
 class RandomWeightFaults
 {
 public:
@@ -58,9 +58,9 @@
     std::mt19937 m_random;
     WeightsFleet m_fleet;
     Duration m_now{0};
-    std::map<std::uint64_t, Duration> m_namingTimes; // true times
+    std::map<std::uint64_t, Duration> m_namingTimes; // actual times
     std::uint64_t m_newest = 1;
-    std::optional<Duration> m_storeFaultSince; // since when
+    std::optional<Duration> m_storeFaultSince;
     Duration m_lastFaultAt{0};
 };
 
@@ -139,7 +139,7 @@
 
 } // namespace
 
-TEST_CASE("weights: whatever happens to nodes and store no node uses replaced weights too long "
+TEST_CASE("weights: under random faults no node uses replaced weights too long "
           "[weights][random]")
 {
     for (const unsigned it : seeds()) {
--- a/tests/node/weight_age_test.cpp
+++ b/tests/node/weight_age_test.cpp
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Engines began requests on weights that operators had replaced 16 s before; 10 s are allowed.
-// Callers got whole answers, from weights that were meant to be gone. All nodes had been killed in
-// the middle of the change. Each new process read in the store which weights were named, took that
-// for news, and used replaced weights for a further 8.5 s; with peers that had lived through the
-// naming it would have learnt better, but there were none. Nine nodes logged "WeightsNamed
-// weights=3" at 24.10 s and, anew, at 34.64 s ("WeightsAgeLearnt age_ms=0 from=" their own names);
-// 46 requests were sent to engines with version 2 after 40.8 s.
+// Ages of weight namings across restarts. The failure: engines began requests on weights that had
+// been replaced 16 s before, where 10 s are allowed. All nodes had been killed during the change.
+// Each new process read the named version from the store, took the naming for new, and used the
+// replaced weights for a further 8.5 s; no peer that had seen the naming was left to correct it.
+// Nine nodes logged "WeightsNamed weights=3" at 24.10 s and again at 34.64 s ("WeightsAgeLearnt
+// age_ms=0 from=" their own names); 46 requests went to engines with version 2 after 40.8 s.
 #include <doctest/doctest.h>
 
 #include "node/weights_fleet.hpp"
@@ -13,7 +12,7 @@
 using namespace fordwood::node;
 using namespace std::chrono_literals;
 
-TEST_CASE("weights: nodes that all start anew begin nothing on weights that were replaced long ago "
+TEST_CASE("weights: nodes that all restart send nothing to weights that were replaced long ago "
           "[weights]")
 {
     WeightsFleet fleet(3);
@@ -32,8 +31,8 @@
     CHECK(fleet.nodesThatUse(2) == 3);
 }
 
-// The other side: engines with replaced weights are of use while they may be.
-TEST_CASE("weights: a node that starts anew learns from its peers how old weights are [weights]")
+// Conversely, engines with replaced weights are used as long as that is allowed.
+TEST_CASE("weights: a restarted node learns from its peers how old weights are [weights]")
 {
     WeightsFleet fleet(3);
     fleet.startAll();
@@ -42,7 +41,7 @@
     fleet.advance(2s);
     fleet.nameWeights(2);
     REQUIRE(fleet.waitForWeights(2));
-    // One after the other: no life that saw the naming is left in the end.
+    // One after the other: in the end no process that saw the naming is left.
     for (int n = 0; n < 3; ++n) {
         fleet.kill(n);
         fleet.advance(1s);
@@ -55,7 +54,7 @@
     CHECK(fleet.nodesThatUse(1) == 0);
 }
 
-TEST_CASE("weights: a node that starts without peers uses only the newest [weights]")
+TEST_CASE("weights: a node that starts without peers or marks uses only the newest [weights]")
 {
     WeightsFleet fleet(3);
     fleet.startAll();
@@ -71,9 +70,9 @@
     CHECK(fleet.nodesThatUse(2) == 1);
 }
 
-// Nobody is left who saw the naming; the store still tells how old it may be.
-TEST_CASE("weights: nodes that all start anew soon after a naming use what it replaced while they "
-          "may [weights]")
+// No process that saw the naming is left, but the mark in the store bounds its age.
+TEST_CASE("weights: nodes that all restart soon after a naming use the replaced weights as long as "
+          "allowed [weights]")
 {
     WeightsFleet fleet(3);
     fleet.startAll();
@@ -96,7 +95,7 @@
     CHECK(fleet.nodesThatUse(2) == 3);
 }
 
-TEST_CASE("weights: what was named while the store was away is as old as its absence may make it "
+TEST_CASE("weights: a naming during an outage of the store counts as old as the outage allows "
           "[weights]")
 {
     WeightsFleet fleet(2);
@@ -114,10 +113,10 @@
     CHECK(fleet.nodesThatUse(1) == 0);
 }
 
-// Found by the random test. A node that had started between two namings knew the age of the second
-// only, and took it for the age of all that it had ever replaced ("WeightsAgeLearnt weights=4
-// age_ms=2000 from=mark", and engines with version 1, replaced 9 s before, were used).
-TEST_CASE("weights: the age of a naming says nothing of weights that were replaced before it "
+// Found by the random test. A node that had started between two namings knew only the age of the
+// second and applied it to all earlier versions ("WeightsAgeLearnt weights=4 age_ms=2000
+// from=mark", and engines with version 1, replaced 9 s before, were used).
+TEST_CASE("weights: the age of a naming does not apply to weights that were replaced before it "
           "[weights]")
 {
     WeightsFleet fleet(2);
@@ -139,10 +138,11 @@
     CHECK(fleet.nodesThatUse(2) == 2);
 }
 
-// The first naming that a model ever has replaces weights that nobody named. Its age was called
-// unknown for that, and all engines stood idle until they were loaded: on one day 0.808 instead of
-// 0.882 of the requests were served.
-TEST_CASE("weights: what the first naming of a model replaces is used while it may be [weights]")
+// A model's first naming replaces weights that were never named. Its age was treated as unknown for
+// that reason, and all engines were idle until they had loaded the new weights: on one day 0.808
+// instead of 0.882 of the requests were served.
+TEST_CASE(
+    "weights: weights replaced by a model's first naming are used as long as allowed [weights]")
 {
     WeightsFleet fleet(3, 0);
     fleet.startAll();
@@ -155,11 +155,10 @@
     CHECK(fleet.nodesThatUse(1) == 0);
 }
 
-// The store confirms a naming and then answers nobody for eight seconds. Each node's waiting call
-// is answered when that is over, and the two seconds that were taken for the longest way of its
-// answer made the naming so young: version 1 was used for 5 s too long.
-TEST_CASE(
-    "weights: a naming that the store confirmed before it stalled is as old as that [weights]")
+// The store confirms a naming and then stalls for eight seconds, after which each node's pending
+// call is answered. Assuming at most two seconds of transit for that answer made the naming appear
+// too young: version 1 was used for 5 s too long.
+TEST_CASE("weights: a naming that the store confirmed before a stall has its full age [weights]")
 {
     WeightsFleet fleet(3);
     fleet.startAll();
@@ -176,9 +175,10 @@
     CHECK(fleet.nodesThatUse(2) == 3);
 }
 
-// Nodes that found a naming know that it is at least so old. A word from long ago, which calls it
-// younger than that, must not tell them anything: it was passed on late.
-TEST_CASE("weights: an old word of a naming makes it no younger than it is known to be [weights]")
+// Nodes that found a naming know its minimum age. A delayed message that gives a lower age must not
+// change that.
+TEST_CASE(
+    "weights: a delayed report does not make a naming younger than its known minimum age [weights]")
 {
     WeightsFleet fleet(3);
     fleet.startAll();
--- a/tests/node/weights_fleet.cpp
+++ b/tests/node/weights_fleet.cpp
@@ -15,10 +15,10 @@
 using namespace std::chrono_literals;
 
 constexpr const char *kModel = "m";
-constexpr Duration kStep = 100ms; // of the paused clock; shorter than any pause that counts
+constexpr Duration kStep = 100ms; // shorter than any time that matters in the tests
 constexpr Duration kMessageStep = 10ms;
 
-// Loopback addresses that no other test uses at the same time.
+// Prefix of loopback addresses that no other test uses at the same time.
 std::string network()
 {
     static std::atomic<int> next{0};
@@ -38,7 +38,7 @@
       })
 {
     if (!m_control.open())
-        throw std::runtime_error("a test's address is taken");
+        throw std::runtime_error("cannot open the listening addresses of a test node");
     m_thread = std::thread([this] { m_control.run(); });
 }
 
@@ -92,7 +92,7 @@
 
 bool WeightsNode::canStartOn(std::uint64_t weights)
 {
-    // A node that has read nothing yet knows of no engine either.
+    // A node that has read no version yet knows no engines either.
     if (newestWeights() == 0)
         return false;
     UpstreamRecord engine;
@@ -142,7 +142,7 @@
 
 void WeightsFleet::sendToAll(const Gossip &message)
 {
-    constexpr char kDirect = 0; // how it is delivered; stands before the message
+    constexpr char kDirect = 0; // the delivery byte that precedes the message
     const std::string bytes = kDirect + encodeGossip(message);
     net::io_context context;
     udp::socket socket(context, *parseEndpoint<udp>(host(m_size) + ":8083"));
@@ -152,7 +152,7 @@
 
 bool WeightsFleet::waitFor(const std::function<bool()> &predicate, Duration stepSize)
 {
-    // By the wall's clock: only a fault makes it take this long.
+    // In real time; only a failure takes this long.
     const auto until = std::chrono::steady_clock::now() + 20s;
     while (!predicate()) {
         if (std::chrono::steady_clock::now() >= until)
@@ -219,7 +219,7 @@
         reads[n] = node->clock().reads();
     }
     m_store.passTime(by);
-    // A turn of the node reads the clock several times; the next one begins within 20 ms.
+    // An iteration of the node's loop reads the clock several times; the next starts within 20 ms.
     constexpr std::uint64_t kReadsPerIteration = 40;
     for (const auto &[n, node] : m_nodes) {
         while (node->clock().reads() < reads[n] + kReadsPerIteration)
--- a/tests/node/weights_fleet.hpp
+++ b/tests/node/weights_fleet.hpp
@@ -19,8 +19,8 @@
 
 namespace fordwood::node {
 
-// What one life of a node knows: its control thread as it is, before the store's stand-in, and the
-// state of the thread that serves requests, which the test itself keeps.
+// One process of a node: its real control thread, connected to the store's stand-in, and the state
+// of the thread that serves requests, which the test itself updates.
 class WeightsNode
 {
 public:
@@ -31,19 +31,19 @@
 
     CountingClock &clock() { return m_clock; }
 
-    // The newest weights that the serving thread knows of; zero: none.
+    // The newest named weights known to the serving thread; zero: none.
     std::uint64_t newestWeights();
 
-    // Whether the node would send a request to an engine that runs these weights.
+    // Whether the node would send a request to an engine with these weights.
     bool canStartOn(std::uint64_t weights);
 
-    // The weights that the node takes an engine to run; zero: none are known.
+    // The weights that an engine runs according to this node; zero: unknown.
     std::uint64_t weightsOf(const std::string &instanceId);
 
-    // How many other nodes it hears.
+    // The number of live peers.
     std::size_t livePeerCount();
 
-    // The serving thread's state, with all that the control thread has told it.
+    // The serving thread's state, with all updates of the control thread applied.
     NodeState &state();
 
 private:
@@ -61,17 +61,17 @@
     std::thread m_thread;
 };
 
-// Nodes that start and die before one store, over a paused clock that they all share. One model,
-// weights named by the operators.
+// Nodes that start and die, with one store and clocks that advance together, by hand. There is one
+// model, whose weights operators name.
 class WeightsFleet
 {
 public:
-    // The nodes stand in failure domains of their own. `named`: the weights that have been named at
-    // the start; zero: none ever.
+    // Each node has a failure domain of its own. `named`: the weights named before the start; zero:
+    // none.
     explicit WeightsFleet(int nodes, std::uint64_t named = 1);
 
-    // Starts a life of the node. `storeAddress`: another one than the store's, for a node that is
-    // cut off from it.
+    // Starts a process of the node. `storeAddress`: replaces the store's address for a node that
+    // cannot reach the store.
     void start(int node, const std::string &storeAddress = "");
     void startAll();
     void kill(int node) { m_nodes.erase(node); }
@@ -82,29 +82,29 @@
     // The address of a node's VM.
     std::string host(int node) const { return m_addressPrefix + std::to_string(10 + node); }
 
-    // A datagram that reaches all live nodes as if from a node that is not one of them.
+    // Sends a datagram to all live nodes, as from a node that is not one of them.
     void sendToAll(const Gossip &message);
 
     void nameWeights(std::uint64_t version);
-    // Until every live node knows of them.
+    // Waits until every live node knows the version as the newest.
     bool waitForWeights(std::uint64_t version);
-    // Until every live node hears all others.
+    // Waits until every live node counts all others as live.
     bool waitForPeers();
-    // Until it holds for the state of every live node's serving thread.
+    // Waits until the predicate holds for the serving thread's state of every live node.
     bool waitForAll(const std::function<bool(NodeState &)> &predicate);
 
-    // Until every live node takes the engine to run these.
+    // Waits until the engine runs these weights according to every live node.
     bool waitForEngine(const std::string &instanceId, std::uint64_t weights);
 
-    // Moves the clocks in steps that every node takes part in.
+    // Advances the clocks in steps, each of which every node processes.
     void advance(Duration by);
 
-    // Nodes that would begin a request on these weights.
+    // The number of nodes that would send a request to an engine with these weights.
     int nodesThatUse(std::uint64_t weights);
 
 private:
-    // Moves the clocks by so much at a time until it holds. What takes only messages takes small
-    // steps, so that little time passes; what a lease or a load bounds takes large ones.
+    // Advances the clocks by `stepSize` at a time until the predicate holds. Small steps suit waits
+    // for messages, so that little time passes; large ones suit waits for leases and loads.
     bool waitFor(const std::function<bool()> &predicate, Duration stepSize);
     void step(Duration by);
 
