--- a/src/node/peer_messages.cpp
+++ b/src/node/peer_messages.cpp
@@ -22,10 +22,10 @@
 
 // One row per version: instance id, model, version, age. Older nodes use another format under
 // another key.
-Json encodeVersions(const VersionsByEngine &shown)
+Json encodeVersions(const VersionsByEngine &versions)
 {
     Json list = Json::array();
-    for (const auto &[id, models] : shown) {
+    for (const auto &[id, models] : versions) {
         for (const auto &[model, weights] : models)
             list.push_back({id, model, weights.version, weights.age.count()});
     }
@@ -34,46 +34,46 @@
 
 VersionsByEngine decodeVersions(const Json &list)
 {
-    VersionsByEngine shown;
+    VersionsByEngine versions;
     for (const Json &row : list)
-        shown[row.at(0).get<std::string>()][row.at(1).get<std::string>()]
+        versions[row.at(0).get<std::string>()][row.at(1).get<std::string>()]
             = {row.at(2).get<std::uint64_t>(), decodeAge(row.at(3))};
-    return shown;
+    return versions;
 }
 
-Json encodeOrders(const OrderReport &word)
+Json encodeOrders(const OrderReport &report)
 {
     Json object = Json::object();
-    if (word.age.count() > 0)
-        object["age"] = word.age.count();
-    if (word.lastOrder)
-        object["ordered"] = word.lastOrder->count();
-    if (!word.enginesLoading.empty())
-        object["loading"] = word.enginesLoading;
-    if (!word.observedVersions.empty())
-        object["seen"] = encodeVersions(word.observedVersions);
+    if (report.age.count() > 0)
+        object["age"] = report.age.count();
+    if (report.lastOrder)
+        object["ordered"] = report.lastOrder->count();
+    if (!report.enginesLoading.empty())
+        object["loading"] = report.enginesLoading;
+    if (!report.observedVersions.empty())
+        object["seen"] = encodeVersions(report.observedVersions);
     return object;
 }
 
 OrderReport decodeOrders(const Json &object)
 {
-    OrderReport word;
-    word.age = std::chrono::milliseconds(object.value("age", std::int64_t{0}));
+    OrderReport report;
+    report.age = std::chrono::milliseconds(object.value("age", std::int64_t{0}));
     if (object.contains("ordered"))
-        word.lastOrder = std::chrono::milliseconds(object.at("ordered").get<std::int64_t>());
+        report.lastOrder = std::chrono::milliseconds(object.at("ordered").get<std::int64_t>());
     if (object.contains("loading"))
-        object.at("loading").get_to(word.enginesLoading);
+        object.at("loading").get_to(report.enginesLoading);
     if (object.contains("seen"))
-        word.observedVersions = decodeVersions(object.at("seen"));
-    return word;
+        report.observedVersions = decodeVersions(object.at("seen"));
+    return report;
 }
 
 // One row per update: the two halves of the request's fingerprint and, if there is one, the
 // upstream instance that crashed during the request.
-Json encodeQuarantineUpdates(const std::vector<QuarantineUpdate> &news)
+Json encodeQuarantineUpdates(const std::vector<QuarantineUpdate> &updates)
 {
     Json list = Json::array();
-    for (const QuarantineUpdate &it : news) {
+    for (const QuarantineUpdate &it : updates) {
         Json row{it.request.high, it.request.low};
         if (it.failedInstance)
             row.push_back(*it.failedInstance);
@@ -84,21 +84,21 @@
 
 std::vector<QuarantineUpdate> decodeQuarantineUpdates(const Json &list)
 {
-    std::vector<QuarantineUpdate> news;
+    std::vector<QuarantineUpdate> updates;
     for (const Json &row : list) {
         QuarantineUpdate it{{row.at(0).get<std::uint64_t>(), row.at(1).get<std::uint64_t>()}, {}};
         if (row.size() > 2)
             it.failedInstance = row.at(2).get<std::uint64_t>();
-        news.push_back(it);
+        updates.push_back(it);
     }
-    return news;
+    return updates;
 }
 
 // One row per limit: upstream, version, rate, age, then node and sequence number of each sender.
-Json encodeLimits(const std::vector<LimitGossip> &words)
+Json encodeLimits(const std::vector<LimitGossip> &limits)
 {
     Json list = Json::array();
-    for (const LimitGossip &it : words) {
+    for (const LimitGossip &it : limits) {
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(it.age);
         Json senders = Json::array();
         for (const SenderAnnouncement &sender : it.senders) {
@@ -113,7 +113,7 @@
 std::vector<LimitGossip> decodeLimits(const Json &list)
 {
     constexpr std::int64_t kOldest = 3'600'000; // milliseconds; the age is only logged
-    std::vector<LimitGossip> words;
+    std::vector<LimitGossip> limits;
     for (const Json &row : list) {
         LimitGossip it;
         it.upstream = row.at(0).get<std::uint64_t>();
@@ -125,9 +125,9 @@
         for (std::size_t n = 0; n < senders.size(); n += 2)
             it.senders.push_back(
                 {senders.at(n).get<std::uint64_t>(), senders.at(n + 1).get<std::uint64_t>()});
-        words.push_back(std::move(it));
+        limits.push_back(std::move(it));
     }
-    return words;
+    return limits;
 }
 
 // Version and minimum age, followed by the maximum age and the previous version if known.
@@ -243,8 +243,8 @@
         object["leaving"] = true;
     if (!message.orders.isEmpty())
         object["orders"] = encodeOrders(message.orders);
-    for (const auto &[node, word] : message.forwardedOrders)
-        object["heard"][node] = encodeOrders(word);
+    for (const auto &[node, report] : message.forwardedOrders)
+        object["heard"][node] = encodeOrders(report);
     for (const auto &[model, versions] : message.namingAges) {
         for (const auto &[version, age] : versions)
             object["named"][model].push_back(encodeNamingAge(version, age));
@@ -283,9 +283,9 @@
         message.leaving = object.value("leaving", false);
         if (object.contains("orders"))
             message.orders = decodeOrders(object.at("orders"));
-        const Json heard = object.value("heard", Json::object());
-        for (const auto &[node, word] : heard.items())
-            message.forwardedOrders[node] = decodeOrders(word);
+        const Json forwarded = object.value("heard", Json::object());
+        for (const auto &[node, report] : forwarded.items())
+            message.forwardedOrders[node] = decodeOrders(report);
         const Json named = object.value("named", Json::object());
         for (const auto &[model, versions] : named.items()) {
             for (const Json &it : versions)
