--- a/src/node/naming_marks.hpp
+++ b/src/node/naming_marks.hpp
@@ -11,56 +11,56 @@
 #include "fordwood/clock.hpp"
 #include "fordwood/store_replica.hpp"
 #include "node/store_link.hpp"
-#include "node/weight_news.hpp"
+#include "node/weight_naming_tracker.hpp"
 
 namespace fordwood::node {
 
-// Keeps the age of namings where it outlives all nodes: a key in the platform's store under a lease
-// that runs out a fixed time after the naming. While the key is there, the naming is no older than
-// that, whoever reads it, but for time in which the store was away and its leases waited; clocks of
-// two nodes are never compared. Without it nodes that all start anew could not use engines that
-// have the replaced weights, which just after a naming are all.
+// Persists a bound on the age of namings beyond the lifetime of all nodes: a key in the platform's
+// store whose lease expires a fixed time after the naming. As long as the key exists, the naming is
+// no older than that, except for outages of the store, during which leases do not run. Clocks of
+// different nodes are never compared. Without marks, nodes that all restart at the same time could
+// not use engines with replaced weights, which right after a naming are all engines.
 class NamingMarks
 {
 public:
     struct Limits
     {
-        Duration life{}; // from the naming to the end of its mark
-        Duration leastLease{}; // the shortest that the store grants
+        Duration ttl{}; // from the naming to the expiry of its mark
+        Duration minLease{}; // the shortest lease that the store grants
     };
 
-    NamingMarks(const Clock &clock, StoreLink &store, const StoreReplica &replica, WeightNews &news,
-                Limits limits)
-        : m_clock(clock), m_store(store), m_replica(replica), m_news(news), m_limits(limits)
+    NamingMarks(const Clock &clock, StoreLink &store, const StoreReplica &replica,
+                WeightNamingTracker &tracker, Limits limits)
+        : m_clock(clock), m_store(store), m_replica(replica), m_tracker(tracker), m_limits(limits)
     { }
 
-    // Learns from the marks in the copy of the store, which was whole at that time.
+    // Reads the marks in the copy of the store, which was complete as of the given time.
     void read(std::optional<TimePoint> completeAsOf);
 
-    // Writes those that are missing. `patience`: how long after a naming this node leaves that to
-    // others.
-    void write(Duration patience);
+    // Writes missing marks. `delay`: time after a naming during which this node leaves writing to
+    // other nodes.
+    void write(Duration delay);
 
-    // The key of a mark. Its value is the newest version that had been named before, as text.
+    // The key of a mark. Its value is the newest previously named version, as decimal text.
     static std::string keyOf(const std::string &model, std::uint64_t version);
 
 private:
     using Naming = std::pair<std::string, std::uint64_t>; // model, version
     struct Write
     {
-        bool isBusy = false; // a call is on its way
-        TimePoint next{};
+        bool isPending = false; // a call to the store is in flight
+        TimePoint nextAttempt{};
     };
 
     Duration leaseFor(const WeightNaming &naming) const;
-    void grant(const Naming &naming, std::uint64_t after, Duration lease);
-    void put(const Naming &naming, std::uint64_t after, std::int64_t lease);
-    void finished(const Naming &naming);
+    void grant(const Naming &naming, std::uint64_t newestBefore, Duration lease);
+    void put(const Naming &naming, std::uint64_t newestBefore, std::int64_t lease);
+    void onWriteFinished(const Naming &naming);
 
     const Clock &m_clock;
     StoreLink &m_store;
     const StoreReplica &m_replica;
-    WeightNews &m_news;
+    WeightNamingTracker &m_tracker;
     const Limits m_limits;
     std::map<Naming, Write> m_writes;
 };
--- a/src/node/peer_messages.cpp
+++ b/src/node/peer_messages.cpp
@@ -13,65 +13,67 @@
 
 std::chrono::milliseconds decodeAge(const Json &number)
 {
-    constexpr std::int64_t kOldest = 86'400'000; // milliseconds; older is no different
+    constexpr std::int64_t kOldest = 86'400'000; // milliseconds; greater ages make no difference
     return std::chrono::milliseconds(
         std::clamp<std::int64_t>(number.get<std::int64_t>(), 0, kOldest));
 }
 
-using ShownByEngine = decltype(OrderWord::weightsShown);
+using VersionsByEngine = decltype(OrderReport::observedVersions);
 
-// Two texts and two numbers for each version. Older nodes read another form, under another name.
-Json encodeShown(const ShownByEngine &shown)
+// One row per version: instance id, model, version, age. Older nodes use another format under
+// another key.
+Json encodeVersions(const VersionsByEngine &versions)
 {
     Json list = Json::array();
-    for (const auto &[id, models] : shown) {
+    for (const auto &[id, models] : versions) {
         for (const auto &[model, weights] : models)
             list.push_back({id, model, weights.version, weights.age.count()});
     }
     return list;
 }
 
-ShownByEngine decodeShown(const Json &list)
+VersionsByEngine decodeVersions(const Json &list)
 {
-    ShownByEngine shown;
+    VersionsByEngine versions;
     for (const Json &row : list)
-        shown[row.at(0).get<std::string>()][row.at(1).get<std::string>()]
+        versions[row.at(0).get<std::string>()][row.at(1).get<std::string>()]
             = {row.at(2).get<std::uint64_t>(), decodeAge(row.at(3))};
-    return shown;
+    return versions;
 }
 
-Json encodeOrders(const OrderWord &word)
+Json encodeOrders(const OrderReport &report)
 {
     Json object = Json::object();
-    if (word.age.count() > 0)
-        object["age"] = word.age.count();
-    if (word.lastOrder)
-        object["ordered"] = word.lastOrder->count();
-    if (!word.enginesLoading.empty())
-        object["loading"] = word.enginesLoading;
-    if (!word.weightsShown.empty())
-        object["seen"] = encodeShown(word.weightsShown);
+    if (report.age.count() > 0)
+        object["age"] = report.age.count();
+    if (report.lastOrder)
+        object["ordered"] = report.lastOrder->count();
+    if (!report.enginesLoading.empty())
+        object["loading"] = report.enginesLoading;
+    if (!report.observedVersions.empty())
+        object["seen"] = encodeVersions(report.observedVersions);
     return object;
 }
 
-OrderWord decodeOrders(const Json &object)
+OrderReport decodeOrders(const Json &object)
 {
-    OrderWord word;
-    word.age = std::chrono::milliseconds(object.value("age", std::int64_t{0}));
+    OrderReport report;
+    report.age = std::chrono::milliseconds(object.value("age", std::int64_t{0}));
     if (object.contains("ordered"))
-        word.lastOrder = std::chrono::milliseconds(object.at("ordered").get<std::int64_t>());
+        report.lastOrder = std::chrono::milliseconds(object.at("ordered").get<std::int64_t>());
     if (object.contains("loading"))
-        object.at("loading").get_to(word.enginesLoading);
+        object.at("loading").get_to(report.enginesLoading);
     if (object.contains("seen"))
-        word.weightsShown = decodeShown(object.at("seen"));
-    return word;
+        report.observedVersions = decodeVersions(object.at("seen"));
+    return report;
 }
 
-// Two numbers name a request, a third one the life that ended under it.
-Json encodeRequestNews(const std::vector<QuarantineUpdate> &news)
+// One row per update: the two halves of the request's fingerprint and, if there is one, the
+// upstream instance that crashed during the request.
+Json encodeQuarantineUpdates(const std::vector<QuarantineUpdate> &updates)
 {
     Json list = Json::array();
-    for (const QuarantineUpdate &it : news) {
+    for (const QuarantineUpdate &it : updates) {
         Json row{it.request.high, it.request.low};
         if (it.failedInstance)
             row.push_back(*it.failedInstance);
@@ -80,23 +82,23 @@
     return list;
 }
 
-std::vector<QuarantineUpdate> decodeRequestNews(const Json &list)
+std::vector<QuarantineUpdate> decodeQuarantineUpdates(const Json &list)
 {
-    std::vector<QuarantineUpdate> news;
+    std::vector<QuarantineUpdate> updates;
     for (const Json &row : list) {
         QuarantineUpdate it{{row.at(0).get<std::uint64_t>(), row.at(1).get<std::uint64_t>()}, {}};
         if (row.size() > 2)
             it.failedInstance = row.at(2).get<std::uint64_t>();
-        news.push_back(it);
+        updates.push_back(it);
     }
-    return news;
+    return updates;
 }
 
-// Four numbers of each limit, and two of each sender.
-Json encodeLimits(const std::vector<LimitGossip> &words)
+// One row per limit: upstream, version, rate, age, then node and sequence number of each sender.
+Json encodeLimits(const std::vector<LimitGossip> &limits)
 {
     Json list = Json::array();
-    for (const LimitGossip &it : words) {
+    for (const LimitGossip &it : limits) {
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(it.age);
         Json senders = Json::array();
         for (const SenderAnnouncement &sender : it.senders) {
@@ -110,8 +112,8 @@
 
 std::vector<LimitGossip> decodeLimits(const Json &list)
 {
-    constexpr std::int64_t kOldest = 3'600'000; // milliseconds; only for the log
-    std::vector<LimitGossip> words;
+    constexpr std::int64_t kOldest = 3'600'000; // milliseconds; the age is only logged
+    std::vector<LimitGossip> limits;
     for (const Json &row : list) {
         LimitGossip it;
         it.upstream = row.at(0).get<std::uint64_t>();
@@ -123,38 +125,38 @@
         for (std::size_t n = 0; n < senders.size(); n += 2)
             it.senders.push_back(
                 {senders.at(n).get<std::uint64_t>(), senders.at(n + 1).get<std::uint64_t>()});
-        words.push_back(std::move(it));
+        limits.push_back(std::move(it));
     }
-    return words;
+    return limits;
 }
 
-// Two numbers; two more where it is known how long ago it may have been at most.
-Json encodeNamedAge(std::uint64_t version, const NamedAge &age)
+// Version and minimum age, followed by the maximum age and the previous version if known.
+Json encodeNamingAge(std::uint64_t version, const NamingAge &age)
 {
-    Json row{version, age.least.count()};
-    if (age.most && age.after) {
-        row.push_back(age.most->count());
-        row.push_back(*age.after);
+    Json row{version, age.min.count()};
+    if (age.max && age.newestBefore) {
+        row.push_back(age.max->count());
+        row.push_back(*age.newestBefore);
     }
     return row;
 }
 
-NamedAge decodeNamedAge(const Json &row)
+NamingAge decodeNamingAge(const Json &row)
 {
-    NamedAge age;
-    age.least = decodeAge(row.at(1));
+    NamingAge age;
+    age.min = decodeAge(row.at(1));
     if (row.size() > 3) {
-        age.most = decodeAge(row.at(2));
-        age.after = row.at(3).get<std::uint64_t>();
+        age.max = decodeAge(row.at(2));
+        age.newestBefore = row.at(3).get<std::uint64_t>();
     }
     return age;
 }
 
-constexpr std::size_t kNumbersOfRow = 4;
+constexpr std::size_t kNumbersPerLoadRow = 4;
 
 Json encodeLoad(const LoadReport &report)
 {
-    // Four numbers a row in one array: read without an allocation for each row.
+    // One flat array with four numbers per row avoids an allocation per row when decoding.
     Json loads = Json::array();
     for (const auto &[upstream, load] : report.loads.rows()) {
         loads.push_back(upstream);
@@ -175,8 +177,8 @@
     object.at("nodes").get_to(report.nodes);
     const Json &numbers = object.at("at");
     std::vector<UpstreamLoads::Row> rows;
-    rows.reserve(numbers.size() / kNumbersOfRow);
-    for (std::size_t n = 0; n < numbers.size(); n += kNumbersOfRow)
+    rows.reserve(numbers.size() / kNumbersPerLoadRow);
+    for (std::size_t n = 0; n < numbers.size(); n += kNumbersPerLoadRow)
         rows.push_back({numbers.at(n).get<std::uint64_t>(),
                         {numbers.at(n + 1).get<std::size_t>(), numbers.at(n + 2).get<std::size_t>(),
                          numbers.at(n + 3).get<std::size_t>()}});
@@ -187,7 +189,7 @@
     return report;
 }
 
-// Numbers on the wire; what is not known is a node's own load.
+// Values on the wire. Unknown values are decoded as LoadScope::Node.
 constexpr int kDomainScope = 1;
 constexpr int kFleetScope = 2;
 
@@ -225,13 +227,13 @@
                 {"load", encodeLoad(message.load)}};
     if (message.version.epoch > 0)
         object["epoch"] = message.version.epoch;
-    if (message.number > 0)
-        object["number"] = message.number;
-    if (!message.numbers.empty())
-        object["numbers"] = message.numbers;
+    if (message.reportNumber > 0)
+        object["number"] = message.reportNumber;
+    if (!message.reportNumbers.empty())
+        object["numbers"] = message.reportNumbers;
     if (message.strength > 0.0)
         object["strength"] = message.strength;
-    if (message.hearsStore)
+    if (message.getsStoreChanges)
         object["hears"] = true;
     if (message.isRelay)
         object["relay"] = true;
@@ -241,16 +243,16 @@
         object["leaving"] = true;
     if (!message.orders.isEmpty())
         object["orders"] = encodeOrders(message.orders);
-    for (const auto &[node, word] : message.ordersHeard)
-        object["heard"][node] = encodeOrders(word);
-    for (const auto &[model, versions] : message.weightsNamed) {
+    for (const auto &[node, report] : message.forwardedOrders)
+        object["heard"][node] = encodeOrders(report);
+    for (const auto &[model, versions] : message.namingAges) {
         for (const auto &[version, age] : versions)
-            object["named"][model].push_back(encodeNamedAge(version, age));
+            object["named"][model].push_back(encodeNamingAge(version, age));
     }
-    if (message.wholeFor)
-        object["whole"] = message.wholeFor->count();
-    if (!message.requestNews.empty())
-        object["requests"] = encodeRequestNews(message.requestNews);
+    if (message.copyAge)
+        object["whole"] = message.copyAge->count();
+    if (!message.quarantineUpdates.empty())
+        object["requests"] = encodeQuarantineUpdates(message.quarantineUpdates);
     if (!message.limits.empty())
         object["limits"] = encodeLimits(message.limits);
     if (!message.draining.empty())
@@ -271,28 +273,28 @@
         object.at("reachable").get_to(message.storeReachable);
         message.scope = decodeScope(object.at("scope").get<int>());
         message.load = decodeLoad(object.at("load"));
-        message.number = object.value("number", std::uint64_t{0});
+        message.reportNumber = object.value("number", std::uint64_t{0});
         if (object.contains("numbers"))
-            object.at("numbers").get_to(message.numbers);
+            object.at("numbers").get_to(message.reportNumbers);
         message.strength = object.value("strength", 0.0);
-        message.hearsStore = object.value("hears", false);
+        message.getsStoreChanges = object.value("hears", false);
         message.isRelay = object.value("relay", false);
         message.followsContext = object.value("follows", false);
         message.leaving = object.value("leaving", false);
         if (object.contains("orders"))
             message.orders = decodeOrders(object.at("orders"));
-        const Json heard = object.value("heard", Json::object());
-        for (const auto &[node, word] : heard.items())
-            message.ordersHeard[node] = decodeOrders(word);
+        const Json forwarded = object.value("heard", Json::object());
+        for (const auto &[node, report] : forwarded.items())
+            message.forwardedOrders[node] = decodeOrders(report);
         const Json named = object.value("named", Json::object());
         for (const auto &[model, versions] : named.items()) {
             for (const Json &it : versions)
-                message.weightsNamed[model][it.at(0).get<std::uint64_t>()] = decodeNamedAge(it);
+                message.namingAges[model][it.at(0).get<std::uint64_t>()] = decodeNamingAge(it);
         }
         if (object.contains("whole"))
-            message.wholeFor = decodeAge(object.at("whole"));
+            message.copyAge = decodeAge(object.at("whole"));
         if (object.contains("requests"))
-            message.requestNews = decodeRequestNews(object.at("requests"));
+            message.quarantineUpdates = decodeQuarantineUpdates(object.at("requests"));
         if (object.contains("limits"))
             message.limits = decodeLimits(object.at("limits"));
         if (object.contains("draining"))
