--- a/src/node/naming_marks.cpp
+++ b/src/node/naming_marks.cpp
@@ -83,21 +83,21 @@
     if (write.isPending || requestedAt < write.nextAttempt)
         return;
     write.isPending = true;
-    m_store.send(
-        platform::grantCall(lease), [this, naming, newestBefore, requestedAt, lease](const HttpResult &result) {
-            const auto granted = platform::readGrant(result);
-            const bool isLate = m_clock.now() - requestedAt > kMaxGrantTime;
-            const bool isOwn = granted && granted->lease.isValidIn(m_store.epoch());
-            if (isOwn && !isLate && granted->ttl <= lease) {
-                put(naming, newestBefore, granted->lease.id);
-                return;
-            }
-            if (isOwn)
-                m_store.send(platform::revokeCall(granted->lease.id), [](const HttpResult &) {
-                             // A lease without a key has no effect, so the result is ignored.
-                         });
-                     onWriteFinished(naming);
-        });
+    m_store.send(platform::grantCall(lease), [this, naming, newestBefore, requestedAt,
+                                              lease](const HttpResult &result) {
+        const auto granted = platform::readGrant(result);
+        const bool isLate = m_clock.now() - requestedAt > kMaxGrantTime;
+        const bool isOwn = granted && granted->lease.isValidIn(m_store.epoch());
+        if (isOwn && !isLate && granted->ttl <= lease) {
+            put(naming, newestBefore, granted->lease.id);
+            return;
+        }
+        if (isOwn)
+            m_store.send(platform::revokeCall(granted->lease.id), [](const HttpResult &) {
+                // A lease without a key has no effect, so the result is ignored.
+            });
+        onWriteFinished(naming);
+    });
 }
 
 void NamingMarks::put(const Naming &naming, std::uint64_t newestBefore, std::int64_t lease)
