--- a/src/apps/controld/fleet_in_force.cpp
+++ b/src/apps/controld/active_fleet.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "apps/controld/fleet_in_force.hpp"
+#include "apps/controld/active_fleet.hpp"
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 
 namespace fordwood::apps {
 
-bool FleetInForce::apply(const ApplyConfiguration &action, config::ConfigErrors &errors)
+bool ActiveFleet::apply(const ApplyConfiguration &action, config::ConfigErrors &errors)
 {
     auto configuration = m_assembler.assemble(action.pieces, errors);
     if (!configuration)
@@ -19,12 +19,12 @@
     return true;
 }
 
-void FleetInForce::apply(const ApplyMembers &action)
+void ActiveFleet::apply(const ApplyMembers &action)
 {
     m_members = action;
 }
 
-std::vector<OwnedUpstream> FleetInForce::owned() const
+std::vector<OwnedUpstream> ActiveFleet::ownedUpstreams() const
 {
     const FleetView fleet = view();
     std::vector<OwnedUpstream> owned;
@@ -34,7 +34,7 @@
     return owned;
 }
 
-std::map<std::string, double> FleetInForce::shares() const
+std::map<std::string, double> ActiveFleet::teamShares() const
 {
     std::map<std::string, double> shares;
     for (const auto &[name, it] : m_configuration->teams)
@@ -42,7 +42,7 @@
     return shares;
 }
 
-std::map<std::string, std::size_t> FleetInForce::ceilingPools() const
+std::map<std::string, std::size_t> ActiveFleet::ceilingPools() const
 {
     const FleetView fleet = view();
     std::map<std::string, std::size_t> pools;
@@ -54,11 +54,11 @@
     return pools;
 }
 
-LoadDuty::Plan FleetInForce::loadPlan(const std::vector<OwnedUpstream> &owned) const
+WeightLoader::Plan ActiveFleet::loadPlan(const std::vector<OwnedUpstream> &owned) const
 {
-    LoadDuty::Plan plan;
+    WeightLoader::Plan plan;
     plan.configVersion = m_head.version;
-    plan.mostAtOnce = m_configuration->limits.maxLoadsAtOnce;
+    plan.maxConcurrentLoads = m_configuration->limits.maxLoadsAtOnce;
     plan.members = m_members.members.size();
     for (const OwnedUpstream &it : owned) {
         const UpstreamConfig &upstream = m_configuration->upstreams.at(it.name);
@@ -71,7 +71,7 @@
     return plan;
 }
 
-std::shared_ptr<wire::Snapshot> FleetInForce::snapshot() const
+std::shared_ptr<wire::Snapshot> ActiveFleet::snapshot() const
 {
     auto snapshot = std::make_shared<wire::Snapshot>();
     *snapshot->mutable_head() = adapters::toWire(m_head);
@@ -94,7 +94,7 @@
     return snapshot;
 }
 
-FleetView FleetInForce::view() const
+FleetView ActiveFleet::view() const
 {
     return {m_head.version,       m_configuration, m_members.members, m_members.leavingUpstreams,
             m_self.failureDomain, m_members.listed};
--- a/src/apps/controld/fleet_in_force.hpp
+++ b/src/apps/controld/active_fleet.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_APPS_CONTROLD_FLEET_IN_FORCE_HPP_INCLUDED
-#define FORDWOOD_APPS_CONTROLD_FLEET_IN_FORCE_HPP_INCLUDED
+#ifndef FORDWOOD_APPS_CONTROLD_ACTIVE_FLEET_HPP_INCLUDED
+#define FORDWOOD_APPS_CONTROLD_ACTIVE_FLEET_HPP_INCLUDED
 
 #include <map>
 #include <memory>
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "adapters/grpc/control_service.hpp"
-#include "apps/controld/load_duty.hpp"
+#include "apps/controld/weight_loader.hpp"
 #include "config/configuration_assembler.hpp"
 #include "fordwood/fleet_view.hpp"
 #include "fordwood/permit_scheduler.hpp"
@@ -18,10 +18,10 @@
 
 // The configuration and the members that are in force on this node, and what follows from them for
 // its duties. Of the control thread alone.
-class FleetInForce
+class ActiveFleet
 {
 public:
-    explicit FleetInForce(Member self) : m_self(std::move(self)) { }
+    explicit ActiveFleet(Member self) : m_self(std::move(self)) { }
 
     // Puts a configuration in force. False when its pieces do not make one; the one before it stays
     // then, and `errors` says why.
@@ -39,16 +39,16 @@
     // The rest needs a configuration.
 
     // The upstreams for which this node grants permits.
-    std::vector<OwnedUpstream> owned() const;
+    std::vector<OwnedUpstream> ownedUpstreams() const;
 
     // Shares of the teams.
-    std::map<std::string, double> shares() const;
+    std::map<std::string, double> teamShares() const;
 
     // What this node may give away of the ceilings of the teams that it owns.
     std::map<std::string, std::size_t> ceilingPools() const;
 
     // Which weights the owned engines must serve.
-    LoadDuty::Plan loadPlan(const std::vector<OwnedUpstream> &owned) const;
+    WeightLoader::Plan loadPlan(const std::vector<OwnedUpstream> &owned) const;
 
     // All of it, for the entry nodes.
     std::shared_ptr<wire::Snapshot> snapshot() const;
@@ -66,4 +66,4 @@
 
 } // namespace fordwood::apps
 
-#endif // FORDWOOD_APPS_CONTROLD_FLEET_IN_FORCE_HPP_INCLUDED
+#endif // FORDWOOD_APPS_CONTROLD_ACTIVE_FLEET_HPP_INCLUDED
--- a/src/apps/controld/control_events.hpp
+++ b/src/apps/controld/control_events.hpp
@@ -52,14 +52,14 @@
 // Whether the platform answers.
 struct ReachableEvent
 {
-    bool reachable;
+    bool isReachable;
 };
 
 // A link to a peer is up or down.
 struct LinkEvent
 {
     std::string peer;
-    bool up;
+    bool isUp;
 };
 
 // A peer's update.
@@ -76,14 +76,14 @@
 };
 
 // An owned engine is to be kept free of new requests, or no longer.
-struct EngineHeldEvent
+struct EnginePausedEvent
 {
     std::string upstream;
-    bool held;
+    bool isPaused;
 };
 
 // Keys that a node which stops hands to this one.
-struct KeysHandedEvent
+struct KeysReceivedEvent
 {
     HandedKeys keys;
 };
@@ -96,7 +96,7 @@
 
 using ControlEvent = std::variant<CommandsEvent, HolderGoneEvent, HeadEvent, ListEvent, BlobsEvent,
                                   ReachableEvent, LinkEvent, UpdateEvent, ChainsEvent,
-                                  EngineHeldEvent, KeysHandedEvent, StopEvent>;
+                                  EnginePausedEvent, KeysReceivedEvent, StopEvent>;
 
 } // namespace fordwood::apps
 
--- a/src/apps/controld/control_inbox.cpp
+++ b/src/apps/controld/control_inbox.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr std::size_t kRingSize = 16'384; // events; our choice: a second of asks at full load
-constexpr Duration kPlacePoll = std::chrono::milliseconds(1); // between looks for a free place
+constexpr Duration kFullRingPoll = std::chrono::milliseconds(1); // between looks for a free place
 
 // A release that got lost would block a place for as long as the stream lives; an ask is sent
 // again.
-bool mayBeLost(const wire::PermitCommands &commands)
+bool isDroppable(const wire::PermitCommands &commands)
 {
     return commands.releases().empty() && commands.withdrawals().empty()
            && commands.claim_ends().empty();
@@ -23,83 +23,83 @@
 
 ControlInbox::ControlInbox(adapters::Metrics &metrics) : m_metrics(metrics), m_ring(kRingSize) { }
 
-void ControlInbox::stopRequested(std::shared_ptr<std::promise<HandedKeys>> keys)
+void ControlInbox::requestStop(std::shared_ptr<std::promise<HandedKeys>> keys)
 {
-    pushSurely(StopEvent{std::move(keys)});
+    pushBlocking(StopEvent{std::move(keys)});
 }
 
-void ControlInbox::headRead(const ConfigHead &head)
+void ControlInbox::onHeadRead(const ConfigHead &head)
 {
-    pushSurely(HeadEvent{head});
+    pushBlocking(HeadEvent{head});
 }
 
-void ControlInbox::listRead(const VmList &list)
+void ControlInbox::onListRead(const VmList &list)
 {
-    pushSurely(ListEvent{list});
+    pushBlocking(ListEvent{list});
 }
 
-void ControlInbox::blobsRead(const std::vector<Blob> &blobs)
+void ControlInbox::onBlobsRead(const std::vector<Blob> &blobs)
 {
-    pushSurely(BlobsEvent{blobs});
+    pushBlocking(BlobsEvent{blobs});
 }
 
-void ControlInbox::platformReachable(bool reachable)
+void ControlInbox::onReachabilityChanged(bool reachable)
 {
-    pushSurely(ReachableEvent{reachable});
+    pushBlocking(ReachableEvent{reachable});
 }
 
 bool ControlInbox::commandsArrived(HolderId holder, wire::PermitCommands commands)
 {
-    if (!mayBeLost(commands)) {
-        pushSurely(CommandsEvent{holder, std::move(commands)});
+    if (!isDroppable(commands)) {
+        pushBlocking(CommandsEvent{holder, std::move(commands)});
         return true;
     }
-    const bool taken = m_ring.tryPush(CommandsEvent{holder, std::move(commands)});
-    if (!taken)
+    const bool isQueued = m_ring.tryPush(CommandsEvent{holder, std::move(commands)});
+    if (!isQueued)
         m_metrics.countRefusal(Reason::RingFull);
-    return taken;
+    return isQueued;
 }
 
 void ControlInbox::holderGone(HolderId holder)
 {
-    pushSurely(HolderGoneEvent{holder});
+    pushBlocking(HolderGoneEvent{holder});
 }
 
 void ControlInbox::linkUp(const std::string &peer)
 {
-    pushSurely(LinkEvent{peer, true});
+    pushBlocking(LinkEvent{peer, true});
 }
 
 void ControlInbox::linkDown(const std::string &peer)
 {
-    pushSurely(LinkEvent{peer, false});
+    pushBlocking(LinkEvent{peer, false});
 }
 
 void ControlInbox::updateArrived(const std::string &peer, PeerUpdate update)
 {
-    pushSurely(UpdateEvent{peer, std::move(update)});
+    pushBlocking(UpdateEvent{peer, std::move(update)});
 }
 
-void ControlInbox::keysHanded(HandedKeys keys)
+void ControlInbox::onKeysReceived(HandedKeys keys)
 {
-    pushSurely(KeysHandedEvent{std::move(keys)});
+    pushBlocking(KeysReceivedEvent{std::move(keys)});
 }
 
-void ControlInbox::engineHeld(const std::string &upstream, bool held)
+void ControlInbox::onEnginePaused(const std::string &upstream, bool isPaused)
 {
-    pushSurely(EngineHeldEvent{upstream, held});
+    pushBlocking(EnginePausedEvent{upstream, isPaused});
 }
 
-void ControlInbox::chainsLearned(std::map<std::uint32_t, TenureChain> chains)
+void ControlInbox::onChainsReceived(std::map<std::uint32_t, TenureChain> chains)
 {
-    pushSurely(ChainsEvent{std::move(chains)});
+    pushBlocking(ChainsEvent{std::move(chains)});
 }
 
 // For events that must not be lost and whose threads may wait: never a caller's thread.
-void ControlInbox::pushSurely(const ControlEvent &event)
+void ControlInbox::pushBlocking(const ControlEvent &event)
 {
     while (!m_ring.tryPush(event) && !m_closed)
-        std::this_thread::sleep_for(kPlacePoll);
+        std::this_thread::sleep_for(kFullRingPoll);
 }
 
 } // namespace fordwood::apps
--- a/src/apps/controld/control_inbox.hpp
+++ b/src/apps/controld/control_inbox.hpp
@@ -9,9 +9,9 @@
 #include "adapters/observe/metrics.hpp"
 #include "adapters/threads/bounded_ring.hpp"
 #include "apps/controld/control_events.hpp"
-#include "apps/controld/load_duty.hpp"
-#include "apps/controld/platform_duty.hpp"
-#include "apps/controld/tenure_duty.hpp"
+#include "apps/controld/platform_reader.hpp"
+#include "apps/controld/tenure_service.hpp"
+#include "apps/controld/weight_loader.hpp"
 
 namespace fordwood::apps {
 
@@ -21,7 +21,7 @@
                      public adapters::PermitListener,
                      public adapters::PeerListener,
                      public TenureListener,
-                     public LoadListener
+                     public WeightLoadListener
 {
 public:
     explicit ControlInbox(adapters::Metrics &metrics);
@@ -31,16 +31,16 @@
     std::optional<ControlEvent> tryPop() { return m_ring.tryPop(); }
 
     // This node stops; what it hands over comes by the promise.
-    void stopRequested(std::shared_ptr<std::promise<HandedKeys>> keys);
+    void requestStop(std::shared_ptr<std::promise<HandedKeys>> keys);
 
     // The control thread takes no more: whoever waits for a place goes on, and its event is lost.
     void close() { m_closed = true; }
 
     // PlatformListener
-    void headRead(const ConfigHead &head) override;
-    void listRead(const VmList &list) override;
-    void blobsRead(const std::vector<Blob> &blobs) override;
-    void platformReachable(bool reachable) override;
+    void onHeadRead(const ConfigHead &head) override;
+    void onListRead(const VmList &list) override;
+    void onBlobsRead(const std::vector<Blob> &blobs) override;
+    void onReachabilityChanged(bool reachable) override;
     // PermitListener
     bool commandsArrived(HolderId holder, wire::PermitCommands commands) override;
     void holderGone(HolderId holder) override;
@@ -49,13 +49,13 @@
     void linkDown(const std::string &peer) override;
     void updateArrived(const std::string &peer, PeerUpdate update) override;
     // TenureListener
-    void chainsLearned(std::map<std::uint32_t, TenureChain> chains) override;
-    void keysHanded(HandedKeys keys) override;
-    // LoadListener
-    void engineHeld(const std::string &upstream, bool held) override;
+    void onChainsReceived(std::map<std::uint32_t, TenureChain> chains) override;
+    void onKeysReceived(HandedKeys keys) override;
+    // WeightLoadListener
+    void onEnginePaused(const std::string &upstream, bool isPaused) override;
 
 private:
-    void pushSurely(const ControlEvent &event);
+    void pushBlocking(const ControlEvent &event);
 
     adapters::Metrics &m_metrics;
     adapters::BoundedRing<ControlEvent> m_ring;
--- a/src/apps/controld/control_node.cpp
+++ b/src/apps/controld/control_node.cpp
@@ -45,12 +45,13 @@
     : m_settings(settings), m_boot(bootOf(m_clock)), m_inbox(m_metrics),
       m_replicator(selfOf(settings), m_boot, m_clock, m_codec, {},
                    stableHash(settings.node.name, m_boot)),
-      m_book(m_clock), m_allowances(m_clock, {}), m_keys({settings.node.name, m_boot}, m_clock, {}),
-      m_permitService(m_inbox), m_links(settings.node.name, m_inbox),
-      m_platform(settings.platform, m_inbox, m_metrics),
-      m_tenures(settings.platform.keyValue, settings.node.name, m_clock, m_inbox, m_metrics),
-      m_loads(settings.platform.keyValue, settings.node.name, m_boot, m_clock, m_inbox, m_metrics),
-      m_desk(m_book, m_allowances, m_keys, m_permitService, m_metrics),
+      m_permitScheduler(m_clock), m_allowances(m_clock, {}),
+      m_keys({settings.node.name, m_boot}, m_clock, {}), m_permitService(m_inbox),
+      m_links(settings.node.name, m_inbox), m_platformReader(settings.platform, m_inbox, m_metrics),
+      m_tenureService(settings.platform.keyValue, settings.node.name, m_clock, m_inbox, m_metrics),
+      m_weightLoader(settings.platform.keyValue, settings.node.name, m_boot, m_clock, m_inbox,
+                     m_metrics),
+      m_commandHandler(m_permitScheduler, m_allowances, m_keys, m_permitService, m_metrics),
       m_admin([this](const std::string &path) { return adminAnswer(m_metrics, path); }),
       m_fleet(selfOf(settings))
 { }
@@ -67,7 +68,7 @@
     builder.RegisterService(&m_controlService);
     builder.RegisterService(&m_permitService);
     builder.RegisterService(&m_links);
-    builder.RegisterService(&m_tenures);
+    builder.RegisterService(&m_tenureService);
     m_server = builder.BuildAndStart();
     if (!m_server || port == 0) {
         logEvent(Event::ListenFailed, {{"address", m_settings.control.listen}});
@@ -77,9 +78,9 @@
         logEvent(Event::ListenFailed, {{"address", m_settings.control.metricsListen}});
         return false;
     }
-    m_platform.start();
-    m_tenures.start();
-    m_loads.start();
+    m_platformReader.start();
+    m_tenureService.start();
+    m_weightLoader.start();
     m_replicator.start();
     m_thread = std::thread([this] { run(); });
     // Until the VM list is known, the seeds are the only peers that can be asked.
@@ -90,12 +91,12 @@
 void ControlNode::beginStop()
 {
     const auto keys = std::make_shared<std::promise<HandedKeys>>();
-    auto handed = keys->get_future();
-    m_inbox.stopRequested(keys);
-    m_platform.stop();
-    m_tenures.stop();
-    m_tenures.handOver({m_settings.node.name, m_boot}, handed.get());
-    m_loads.stop();
+    auto handedKeys = keys->get_future();
+    m_inbox.requestStop(keys);
+    m_platformReader.stop();
+    m_tenureService.stop();
+    m_tenureService.handOver({m_settings.node.name, m_boot}, handedKeys.get());
+    m_weightLoader.stop();
     m_controlService.closeAll();
     m_permitService.closeAll();
 }
@@ -117,7 +118,7 @@
     TimePoint nextTick = m_clock.now();
     TimePoint nextReopen = m_clock.now() + kReopenLinks;
     while (!m_stopping) {
-        auto event = m_inbox.pop(m_book.hasWaiting() ? kBusyWait : kIdleWait);
+        auto event = m_inbox.pop(m_permitScheduler.hasWaiting() ? kBusyWait : kIdleWait);
         for (std::size_t n = 0; event; ++n) {
             std::visit([this](auto &it) { on(it); }, *event);
             event = n < kEventsPerRound ? m_inbox.tryPop() : std::nullopt;
@@ -126,7 +127,7 @@
         if (now >= nextTick) {
             m_replicator.tick();
             m_keys.tick();
-            tellTenures();
+            updateTenureMembers();
             nextTick = now + kReplicatorTick;
         }
         if (now >= nextReopen) {
@@ -134,19 +135,19 @@
             nextReopen = now + kReopenLinks;
         }
         for (const ReplicatorAction &it : m_replicator.takeActions())
-            carryOut(it);
-        m_desk.sendPermits();
+            execute(it);
+        m_commandHandler.sendPermits();
     }
 }
 
 void ControlNode::on(const CommandsEvent &event)
 {
-    m_desk.carryOut(event.holder, event.commands);
+    m_commandHandler.execute(event.holder, event.commands);
 }
 
 void ControlNode::on(const HolderGoneEvent &event)
 {
-    m_desk.drop(event.holder);
+    m_commandHandler.dropHolder(event.holder);
 }
 
 void ControlNode::on(const HeadEvent &event)
@@ -166,13 +167,13 @@
 
 void ControlNode::on(const ReachableEvent &event)
 {
-    m_reachable = event.reachable;
+    m_reachable = event.isReachable;
     updateStatus();
 }
 
 void ControlNode::on(const LinkEvent &event)
 {
-    if (event.up)
+    if (event.isUp)
         m_replicator.linkUp(event.peer);
     else
         m_replicator.linkDown(event.peer);
@@ -189,12 +190,12 @@
         m_keys.setChain(partition, chain);
 }
 
-void ControlNode::on(const EngineHeldEvent &event)
+void ControlNode::on(const EnginePausedEvent &event)
 {
-    m_book.setPaused(event.upstream, event.held);
+    m_permitScheduler.setPaused(event.upstream, event.isPaused);
 }
 
-void ControlNode::on(const KeysHandedEvent &event)
+void ControlNode::on(const KeysReceivedEvent &event)
 {
     m_keys.importKeys(event.keys);
 }
@@ -205,25 +206,25 @@
     event.keys->set_value(m_keys.close());
 }
 
-void ControlNode::carryOut(const ReplicatorAction &action)
+void ControlNode::execute(const ReplicatorAction &action)
 {
     if (const auto *update = std::get_if<SendUpdate>(&action)) {
         m_links.send(update->peer, update->update);
-    } else if (const auto *keep = std::get_if<SetOutgoingLinks>(&action)) {
+    } else if (const auto *links = std::get_if<SetOutgoingLinks>(&action)) {
         std::vector<std::string> addresses;
-        for (const Member &it : keep->peers)
+        for (const Member &it : links->peers)
             addresses.push_back(it.controlAddress);
         m_links.dial(addresses);
-    } else if (const auto *reading = std::get_if<SetPlatformReading>(&action)) {
-        m_platform.setReading(reading->enabled);
+    } else if (const auto *platformReading = std::get_if<SetPlatformReading>(&action)) {
+        m_platformReader.setReading(platformReading->enabled);
     } else if (const auto *fetch = std::get_if<FetchBlobs>(&action)) {
-        m_platform.fetch(*fetch);
+        m_platformReader.fetch(*fetch);
     } else if (const auto *configuration = std::get_if<ApplyConfiguration>(&action)) {
         applyConfiguration(*configuration);
     } else if (const auto *members = std::get_if<ApplyMembers>(&action)) {
         applyMembers(*members);
     } else if (const auto *alarm = std::get_if<ReplicatorAlarm>(&action)) {
-        raise(*alarm);
+        reportAlarm(*alarm);
     }
 }
 
@@ -240,7 +241,7 @@
     logEvent(Event::ConfigurationApplied, {{"version", m_fleet.head().version},
                                            {"pieces", m_fleet.pieces().size()},
                                            {"submission", m_fleet.head().submissionId}});
-    rebuild();
+    updateComponents();
 }
 
 void ControlNode::applyMembers(const ApplyMembers &action)
@@ -250,10 +251,10 @@
     if (action.leavingUpstreams != m_fleet.leavingUpstreams())
         logEvent(Event::UpstreamsLeaving, {{"leaving", action.leavingUpstreams.size()}});
     m_fleet.apply(action);
-    rebuild();
+    updateComponents();
 }
 
-void ControlNode::raise(const ReplicatorAlarm &alarm)
+void ControlNode::reportAlarm(const ReplicatorAlarm &alarm)
 {
     switch (alarm.kind) {
     case ReplicatorAlarm::Kind::OlderHead:
@@ -273,7 +274,7 @@
 }
 
 // Who may hold keys, by the boots that the members' liveness tells.
-void ControlNode::tellTenures()
+void ControlNode::updateTenureMembers()
 {
     std::vector<TenureMember> members;
     std::map<std::string, std::uint64_t> boots;
@@ -285,19 +286,19 @@
             members.push_back({{it.name, boot}, it.controlAddress});
     }
     m_keys.setLiveMembers(std::move(boots));
-    m_tenures.setMembers(std::move(members));
+    m_tenureService.setMembers(std::move(members));
 }
 
 // Tells the duties what follows from the configuration and the members in force.
-void ControlNode::rebuild()
+void ControlNode::updateComponents()
 {
     if (!m_fleet.hasConfiguration())
         return updateStatus();
-    const std::vector<OwnedUpstream> owned = m_fleet.owned();
+    const std::vector<OwnedUpstream> owned = m_fleet.ownedUpstreams();
     m_allowances.setPools(m_fleet.ceilingPools());
-    m_book.setShares(m_fleet.shares());
-    m_book.setUpstreams(owned);
-    m_loads.setPlan(m_fleet.loadPlan(owned));
+    m_permitScheduler.setShares(m_fleet.teamShares());
+    m_permitScheduler.setUpstreams(owned);
+    m_weightLoader.setPlan(m_fleet.loadPlan(owned));
     m_controlService.publish(m_fleet.snapshot());
     updateStatus();
 }
@@ -312,7 +313,7 @@
     status.set_manifest_sha256(m_fleet.head().manifestSha256);
     status.set_platform_reachable(m_reachable);
     status.set_live_members(static_cast<std::uint32_t>(m_fleet.members().size()));
-    status.set_owned_upstreams(static_cast<std::uint32_t>(m_book.owned()));
+    status.set_owned_upstreams(static_cast<std::uint32_t>(m_permitScheduler.owned()));
     status.set_relay(m_replicator.isRelay());
     status.set_links(static_cast<std::uint32_t>(m_replicator.links()));
     status.set_reads_platform(m_replicator.readsPlatform());
@@ -323,7 +324,7 @@
     m_metrics.setGauge("fordwood_members", static_cast<double>(m_fleet.members().size()));
     m_metrics.setGauge("fordwood_leaving_upstreams",
                        static_cast<double>(m_fleet.leavingUpstreams().size()));
-    m_metrics.setGauge("fordwood_owned_upstreams", static_cast<double>(m_book.owned()));
+    m_metrics.setGauge("fordwood_owned_upstreams", static_cast<double>(m_permitScheduler.owned()));
     m_metrics.setGauge("fordwood_owned_ceilings", static_cast<double>(m_allowances.teams()));
     m_metrics.setGauge("fordwood_idempotency_keys", static_cast<double>(m_keys.keys()));
     m_metrics.setGauge("fordwood_relay", m_replicator.isRelay() ? 1 : 0);
--- a/src/apps/controld/control_node.hpp
+++ b/src/apps/controld/control_node.hpp
@@ -16,12 +16,12 @@
 #include "adapters/platform/proto_head_codec.hpp"
 #include "adapters/system_clock.hpp"
 #include "apps/common/daemon.hpp"
+#include "apps/controld/active_fleet.hpp"
 #include "apps/controld/control_inbox.hpp"
-#include "apps/controld/fleet_in_force.hpp"
-#include "apps/controld/load_duty.hpp"
-#include "apps/controld/permit_desk.hpp"
-#include "apps/controld/platform_duty.hpp"
-#include "apps/controld/tenure_duty.hpp"
+#include "apps/controld/permit_command_handler.hpp"
+#include "apps/controld/platform_reader.hpp"
+#include "apps/controld/tenure_service.hpp"
+#include "apps/controld/weight_loader.hpp"
 #include "fordwood/allowance_allocator.hpp"
 #include "fordwood/key_registry.hpp"
 #include "fordwood/permit_scheduler.hpp"
@@ -54,15 +54,15 @@
     void on(const LinkEvent &event);
     void on(const UpdateEvent &event);
     void on(const ChainsEvent &event);
-    void on(const EngineHeldEvent &event);
-    void on(const KeysHandedEvent &event);
+    void on(const EnginePausedEvent &event);
+    void on(const KeysReceivedEvent &event);
     void on(const StopEvent &event);
-    void carryOut(const ReplicatorAction &action);
+    void execute(const ReplicatorAction &action);
     void applyConfiguration(const ApplyConfiguration &action);
     void applyMembers(const ApplyMembers &action);
-    void raise(const ReplicatorAlarm &alarm);
-    void tellTenures();
-    void rebuild();
+    void reportAlarm(const ReplicatorAlarm &alarm);
+    void updateTenureMembers();
+    void updateComponents();
     void updateStatus();
 
     const config::Settings m_settings;
@@ -72,23 +72,23 @@
     adapters::Metrics m_metrics;
     ControlInbox m_inbox;
     Replicator m_replicator;
-    PermitScheduler m_book;
+    PermitScheduler m_permitScheduler;
     AllowanceAllocator m_allowances;
     KeyRegistry m_keys;
     adapters::ControlService m_controlService;
     adapters::PermitService m_permitService;
     adapters::PeerLinks m_links;
-    PlatformDuty m_platform;
-    TenureDuty m_tenures;
-    LoadDuty m_loads;
-    PermitDesk m_desk;
+    PlatformReader m_platformReader;
+    TenureService m_tenureService;
+    WeightLoader m_weightLoader;
+    PermitCommandHandler m_commandHandler;
     adapters::AdminServer m_admin;
     std::unique_ptr<grpc::Server> m_server;
     std::thread m_thread;
     std::atomic<bool> m_stopping{false};
 
     // Of the control thread alone:
-    FleetInForce m_fleet;
+    ActiveFleet m_fleet;
     bool m_reachable = false;
 };
 
--- a/src/apps/controld/permit_desk.cpp
+++ b/src/apps/controld/permit_command_handler.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-#include "apps/controld/permit_desk.hpp"
+#include "apps/controld/permit_command_handler.hpp"
 
 #include "adapters/grpc/key_codec.hpp"
 
 namespace fordwood::apps {
 
-void PermitDesk::carryOut(HolderId holder, const wire::PermitCommands &commands)
+void PermitCommandHandler::execute(HolderId holder, const wire::PermitCommands &commands)
 {
     for (const wire::Held &it : commands.held())
         m_permits.adoptPermit(holder, it.permit_id(), it.upstream(), it.team());
@@ -14,23 +14,23 @@
     for (const wire::Withdraw &it : commands.withdrawals())
         m_permits.withdraw(holder, it.ask_id(), it.upstream());
     for (const wire::Ask &it : commands.asks())
-        ask(holder, it);
+        requestPermit(holder, it);
     for (const wire::AllowanceAsk &it : commands.allowance_asks())
-        askAllowance(holder, it);
+        requestAllowance(holder, it);
     for (const wire::ClaimEnd &it : commands.claim_ends())
         m_keys.finish(holder, adapters::keyOf(it), static_cast<RunState>(it.state()),
                       adapters::fromWire(it.answer()));
     for (const wire::Claim &it : commands.claims())
-        claim(holder, it);
+        claimKey(holder, it);
 }
 
-void PermitDesk::drop(HolderId holder)
+void PermitCommandHandler::dropHolder(HolderId holder)
 {
     m_permits.dropHolder(holder);
     m_keys.dropClaimant(holder);
 }
 
-void PermitDesk::sendPermits()
+void PermitCommandHandler::sendPermits()
 {
     m_permits.tick();
     const auto answers = m_permits.takeAnswers();
@@ -41,7 +41,7 @@
     m_service.send(answers);
 }
 
-void PermitDesk::release(HolderId holder, const wire::Release &command)
+void PermitCommandHandler::release(HolderId holder, const wire::Release &command)
 {
     if (command.pushed_back())
         m_permits.onPushback(holder, command.permit_id(), command.upstream());
@@ -49,31 +49,31 @@
         m_permits.release(holder, command.permit_id(), command.upstream(), command.cost());
 }
 
-void PermitDesk::ask(HolderId holder, const wire::Ask &command)
+void PermitCommandHandler::requestPermit(HolderId holder, const wire::Ask &command)
 {
-    PermitRequest ask;
-    ask.holder = holder;
-    ask.requestId = command.ask_id();
-    ask.upstream = command.upstream();
-    ask.team = command.team();
-    ask.cost = command.cost();
-    ask.priority = command.priority();
-    ask.wait = std::chrono::milliseconds(command.wait_ms());
-    ask.prompt = {command.prefix_hash(), command.context_tokens(), command.question_tokens()};
-    m_permits.request(ask);
+    PermitRequest request;
+    request.holder = holder;
+    request.requestId = command.ask_id();
+    request.upstream = command.upstream();
+    request.team = command.team();
+    request.cost = command.cost();
+    request.priority = command.priority();
+    request.wait = std::chrono::milliseconds(command.wait_ms());
+    request.prompt = {command.prefix_hash(), command.context_tokens(), command.question_tokens()};
+    m_permits.request(request);
 }
 
-void PermitDesk::askAllowance(HolderId holder, const wire::AllowanceAsk &command)
+void PermitCommandHandler::requestAllowance(HolderId holder, const wire::AllowanceAsk &command)
 {
-    const AllowanceRequest ask{holder, command.ask_id(), command.team(), command.used(),
-                               command.wanted()};
-    const Allowance allowance = m_allowances.allocate(ask);
-    if (allowance.amount < ask.wanted)
+    const AllowanceRequest request{holder, command.ask_id(), command.team(), command.used(),
+                                   command.wanted()};
+    const Allowance allowance = m_allowances.allocate(request);
+    if (allowance.amount < request.wanted)
         m_metrics.count("fordwood_allowances_short_total");
-    m_service.sendAllowance(ask, allowance);
+    m_service.sendAllowance(request, allowance);
 }
 
-void PermitDesk::claim(HolderId holder, const wire::Claim &command)
+void PermitCommandHandler::claimKey(HolderId holder, const wire::Claim &command)
 {
     const ClaimAnswer answer = m_keys.claim(holder, adapters::keyOf(command));
     if (answer.decision == ClaimAnswer::Decision::Refuse)
--- a/src/apps/controld/platform_duty.cpp
+++ b/src/apps/controld/platform_reader.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "apps/controld/platform_duty.hpp"
+#include "apps/controld/platform_reader.hpp"
 
 #include "adapters/http/http_get.hpp"
 #include "adapters/observe/event_log.hpp"
@@ -19,25 +19,25 @@
 
 } // namespace
 
-PlatformDuty::PlatformDuty(const config::PlatformSettings &settings, PlatformListener &listener,
-                           adapters::Metrics &metrics)
+PlatformReader::PlatformReader(const config::PlatformSettings &settings, PlatformListener &listener,
+                               adapters::Metrics &metrics)
     : m_settings(settings), m_listener(listener), m_metrics(metrics), m_store(settings.keyValue),
       m_fetches(kFetchRing)
 { }
 
-PlatformDuty::~PlatformDuty()
+PlatformReader::~PlatformReader()
 {
     stop();
 }
 
-void PlatformDuty::start()
+void PlatformReader::start()
 {
-    m_headThread = std::thread([this] { watchHead(); });
-    m_listThread = std::thread([this] { readList(); });
-    m_fetchThread = std::thread([this] { fetchBlobs(); });
+    m_headThread = std::thread([this] { runHeadThread(); });
+    m_listThread = std::thread([this] { runListThread(); });
+    m_fetchThread = std::thread([this] { runFetchThread(); });
 }
 
-void PlatformDuty::stop()
+void PlatformReader::stop()
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -52,34 +52,34 @@
     }
 }
 
-void PlatformDuty::setReading(bool enabled)
+void PlatformReader::setReading(bool enabled)
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_reading = enabled;
+        m_isReading = enabled;
         if (!enabled && m_watch)
             m_watch->cancel();
     }
     m_wake.notify_all();
 }
 
-void PlatformDuty::fetch(const FetchBlobs &fetch)
+void PlatformReader::fetch(const FetchBlobs &fetch)
 {
     // A full ring drops the request; the replicator asks again for what did not come.
     if (!m_fetches.tryPush(fetch))
         m_metrics.count("fordwood_platform_fetches_dropped_total");
 }
 
-void PlatformDuty::watchHead()
+void PlatformReader::runHeadThread()
 {
     while (waitUntilReading()) {
-        followHead();
-        pause(kRetryPause);
+        readAndWatchHead();
+        sleepUnlessStopping(kRetryPause);
     }
 }
 
 // Reads the head, then follows its changes until the connection breaks or reading ends.
-void PlatformDuty::followHead()
+void PlatformReader::readAndWatchHead()
 {
     m_metrics.count("fordwood_platform_reads_total");
     const auto stored = m_store.get(headKey(), kCallTimeout);
@@ -89,13 +89,13 @@
     std::int64_t revision = 0;
     if (*stored) {
         revision = (*stored)->revision;
-        report((*stored)->value);
+        reportHead((*stored)->value);
     }
     m_metrics.count("fordwood_platform_watches_total");
     const auto watch = m_store.watch(headKey(), revision);
     {
         const std::lock_guard lock(m_mutex);
-        if (m_stopping || !m_reading)
+        if (m_stopping || !m_isReading)
             watch->cancel();
         m_watch = watch;
     }
@@ -106,25 +106,25 @@
             why = change.error().text;
             break;
         }
-        report(change->value);
+        reportHead(change->value);
     }
     const std::lock_guard lock(m_mutex);
     m_watch = nullptr;
-    if (m_reading && !m_stopping)
+    if (m_isReading && !m_stopping)
         setReachable(false, why);
 }
 
-void PlatformDuty::report(const std::string &bytes)
+void PlatformReader::reportHead(const std::string &bytes)
 {
     if (const auto head = m_codec.decodeHead(bytes))
-        return m_listener.headRead(*head);
+        return m_listener.onHeadRead(*head);
     logEvent(Event::ConfigurationDamaged, {{"what", "head"}});
     m_metrics.count("fordwood_configuration_damaged_total");
 }
 
-void PlatformDuty::readList()
+void PlatformReader::runListThread()
 {
-    bool lost = false;
+    bool isLost = false;
     std::string tag; // of the list that was read last
     while (waitUntilReading()) {
         m_metrics.count("fordwood_vm_list_reads_total");
@@ -133,23 +133,23 @@
         const bool unchanged = document && document->unchanged;
         const auto list
             = document && !unchanged ? adapters::parseVmList(document->body) : std::nullopt;
-        const bool sound = unchanged || list;
-        if (!sound && !lost)
+        const bool isValid = unchanged || list;
+        if (!isValid && !isLost)
             logEvent(Event::VmListLost, {{"why", document ? "not a VM list" : document.error()}});
-        if (sound && lost)
+        if (isValid && isLost)
             logEvent(Event::VmListBack);
-        lost = !sound;
+        isLost = !isValid;
         if (list) {
             m_metrics.count("fordwood_vm_list_bytes_total",
                             static_cast<double>(document->body.size()));
-            m_listener.listRead(*list);
+            m_listener.onListRead(*list);
             tag = document->tag;
         }
-        pause(m_settings.vmListPeriod);
+        sleepUnlessStopping(m_settings.vmListPeriod);
     }
 }
 
-void PlatformDuty::fetchBlobs()
+void PlatformReader::runFetchThread()
 {
     while (!isStopping()) {
         const auto fetch = m_fetches.pop(kFetchWait);
@@ -172,11 +172,11 @@
             if ((*values)[it])
                 blobs.push_back({digests[it], (*values)[it]->value});
         }
-        m_listener.blobsRead(blobs);
+        m_listener.onBlobsRead(blobs);
     }
 }
 
-void PlatformDuty::setReachable(bool reachable, const std::string &why)
+void PlatformReader::setReachable(bool reachable, const std::string &why)
 {
     if (m_reachable == reachable)
         return;
@@ -186,24 +186,24 @@
         logEvent(Event::PlatformLost, {{"why", why}});
     else if (!first)
         logEvent(Event::PlatformBack);
-    m_listener.platformReachable(reachable);
+    m_listener.onReachabilityChanged(reachable);
 }
 
 // False when the duty is being stopped.
-bool PlatformDuty::waitUntilReading()
+bool PlatformReader::waitUntilReading()
 {
     std::unique_lock lock(m_mutex);
-    m_wake.wait(lock, [this] { return m_stopping || m_reading; });
+    m_wake.wait(lock, [this] { return m_stopping || m_isReading; });
     return !m_stopping;
 }
 
-void PlatformDuty::pause(Duration time)
+void PlatformReader::sleepUnlessStopping(Duration time)
 {
     std::unique_lock lock(m_mutex);
     m_wake.wait_for(lock, time, [this] { return m_stopping; });
 }
 
-bool PlatformDuty::isStopping()
+bool PlatformReader::isStopping()
 {
     const std::lock_guard lock(m_mutex);
     return m_stopping;
--- a/src/apps/controld/platform_duty.hpp
+++ b/src/apps/controld/platform_reader.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_APPS_CONTROLD_PLATFORM_DUTY_HPP_INCLUDED
-#define FORDWOOD_APPS_CONTROLD_PLATFORM_DUTY_HPP_INCLUDED
+#ifndef FORDWOOD_APPS_CONTROLD_PLATFORM_READER_HPP_INCLUDED
+#define FORDWOOD_APPS_CONTROLD_PLATFORM_READER_HPP_INCLUDED
 
 #include <condition_variable>
 #include <memory>
@@ -24,20 +24,20 @@
 {
 public:
     virtual ~PlatformListener() = default;
-    virtual void headRead(const ConfigHead &head) = 0;
-    virtual void listRead(const VmList &list) = 0;
-    virtual void blobsRead(const std::vector<Blob> &blobs) = 0;
-    virtual void platformReachable(bool reachable) = 0;
+    virtual void onHeadRead(const ConfigHead &head) = 0;
+    virtual void onListRead(const VmList &list) = 0;
+    virtual void onBlobsRead(const std::vector<Blob> &blobs) = 0;
+    virtual void onReachabilityChanged(bool reachable) = 0;
 };
 
 // Reads the platform, as long as this node is told to: one thread watches the head of the
 // configuration, one reads the VM list, one fetches values by digest.
-class PlatformDuty
+class PlatformReader
 {
 public:
-    PlatformDuty(const config::PlatformSettings &settings, PlatformListener &listener,
-                 adapters::Metrics &metrics);
-    ~PlatformDuty();
+    PlatformReader(const config::PlatformSettings &settings, PlatformListener &listener,
+                   adapters::Metrics &metrics);
+    ~PlatformReader();
 
     void start();
     void stop();
@@ -49,14 +49,14 @@
     void fetch(const FetchBlobs &fetch);
 
 private:
-    void watchHead();
-    void followHead();
-    void report(const std::string &bytes);
-    void readList();
-    void fetchBlobs();
+    void runHeadThread();
+    void readAndWatchHead();
+    void reportHead(const std::string &bytes);
+    void runListThread();
+    void runFetchThread();
     void setReachable(bool reachable, const std::string &why);
     bool waitUntilReading();
-    void pause(Duration time);
+    void sleepUnlessStopping(Duration time);
     bool isStopping();
 
     const config::PlatformSettings m_settings;
@@ -71,11 +71,11 @@
     std::mutex m_mutex;
     std::condition_variable m_wake;
     bool m_stopping = false;
-    bool m_reading = false;
+    bool m_isReading = false;
     std::shared_ptr<adapters::KeyWatch> m_watch;
     std::optional<bool> m_reachable; // of the head's thread alone
 };
 
 } // namespace fordwood::apps
 
-#endif // FORDWOOD_APPS_CONTROLD_PLATFORM_DUTY_HPP_INCLUDED
+#endif // FORDWOOD_APPS_CONTROLD_PLATFORM_READER_HPP_INCLUDED
--- a/src/apps/controld/tenure_duty.cpp
+++ b/src/apps/controld/tenure_service.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "apps/controld/tenure_duty.hpp"
+#include "apps/controld/tenure_service.hpp"
 
 #include <set>
 
@@ -17,7 +17,7 @@
 using adapters::logEvent;
 
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
-constexpr std::chrono::milliseconds kTellTimeout{500};
+constexpr std::chrono::milliseconds kPeerCallTimeout{500};
 
 std::vector<std::uint64_t> hashesOf(const std::vector<TenureMember> &members)
 {
@@ -30,23 +30,23 @@
 
 } // namespace
 
-TenureDuty::TenureDuty(const std::string &storeAddress, std::string self, const Clock &clock,
-                       TenureListener &listener, adapters::Metrics &metrics)
+TenureService::TenureService(const std::string &storeAddress, std::string self, const Clock &clock,
+                             TenureListener &listener, adapters::Metrics &metrics)
     : m_store(storeAddress), m_self(std::move(self)), m_clock(clock), m_listener(listener),
       m_metrics(metrics)
 { }
 
-TenureDuty::~TenureDuty()
+TenureService::~TenureService()
 {
     stop();
 }
 
-void TenureDuty::start()
+void TenureService::start()
 {
     m_thread = std::thread([this] { run(); });
 }
 
-void TenureDuty::stop()
+void TenureService::stop()
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -57,7 +57,7 @@
         m_thread.join();
 }
 
-void TenureDuty::setMembers(std::vector<TenureMember> members)
+void TenureService::setMembers(std::vector<TenureMember> members)
 {
     const std::lock_guard lock(m_mutex);
     const bool first = m_members.empty() && !members.empty();
@@ -66,27 +66,29 @@
         m_wake.notify_all();
 }
 
-grpc::ServerUnaryReactor *TenureDuty::Learn(grpc::CallbackServerContext *context,
-                                            const wire::TenureChains *request, wire::LearnReply *)
+grpc::ServerUnaryReactor *TenureService::Learn(grpc::CallbackServerContext *context,
+                                               const wire::TenureChains *request,
+                                               wire::LearnReply *)
 {
-    m_listener.chainsLearned(adapters::fromWire(*request));
+    m_listener.onChainsReceived(adapters::fromWire(*request));
     grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
     reactor->Finish(grpc::Status::OK);
     return reactor;
 }
 
-grpc::ServerUnaryReactor *TenureDuty::HandOver(grpc::CallbackServerContext *context,
-                                               const wire::HandedKeys *request, wire::LearnReply *)
+grpc::ServerUnaryReactor *TenureService::HandOver(grpc::CallbackServerContext *context,
+                                                  const wire::HandedKeys *request,
+                                                  wire::LearnReply *)
 {
-    m_listener.keysHanded(adapters::fromWire(*request));
+    m_listener.onKeysReceived(adapters::fromWire(*request));
     grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
     reactor->Finish(grpc::Status::OK);
     return reactor;
 }
 
-void TenureDuty::run()
+void TenureService::run()
 {
-    while (pause()) {
+    while (waitForNextPeriod()) {
         std::vector<TenureMember> members;
         {
             const std::lock_guard lock(m_mutex);
@@ -94,28 +96,28 @@
         }
         const auto hashes = hashesOf(members);
         for (std::uint32_t value = 0; value < kTenureValues; ++value) {
-            const int keeper = tenureExtenderIndex(value, hashes);
-            if (keeper >= 0 && members[static_cast<std::size_t>(keeper)].holder.node == m_self)
-                extend(value, members);
+            const int extender = tenureExtenderIndex(value, hashes);
+            if (extender >= 0 && members[static_cast<std::size_t>(extender)].holder.node == m_self)
+                extendValue(value, members);
         }
     }
 }
 
-void TenureDuty::extend(std::uint32_t value, const std::vector<TenureMember> &members)
+void TenureService::extendValue(std::uint32_t value, const std::vector<TenureMember> &members)
 {
-    const auto known = read(value);
-    if (!known)
+    const auto stored = read(value);
+    if (!stored)
         return;
     const auto hashes = hashesOf(members);
     const auto chains = extendTenures(
-        known->chains, value,
+        stored->chains, value,
         [&](std::uint32_t partition) {
             const int index = keyHolderIndex(partition, hashes);
             return index < 0 ? KeyHolder{} : members[static_cast<std::size_t>(index)].holder;
         },
-        m_clock.wallNow(), m_limits);
+        m_clock.wallNow(), m_timings);
     const std::vector<ConditionalWrite> write{
-        {tenureKey(value), known->revision, adapters::toWire(chains).SerializeAsString()}};
+        {tenureKey(value), stored->revision, adapters::toWire(chains).SerializeAsString()}};
     m_metrics.count("fordwood_tenure_writes_total");
     const auto done = m_store.write(write, kCallTimeout);
     // Only what is surely stored may be told; a write whose reply was lost is read back next time.
@@ -123,10 +125,10 @@
         m_metrics.count(done ? "fordwood_tenure_conflicts_total" : "fordwood_tenure_errors_total");
         return;
     }
-    tell(members, chains);
+    sendChains(members, chains);
 }
 
-std::optional<TenureDuty::Known> TenureDuty::read(std::uint32_t value)
+std::optional<TenureService::StoredChains> TenureService::read(std::uint32_t value)
 {
     m_metrics.count("fordwood_platform_reads_total");
     const auto stored = m_store.get(tenureKey(value), kCallTimeout);
@@ -135,16 +137,16 @@
         m_metrics.count("fordwood_tenure_errors_total");
         return std::nullopt;
     }
-    Known known;
-    known.chains = adapters::fromWire(message);
-    known.revision = *stored ? (*stored)->revision : 0;
-    return known;
+    StoredChains result;
+    result.chains = adapters::fromWire(message);
+    result.revision = *stored ? (*stored)->revision : 0;
+    return result;
 }
 
 // Tells each holder the chains of its partitions. A holder that misses this goes on with the tenure
 // that it knows, which is shorter.
-void TenureDuty::tell(const std::vector<TenureMember> &members,
-                      const std::map<std::uint32_t, TenureChain> &chains)
+void TenureService::sendChains(const std::vector<TenureMember> &members,
+                               const std::map<std::uint32_t, TenureChain> &chains)
 {
     std::map<std::string, std::map<std::uint32_t, TenureChain>> byNode;
     for (const auto &[partition, chain] : chains) {
@@ -156,18 +158,18 @@
         if (own == byNode.end())
             continue;
         if (it.holder.node == m_self) {
-            m_listener.chainsLearned(own->second);
+            m_listener.onChainsReceived(own->second);
             continue;
         }
         grpc::ClientContext context;
-        context.set_deadline(std::chrono::system_clock::now() + kTellTimeout);
+        context.set_deadline(std::chrono::system_clock::now() + kPeerCallTimeout);
         wire::LearnReply reply;
         if (!stubOf(it.controlAddress).Learn(&context, adapters::toWire(own->second), &reply).ok())
             m_metrics.count("fordwood_tenure_untold_total");
     }
 }
 
-wire::Keys::Stub &TenureDuty::stubOf(const std::string &address)
+wire::Keys::Stub &TenureService::stubOf(const std::string &address)
 {
     auto &stub = m_stubs[address];
     if (!stub)
@@ -178,7 +180,7 @@
 
 // A successor gets the keys first and the tenures after them: with the tenures alone it would take
 // keys that have run for new ones.
-void TenureDuty::handOver(const KeyHolder &self, const HandedKeys &handed)
+void TenureService::handOver(const KeyHolder &self, const HandedKeys &handed)
 {
     std::vector<TenureMember> others;
     {
@@ -199,25 +201,25 @@
         return ready.count(index) == 0 ? KeyHolder{}
                                        : others[static_cast<std::size_t>(index)].holder;
     };
-    bool all = true;
+    bool isComplete = true;
     for (std::uint32_t value = 0; value < kTenureValues; ++value)
-        all = handOverValue(value, self, others, successor) && all;
-    logEvent(all ? Event::KeysHandedOver : Event::KeysNotHandedOver,
+        isComplete = handOverValue(value, self, others, successor) && isComplete;
+    logEvent(isComplete ? Event::KeysHandedOver : Event::KeysNotHandedOver,
              {{"keys", handed.keys.size()}, {"successors", ready.size()}});
 }
 
 // In parts, so that no message is too large. False when any of them was not taken.
-bool TenureDuty::sendKeys(const TenureMember &to, const HandedKeys &keys)
+bool TenureService::sendKeys(const TenureMember &to, const HandedKeys &keys)
 {
-    constexpr std::size_t kMostBytes = 1 << 20;
+    constexpr std::size_t kMaxMessageBytes = 1 << 20;
     std::size_t next = 0;
     do {
         wire::HandedKeys message;
         message.set_floor_unix_ms(keys.floor.time_since_epoch().count());
-        for (; next < keys.keys.size() && message.ByteSizeLong() < kMostBytes; ++next)
+        for (; next < keys.keys.size() && message.ByteSizeLong() < kMaxMessageBytes; ++next)
             *message.add_keys() = adapters::toWire(keys.keys[next]);
         grpc::ClientContext context;
-        context.set_deadline(std::chrono::system_clock::now() + kTellTimeout);
+        context.set_deadline(std::chrono::system_clock::now() + kPeerCallTimeout);
         wire::LearnReply reply;
         if (!stubOf(to.controlAddress).HandOver(&context, message, &reply).ok())
             return false;
@@ -225,36 +227,36 @@
     return true;
 }
 
-bool TenureDuty::handOverValue(std::uint32_t value, const KeyHolder &self,
-                               const std::vector<TenureMember> &members,
-                               const std::function<KeyHolder(std::uint32_t)> &successor)
+bool TenureService::handOverValue(std::uint32_t value, const KeyHolder &self,
+                                  const std::vector<TenureMember> &members,
+                                  const std::function<KeyHolder(std::uint32_t)> &successor)
 {
-    constexpr int kTries = 3; // the value's keeper may write at the same moment
-    for (int it = 0; it < kTries; ++it) {
-        const auto known = read(value);
-        if (!known)
+    constexpr int kMaxAttempts = 3; // the value's keeper may write at the same moment
+    for (int it = 0; it < kMaxAttempts; ++it) {
+        const auto stored = read(value);
+        if (!stored)
             continue;
-        const auto chains = handOverTenures(known->chains, self, successor);
-        if (chains == known->chains) // nothing was ours, or a write whose reply was lost
+        const auto chains = handOverTenures(stored->chains, self, successor);
+        if (chains == stored->chains) // nothing was ours, or a write whose reply was lost
             return true;
         const std::vector<ConditionalWrite> write{
-            {tenureKey(value), known->revision, adapters::toWire(chains).SerializeAsString()}};
+            {tenureKey(value), stored->revision, adapters::toWire(chains).SerializeAsString()}};
         const auto done = m_store.write(write, kCallTimeout);
         if (!done || !*done)
             continue;
-        tell(members, chains);
+        sendChains(members, chains);
         return true;
     }
     return false;
 }
 
 // Waits for the next period; false when the duty is being stopped.
-bool TenureDuty::pause()
+bool TenureService::waitForNextPeriod()
 {
     std::unique_lock lock(m_mutex);
-    const bool known = !m_members.empty();
-    m_wake.wait_for(lock, m_limits.period,
-                    [&] { return m_stopping || (!known && !m_members.empty()); });
+    const bool hadMembers = !m_members.empty();
+    m_wake.wait_for(lock, m_timings.period,
+                    [&] { return m_stopping || (!hadMembers && !m_members.empty()); });
     return !m_stopping;
 }
 
--- a/src/apps/controld/tenure_duty.hpp
+++ b/src/apps/controld/tenure_service.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_APPS_CONTROLD_TENURE_DUTY_HPP_INCLUDED
-#define FORDWOOD_APPS_CONTROLD_TENURE_DUTY_HPP_INCLUDED
+#ifndef FORDWOOD_APPS_CONTROLD_TENURE_SERVICE_HPP_INCLUDED
+#define FORDWOOD_APPS_CONTROLD_TENURE_SERVICE_HPP_INCLUDED
 
 #include <condition_variable>
 #include <map>
@@ -24,8 +24,8 @@
 {
 public:
     virtual ~TenureListener() = default;
-    virtual void chainsLearned(std::map<std::uint32_t, TenureChain> chains) = 0;
-    virtual void keysHanded(HandedKeys keys) = 0;
+    virtual void onChainsReceived(std::map<std::uint32_t, TenureChain> chains) = 0;
+    virtual void onKeysReceived(HandedKeys keys) = 0;
 };
 
 // A process that may hold tenures, and where it is reached.
@@ -39,12 +39,12 @@
 // the holders. The writes do not grow with the fleet: each value is written once in a period, by
 // one node. Two nodes that both think a value falls to them cost a write that fails and nothing
 // else.
-class TenureDuty : public wire::Keys::CallbackService
+class TenureService : public wire::Keys::CallbackService
 {
 public:
-    TenureDuty(const std::string &storeAddress, std::string self, const Clock &clock,
-               TenureListener &listener, adapters::Metrics &metrics);
-    ~TenureDuty() override;
+    TenureService(const std::string &storeAddress, std::string self, const Clock &clock,
+                  TenureListener &listener, adapters::Metrics &metrics);
+    ~TenureService() override;
 
     void start();
     void stop();
@@ -68,7 +68,7 @@
                                        wire::LearnReply *reply) override;
 
 private:
-    struct Known // a stored value
+    struct StoredChains // a stored value
     {
         std::map<std::uint32_t, TenureChain> chains;
         std::int64_t revision = 0;
@@ -80,18 +80,18 @@
                        const std::vector<TenureMember> &members,
                        const std::function<KeyHolder(std::uint32_t)> &successor);
     wire::Keys::Stub &stubOf(const std::string &address);
-    void extend(std::uint32_t value, const std::vector<TenureMember> &members);
-    std::optional<Known> read(std::uint32_t value);
-    void tell(const std::vector<TenureMember> &members,
-              const std::map<std::uint32_t, TenureChain> &chains);
-    bool pause();
+    void extendValue(std::uint32_t value, const std::vector<TenureMember> &members);
+    std::optional<StoredChains> read(std::uint32_t value);
+    void sendChains(const std::vector<TenureMember> &members,
+                    const std::map<std::uint32_t, TenureChain> &chains);
+    bool waitForNextPeriod();
 
     adapters::EtcdStore m_store;
     const std::string m_self;
     const Clock &m_clock;
     TenureListener &m_listener;
     adapters::Metrics &m_metrics;
-    TenureTimings m_limits;
+    TenureTimings m_timings;
     std::map<std::string, std::unique_ptr<wire::Keys::Stub>> m_stubs; // by address
     std::thread m_thread;
     std::mutex m_mutex;
@@ -102,4 +102,4 @@
 
 } // namespace fordwood::apps
 
-#endif // FORDWOOD_APPS_CONTROLD_TENURE_DUTY_HPP_INCLUDED
+#endif // FORDWOOD_APPS_CONTROLD_TENURE_SERVICE_HPP_INCLUDED
--- a/src/apps/controld/load_duty.cpp
+++ b/src/apps/controld/weight_loader.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "apps/controld/load_duty.hpp"
+#include "apps/controld/weight_loader.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -20,7 +20,7 @@
 constexpr Duration kStoreTimeout = std::chrono::seconds(2);
 constexpr Duration kEngineTimeout = std::chrono::seconds(1);
 
-std::optional<EngineState> engineState(const std::string &body)
+std::optional<EngineState> parseEngineState(const std::string &body)
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object())
@@ -38,23 +38,24 @@
 
 } // namespace
 
-LoadDuty::LoadDuty(const std::string &storeAddress, const std::string &node, std::uint64_t boot,
-                   const Clock &clock, LoadListener &listener, adapters::Metrics &metrics)
+WeightLoader::WeightLoader(const std::string &storeAddress, const std::string &node,
+                           std::uint64_t boot, const Clock &clock, WeightLoadListener &listener,
+                           adapters::Metrics &metrics)
     : m_store(storeAddress), m_clock(clock), m_listener(listener), m_metrics(metrics),
       m_planner(node, boot, clock, {}, stableHash(node, boot))
 { }
 
-LoadDuty::~LoadDuty()
+WeightLoader::~WeightLoader()
 {
     stop();
 }
 
-void LoadDuty::start()
+void WeightLoader::start()
 {
     m_thread = std::thread([this] { run(); });
 }
 
-void LoadDuty::stop()
+void WeightLoader::stop()
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -65,51 +66,51 @@
         m_thread.join();
 }
 
-void LoadDuty::setPlan(Plan plan)
+void WeightLoader::setPlan(Plan plan)
 {
     const std::lock_guard lock(m_mutex);
-    m_plan = std::move(plan);
+    m_newPlan = std::move(plan);
     m_wake.notify_all();
 }
 
-void LoadDuty::run()
+void WeightLoader::run()
 {
-    while (pause()) {
+    while (waitForWork()) {
         std::optional<Plan> plan;
         {
             const std::lock_guard lock(m_mutex);
-            plan.swap(m_plan);
+            plan.swap(m_newPlan);
         }
         if (plan)
-            m_planner.setTargets(std::move(plan->targets), plan->configVersion, plan->mostAtOnce,
-                                 plan->members);
+            m_planner.setTargets(std::move(plan->targets), plan->configVersion,
+                                 plan->maxConcurrentLoads, plan->members);
         m_planner.tick();
         for (auto actions = m_planner.takeActions(); !actions.empty();
              actions = m_planner.takeActions()) {
             for (const LoadAction &action : actions)
-                std::visit([this](const auto &it) { carryOut(it); }, action);
+                std::visit([this](const auto &it) { execute(it); }, action);
         }
         m_metrics.setGauge("fordwood_loads_pending", static_cast<double>(m_planner.pendingLoads()));
     }
 }
 
 // Waits for the next period or plan; false when the duty is being stopped.
-bool LoadDuty::pause()
+bool WeightLoader::waitForWork()
 {
     std::unique_lock lock(m_mutex);
-    m_wake.wait_for(lock, kPeriod, [&] { return m_stopping || m_plan; });
+    m_wake.wait_for(lock, kPeriod, [&] { return m_stopping || m_newPlan; });
     return !m_stopping;
 }
 
-void LoadDuty::carryOut(const ReadEngine &action)
+void WeightLoader::execute(const ReadEngine &action)
 {
     const auto answer = adapters::httpGet("http://" + action.address + "/load", kEngineTimeout);
     if (!answer)
         m_metrics.count("fordwood_engine_reads_failed_total");
-    m_planner.engineRead(action.upstream, answer ? engineState(answer->body) : std::nullopt);
+    m_planner.engineRead(action.upstream, answer ? parseEngineState(answer->body) : std::nullopt);
 }
 
-void LoadDuty::carryOut(const ReadLoadTable &)
+void WeightLoader::execute(const ReadLoadTable &)
 {
     m_metrics.count("fordwood_platform_reads_total");
     const auto stored = m_store.get(kLoadTableKey, kStoreTimeout);
@@ -125,16 +126,16 @@
     m_planner.tableRead(WeightLoadPlanner::StoredTable{std::move(*table), (*stored)->revision});
 }
 
-void LoadDuty::carryOut(const SwapLoadTable &action)
+void WeightLoader::execute(const SwapLoadTable &action)
 {
     m_metrics.count("fordwood_load_slot_writes_total");
-    const auto done = m_store.write(
+    const auto swapped = m_store.write(
         {{kLoadTableKey, action.expectedRevision, adapters::encodeLoadTable(action.table)}},
         kStoreTimeout);
-    m_planner.tableSwapped(done ? std::optional(*done) : std::nullopt);
+    m_planner.tableSwapped(swapped ? std::optional(*swapped) : std::nullopt);
 }
 
-void LoadDuty::carryOut(const OrderLoad &action)
+void WeightLoader::execute(const OrderLoad &action)
 {
     if (m_clock.now() < action.sendBy) {
         m_metrics.count("fordwood_load_orders_total");
@@ -154,9 +155,9 @@
     m_planner.orderEnded(action.upstream);
 }
 
-void LoadDuty::carryOut(const HoldEngine &action)
+void WeightLoader::execute(const HoldEngine &action)
 {
-    m_listener.engineHeld(action.upstream, action.held);
+    m_listener.onEnginePaused(action.upstream, action.held);
 }
 
 } // namespace fordwood::apps
--- a/src/apps/controld/load_duty.hpp
+++ b/src/apps/controld/weight_loader.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_APPS_CONTROLD_LOAD_DUTY_HPP_INCLUDED
-#define FORDWOOD_APPS_CONTROLD_LOAD_DUTY_HPP_INCLUDED
+#ifndef FORDWOOD_APPS_CONTROLD_WEIGHT_LOADER_HPP_INCLUDED
+#define FORDWOOD_APPS_CONTROLD_WEIGHT_LOADER_HPP_INCLUDED
 
 #include <condition_variable>
 #include <mutex>
@@ -16,29 +16,29 @@
 namespace fordwood::apps {
 
 // What the control duty hears of the engines' weights. Called from the load duty's thread.
-class LoadListener
+class WeightLoadListener
 {
 public:
-    virtual ~LoadListener() = default;
-    virtual void engineHeld(const std::string &upstream, bool held) = 0;
+    virtual ~WeightLoadListener() = default;
+    virtual void onEnginePaused(const std::string &upstream, bool isPaused) = 0;
 };
 
 // Carries out what the load planner decides, on one thread: looks at the owned engines, takes load
 // slots in the platform, orders engines to load. Every call blocks, and each has a time limit.
-class LoadDuty
+class WeightLoader
 {
 public:
     struct Plan
     {
         std::vector<LoadTarget> targets;
         std::uint64_t configVersion = 0;
-        std::size_t mostAtOnce = 1;
+        std::size_t maxConcurrentLoads = 1;
         std::size_t members = 1;
     };
 
-    LoadDuty(const std::string &storeAddress, const std::string &node, std::uint64_t boot,
-             const Clock &clock, LoadListener &listener, adapters::Metrics &metrics);
-    ~LoadDuty();
+    WeightLoader(const std::string &storeAddress, const std::string &node, std::uint64_t boot,
+                 const Clock &clock, WeightLoadListener &listener, adapters::Metrics &metrics);
+    ~WeightLoader();
 
     void start();
     void stop();
@@ -48,25 +48,25 @@
 
 private:
     void run();
-    bool pause();
-    void carryOut(const ReadEngine &action);
-    void carryOut(const ReadLoadTable &action);
-    void carryOut(const SwapLoadTable &action);
-    void carryOut(const OrderLoad &action);
-    void carryOut(const HoldEngine &action);
+    bool waitForWork();
+    void execute(const ReadEngine &action);
+    void execute(const ReadLoadTable &action);
+    void execute(const SwapLoadTable &action);
+    void execute(const OrderLoad &action);
+    void execute(const HoldEngine &action);
 
     adapters::EtcdStore m_store;
     const Clock &m_clock;
-    LoadListener &m_listener;
+    WeightLoadListener &m_listener;
     adapters::Metrics &m_metrics;
     WeightLoadPlanner m_planner; // of the duty's thread alone
     std::thread m_thread;
     std::mutex m_mutex;
     std::condition_variable m_wake;
-    std::optional<Plan> m_plan; // not yet taken by the thread
+    std::optional<Plan> m_newPlan; // not yet taken by the thread
     bool m_stopping = false;
 };
 
 } // namespace fordwood::apps
 
-#endif // FORDWOOD_APPS_CONTROLD_LOAD_DUTY_HPP_INCLUDED
+#endif // FORDWOOD_APPS_CONTROLD_WEIGHT_LOADER_HPP_INCLUDED
--- a/src/apps/entryd/entry_node.cpp
+++ b/src/apps/entryd/entry_node.cpp
@@ -70,7 +70,7 @@
 {
     m_unready = true;
     std::this_thread::sleep_for(m_settings.entry.stopNotice);
-    pushSurely(StopEvent{});
+    pushBlocking(StopEvent{});
 }
 
 void EntryNode::finishStop()
@@ -139,7 +139,7 @@
 
 void EntryNode::callerLeft(CallId call)
 {
-    pushSurely(LeftEvent{call});
+    pushBlocking(LeftEvent{call});
 }
 
 void EntryNode::exchangeEnded(CallId)
@@ -159,7 +159,7 @@
 
 void EntryNode::claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer)
 {
-    pushSurely(ClaimEvent{claimId, answer});
+    pushBlocking(ClaimEvent{claimId, answer});
 }
 
 void EntryNode::allowanceAnswered(const std::string &team, std::uint64_t requestId,
@@ -172,17 +172,17 @@
 
 void EntryNode::streamLost(const std::string &owner, std::uint64_t stream)
 {
-    pushSurely(StreamLostEvent{owner, stream});
+    pushBlocking(StreamLostEvent{owner, stream});
 }
 
 void EntryNode::attemptFinished(CallId call, unsigned attempt, double cost, StoredAnswer answer)
 {
-    pushSurely(FinishedEvent{call, attempt, cost, std::move(answer)});
+    pushBlocking(FinishedEvent{call, attempt, cost, std::move(answer)});
 }
 
 void EntryNode::attemptFailed(CallId call, unsigned attempt, const AttemptFailure &failure)
 {
-    pushSurely(FailedEvent{call, attempt, failure});
+    pushBlocking(FailedEvent{call, attempt, failure});
 }
 
 void EntryNode::limitRead(CallId call, unsigned attempt, const ParsedLimit &limit)
@@ -242,13 +242,13 @@
         logEvent(Event::ConfigurationApplied, {{"version", view->version()}});
     m_metrics.setGauge("fordwood_configuration_version", static_cast<double>(view->version()));
     m_metrics.setGauge("fordwood_leaving_upstreams", static_cast<double>(view->leaving().size()));
-    pushSurely(StateEvent{state});
+    pushBlocking(StateEvent{state});
     m_ready = true;
 }
 
 // For events that must not be lost. The ring is sized so that it takes them; should it ever be
 // full, the thread waits rather than lose the end of a call.
-void EntryNode::pushSurely(const EntryEvent &event)
+void EntryNode::pushBlocking(const EntryEvent &event)
 {
     while (!m_ring.tryPush(event) && !m_stopping)
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
--- a/src/apps/entryd/entry_node.hpp
+++ b/src/apps/entryd/entry_node.hpp
@@ -130,7 +130,7 @@
     adapters::DirectAnswer operatorAnswer(const std::string &path);
     adapters::DirectAnswer refusal(Verdict verdict, bool keyed);
     void takeSnapshot(const wire::Snapshot &snapshot);
-    void pushSurely(const EntryEvent &event);
+    void pushBlocking(const EntryEvent &event);
 
     // On the dispatch thread
     void runDispatch();
