--- a/src/apps/entryd/api.cpp
+++ b/src/apps/entryd/api.cpp
@@ -17,21 +17,21 @@
 namespace {
 
 using Json = nlohmann::json;
-using Understood = tl::expected<std::variant<Interpreted, adapters::DirectAnswer>, Verdict>;
+using ParseResult = tl::expected<std::variant<ParsedRequest, adapters::DirectAnswer>, Verdict>;
 
 constexpr double kBytesPerToken = 4.0;
 constexpr double kDefaultNewTokens = 256.0;
-constexpr double kMostNewTokens = 1e6;
+constexpr double kMaxNewTokens = 1e6;
 constexpr std::size_t kPrefixBytes = 1024; // of a plain prompt that decide its upstream
 constexpr int kPriorityBound = 100;
 
-tl::unexpected<Verdict> refuse(Reason reason, std::string detail = {})
+tl::unexpected<Verdict> reject(Reason reason, std::string detail = {})
 {
     return tl::make_unexpected(Verdict::of(reason, std::move(detail)));
 }
 
 // Headers that are not passed on to plain services.
-bool isWithheld(std::string_view name)
+bool isNotForwarded(std::string_view name)
 {
     static constexpr std::array kNames{
         "authorization", "host", "connection", "content-length", "expect",    "transfer-encoding",
@@ -43,7 +43,7 @@
            || std::find(kNames.begin(), kNames.end(), lower) != kNames.end();
 }
 
-const TeamConfig *teamOf(const ServingState &state, const adapters::CallerMessage &message)
+const TeamConfig *findTeam(const ServingState &state, const adapters::CallerMessage &message)
 {
     constexpr std::string_view kBearer = "Bearer ";
     const std::string header = message.header("Authorization");
@@ -53,9 +53,10 @@
 }
 
 // Reads what any request may say in headers: deadline, priority, repeatable.
-tl::expected<CallRequest, Verdict> commonFields(const ServingState &state, const TeamConfig &team,
-                                                const adapters::CallerMessage &message,
-                                                TimePoint now)
+tl::expected<CallRequest, Verdict> parseCommonFields(const ServingState &state,
+                                                     const TeamConfig &team,
+                                                     const adapters::CallerMessage &message,
+                                                     TimePoint now)
 {
     const LimitsConfig &limits = state.view->configuration().limits;
     CallRequest call;
@@ -63,68 +64,68 @@
     call.priority = team.priority;
     const std::string host = message.header("Host");
     call.fingerprint = fingerprintOf({message.method, host, message.path, team.name, message.body});
-    Duration left = limits.defaultDeadline;
+    Duration remaining = limits.defaultDeadline;
     const std::string deadline = message.header("Fordwood-Deadline");
     if (!deadline.empty()) {
         const auto span = config::parseSpan(deadline);
         if (!span || *span <= Duration::zero())
-            return refuse(Reason::InvalidField, "Fordwood-Deadline: is \"" + deadline
+            return reject(Reason::InvalidField, "Fordwood-Deadline: is \"" + deadline
                                                     + "\", expected a span like \"5s\".");
-        left = std::min(*span, limits.maxDeadline);
+        remaining = std::min(*span, limits.maxDeadline);
     }
-    call.deadline = now + left;
+    call.deadline = now + remaining;
     const std::string priority = message.header("Fordwood-Priority");
     if (!priority.empty()) {
         int value = 0;
         const char *end = priority.data() + priority.size();
         const auto [rest, ec] = std::from_chars(priority.data(), end, value);
         if (ec != std::errc() || rest != end || std::abs(value) > kPriorityBound)
-            return refuse(Reason::InvalidField,
+            return reject(Reason::InvalidField,
                           "Fordwood-Priority: is \"" + priority
                               + "\", expected a whole number from -100 to 100.");
         call.priority = value;
     }
     const std::string repeatable = message.header("Fordwood-Repeatable");
     if (!repeatable.empty() && repeatable != "true" && repeatable != "false")
-        return refuse(Reason::InvalidField, "Fordwood-Repeatable: is \"" + repeatable
+        return reject(Reason::InvalidField, "Fordwood-Repeatable: is \"" + repeatable
                                                 + "\", expected \"true\" or \"false\".");
     call.repeatable = repeatable != "false";
     const std::string key = message.header("Idempotency-Key");
     if (!key.empty()) {
         const auto issued = issueTimeOf(key);
         if (!issued)
-            return refuse(Reason::InvalidKey, "Idempotency-Key: is \"" + key + "\".");
+            return reject(Reason::InvalidKey, "Idempotency-Key: is \"" + key + "\".");
         call.key = IdempotencyKey{team.name, key, *issued};
         call.repeatable = false;
     }
     return call;
 }
 
-std::string problemWithMessages(const Json &body)
+std::string validateMessages(const Json &body)
 {
     if (!body.contains("messages") || !body["messages"].is_array() || body["messages"].empty())
         return "messages: expected a list of messages.";
     std::size_t n = 0;
     for (const Json &it : body["messages"]) {
-        const std::string place = "messages[" + std::to_string(n++) + "]";
+        const std::string field = "messages[" + std::to_string(n++) + "]";
         if (!it.is_object())
-            return place + ": expected an object.";
+            return field + ": expected an object.";
         if (!it.contains("role") || !it["role"].is_string())
-            return place + ".role: expected a text.";
+            return field + ".role: expected a text.";
         if (!it.contains("content") || !(it["content"].is_string() || it["content"].is_array()))
-            return place + ".content: expected a text or a list of parts.";
+            return field + ".content: expected a text or a list of parts.";
     }
     return "";
 }
 
-std::string problemWithPrompt(const Json &body)
+std::string validatePrompt(const Json &body)
 {
     if (!body.contains("prompt") || !body["prompt"].is_string())
         return "prompt: expected a text.";
     return "";
 }
 
-std::string problemWithOptions(const Json &body)
+std::string validateOptions(const Json &body)
 {
     if (body.contains("stream") && !body["stream"].is_boolean())
         return "stream: expected true or false.";
@@ -132,14 +133,15 @@
         return "cache_salt: is set by the system and may not be given.";
     if (!body.contains("max_tokens"))
         return "";
-    const Json &most = body["max_tokens"];
-    if (!most.is_number_integer() || most.get<double>() < 1 || most.get<double>() > kMostNewTokens)
+    const Json &maxTokens = body["max_tokens"];
+    if (!maxTokens.is_number_integer() || maxTokens.get<double>() < 1
+        || maxTokens.get<double>() > kMaxNewTokens)
         return "max_tokens: expected a whole number from 1 to 1000000.";
     return "";
 }
 
 // The part of a prompt that its follow-ups share: the first message, or the beginning of a text.
-std::string sharedPart(const Json &body, bool chat)
+std::string sharedPrefix(const Json &body, bool chat)
 {
     if (chat)
         return body["messages"][0].dump();
@@ -159,7 +161,8 @@
 }
 
 // Makes a request ask for a weight version, in its headers and in the salt.
-void stamp(adapters::UpstreamRequest &request, const std::string &version, const std::string &salt)
+void setVersionAndSalt(adapters::UpstreamRequest &request, const std::string &version,
+                       const std::string &salt)
 {
     constexpr std::string_view kHeader = "X-Weight-Version";
     std::erase_if(request.headers, [&](const auto &it) { return it.first == kHeader; });
@@ -174,43 +177,43 @@
     request.weightVersion = version;
 }
 
-Understood interpretCompletion(const ServingState &state, const TeamConfig &team,
-                               adapters::CallerMessage message, TimePoint now, bool chat)
+ParseResult parseCompletion(const ServingState &state, const TeamConfig &team,
+                            adapters::CallerMessage message, TimePoint now, bool chat)
 {
     if (message.method != "POST")
-        return refuse(Reason::MethodNotAllowed);
-    auto call = commonFields(state, team, message, now);
+        return reject(Reason::MethodNotAllowed);
+    auto call = parseCommonFields(state, team, message, now);
     if (!call)
         return tl::make_unexpected(call.error());
     const Json body = Json::parse(message.body, nullptr, false);
     if (body.is_discarded())
-        return refuse(Reason::InvalidJson);
+        return reject(Reason::InvalidJson);
     if (!body.is_object())
-        return refuse(Reason::InvalidField, "The body: expected an object.");
+        return reject(Reason::InvalidField, "The body: expected an object.");
     if (!body.contains("model") || !body["model"].is_string())
-        return refuse(Reason::InvalidField, "model: expected a text.");
-    std::string problem = chat ? problemWithMessages(body) : problemWithPrompt(body);
+        return reject(Reason::InvalidField, "model: expected a text.");
+    std::string problem = chat ? validateMessages(body) : validatePrompt(body);
     if (problem.empty())
-        problem = problemWithOptions(body);
+        problem = validateOptions(body);
     if (!problem.empty())
-        return refuse(Reason::InvalidField, problem);
+        return reject(Reason::InvalidField, problem);
     const auto &models = state.view->configuration().models;
     const auto model = models.find(body["model"].get<std::string>());
     if (model == models.end())
-        return refuse(Reason::UnknownModel, "model: \"" + body["model"].get<std::string>() + "\".");
+        return reject(Reason::UnknownModel, "model: \"" + body["model"].get<std::string>() + "\".");
 
-    Interpreted result;
+    ParsedRequest result;
     result.call = *call;
     result.call.kind = CallKind::Completion;
     result.call.target = model->first;
     result.call.weightVersion = model->second.weightVersion;
     const std::string salt = cacheSalt(call->team, model->first, model->second.weightVersion);
-    const std::string shared = sharedPart(body, chat);
-    result.call.prefixHash = stableHash(shared, stableHash(salt));
-    const std::size_t sharedBytes = chat ? shared.size() : message.body.size();
-    result.call.contextTokens = tokensOf(sharedBytes);
+    const std::string prefixText = sharedPrefix(body, chat);
+    result.call.prefixHash = stableHash(prefixText, stableHash(salt));
+    const std::size_t prefixBytes = chat ? prefixText.size() : message.body.size();
+    result.call.contextTokens = tokensOf(prefixBytes);
     result.call.questionTokens
-        = tokensOf(message.body.size() - std::min(message.body.size(), sharedBytes));
+        = tokensOf(message.body.size() - std::min(message.body.size(), prefixBytes));
     result.call.cost = static_cast<double>(message.body.size()) / kBytesPerToken
                        + body.value("max_tokens", kDefaultNewTokens);
     result.upstream.path = message.path;
@@ -219,45 +222,45 @@
     if (!requestId.empty())
         result.upstream.headers.emplace_back("X-Request-Id", requestId);
     result.upstream.body = std::move(message.body);
-    stamp(result.upstream, model->second.weightVersion, salt);
-    return std::variant<Interpreted, adapters::DirectAnswer>(std::move(result));
+    setVersionAndSalt(result.upstream, model->second.weightVersion, salt);
+    return std::variant<ParsedRequest, adapters::DirectAnswer>(std::move(result));
 }
 
-Understood listModels(const ServingState &state)
+ParseResult listModels(const ServingState &state)
 {
     Json list{{"object", "list"}, {"data", Json::array()}};
     for (const auto &[name, model] : state.view->configuration().models)
         list["data"].push_back({{"id", name}, {"object", "model"}, {"owned_by", "fordwood"}});
     adapters::DirectAnswer answer;
     answer.body = list.dump();
-    return std::variant<Interpreted, adapters::DirectAnswer>(std::move(answer));
+    return std::variant<ParsedRequest, adapters::DirectAnswer>(std::move(answer));
 }
 
 // The route with the longest path that the request's path begins with, at a segment's border.
-const RouteConfig *routeOf(const Configuration &configuration, const std::string &path)
+const RouteConfig *findRoute(const Configuration &configuration, const std::string &path)
 {
     const RouteConfig *best = nullptr;
     for (const auto &[prefix, route] : configuration.routes) {
-        const bool begins = path.rfind(prefix, 0) == 0;
-        const bool border = path.size() == prefix.size() || prefix.back() == '/'
-                            || path[std::min(prefix.size(), path.size() - 1)] == '/'
-                            || path[std::min(prefix.size(), path.size() - 1)] == '?';
-        if (begins && border && (best == nullptr || prefix.size() > best->path.size()))
+        const bool hasPrefix = path.rfind(prefix, 0) == 0;
+        const bool isAtBoundary = path.size() == prefix.size() || prefix.back() == '/'
+                                  || path[std::min(prefix.size(), path.size() - 1)] == '/'
+                                  || path[std::min(prefix.size(), path.size() - 1)] == '?';
+        if (hasPrefix && isAtBoundary && (best == nullptr || prefix.size() > best->path.size()))
             best = &route;
     }
     return best;
 }
 
-Understood interpretService(const ServingState &state, const TeamConfig &team,
-                            adapters::CallerMessage message, TimePoint now)
+ParseResult parseServiceCall(const ServingState &state, const TeamConfig &team,
+                             adapters::CallerMessage message, TimePoint now)
 {
-    const RouteConfig *route = routeOf(state.view->configuration(), message.path);
+    const RouteConfig *route = findRoute(state.view->configuration(), message.path);
     if (route == nullptr)
-        return refuse(Reason::UnknownRoute);
-    auto call = commonFields(state, team, message, now);
+        return reject(Reason::UnknownRoute);
+    auto call = parseCommonFields(state, team, message, now);
     if (!call)
         return tl::make_unexpected(call.error());
-    Interpreted result;
+    ParsedRequest result;
     result.call = *call;
     result.call.kind = CallKind::Service;
     result.call.target = route->service;
@@ -266,37 +269,37 @@
     result.upstream.method = message.method;
     result.upstream.path = message.path;
     for (const auto &[name, value] : message.headers) {
-        if (!isWithheld(name))
+        if (!isNotForwarded(name))
             result.upstream.headers.emplace_back(name, value);
     }
     result.upstream.headers.emplace_back("X-Team", team.name);
     result.upstream.body = std::move(message.body);
-    return std::variant<Interpreted, adapters::DirectAnswer>(std::move(result));
+    return std::variant<ParsedRequest, adapters::DirectAnswer>(std::move(result));
 }
 
 } // namespace
 
-void stampWeightVersion(adapters::UpstreamRequest &request, const CallRequest &call,
-                        const std::string &version)
+void setWeightVersion(adapters::UpstreamRequest &request, const CallRequest &call,
+                      const std::string &version)
 {
     if (request.weightVersion != version)
-        stamp(request, version, cacheSalt(call.team, call.target, version));
+        setVersionAndSalt(request, version, cacheSalt(call.team, call.target, version));
 }
 
-tl::expected<std::variant<Interpreted, adapters::DirectAnswer>, Verdict>
-interpret(const ServingState &state, adapters::CallerMessage message, TimePoint now)
+tl::expected<std::variant<ParsedRequest, adapters::DirectAnswer>, Verdict>
+parseRequest(const ServingState &state, adapters::CallerMessage message, TimePoint now)
 {
-    const TeamConfig *team = teamOf(state, message);
+    const TeamConfig *team = findTeam(state, message);
     if (team == nullptr)
-        return refuse(Reason::UnknownTeam);
+        return reject(Reason::UnknownTeam);
     const std::string path = message.path.substr(0, message.path.find('?'));
     if (path == "/v1/models")
-        return message.method == "GET" ? listModels(state) : refuse(Reason::MethodNotAllowed);
+        return message.method == "GET" ? listModels(state) : reject(Reason::MethodNotAllowed);
     if (path == "/v1/chat/completions")
-        return interpretCompletion(state, *team, std::move(message), now, true);
+        return parseCompletion(state, *team, std::move(message), now, true);
     if (path == "/v1/completions")
-        return interpretCompletion(state, *team, std::move(message), now, false);
-    return interpretService(state, *team, std::move(message), now);
+        return parseCompletion(state, *team, std::move(message), now, false);
+    return parseServiceCall(state, *team, std::move(message), now);
 }
 
 } // namespace fordwood::apps
--- a/src/apps/entryd/api.hpp
+++ b/src/apps/entryd/api.hpp
@@ -27,7 +27,7 @@
 };
 
 // A caller's request, understood.
-struct Interpreted
+struct ParsedRequest
 {
     CallRequest call; // without its id
     adapters::UpstreamRequest upstream;
@@ -35,13 +35,13 @@
 
 // Makes a completion's request ask for a weight version, in its headers and in the salt that keeps
 // the contexts of teams and weight versions apart.
-void stampWeightVersion(adapters::UpstreamRequest &request, const CallRequest &call,
-                        const std::string &version);
+void setWeightVersion(adapters::UpstreamRequest &request, const CallRequest &call,
+                      const std::string &version);
 
 // Understands a caller's request: who asks, for what, until when, and what is sent upstream.
 // Gives an answer at once where no upstream is needed, and a verdict where it is refused.
-tl::expected<std::variant<Interpreted, adapters::DirectAnswer>, Verdict>
-interpret(const ServingState &state, adapters::CallerMessage message, TimePoint now);
+tl::expected<std::variant<ParsedRequest, adapters::DirectAnswer>, Verdict>
+parseRequest(const ServingState &state, adapters::CallerMessage message, TimePoint now);
 
 } // namespace fordwood::apps
 
--- a/src/apps/entryd/entry_node.cpp
+++ b/src/apps/entryd/entry_node.cpp
@@ -14,11 +14,11 @@
 
 constexpr Duration kTick = std::chrono::milliseconds(10);
 constexpr Duration kIdleWait = std::chrono::milliseconds(200);
-constexpr Duration kStopStep = std::chrono::milliseconds(20);
+constexpr Duration kStopPoll = std::chrono::milliseconds(20);
 constexpr std::size_t kEventsPerRound = 256;
 // No call has more events under way than this, so that the ring cannot fill up with them.
 constexpr std::size_t kEventsPerCall = 8;
-constexpr std::chrono::milliseconds kRetrySoon{500};
+constexpr std::chrono::milliseconds kRetryDelay{500};
 
 DispatcherLimits limitsOf(const config::Settings &settings)
 {
@@ -56,7 +56,7 @@
             [&](const wire::Snapshot &snapshot) {
                 if (std::exchange(lost, false))
                     logEvent(Event::ControlBack);
-                takeSnapshot(snapshot);
+                applySnapshot(snapshot);
             },
             [&](const std::string &why) {
                 if (!std::exchange(lost, true))
@@ -68,7 +68,7 @@
 
 void EntryNode::beginStop()
 {
-    m_unready = true;
+    m_stopBegan = true;
     std::this_thread::sleep_for(m_settings.entry.stopNotice);
     pushBlocking(StopEvent{});
 }
@@ -76,11 +76,11 @@
 void EntryNode::finishStop()
 {
     const TimePoint begin = m_clock.now();
-    const Duration most = m_settings.entry.stopTimeout;
-    while (m_inFlight > 0 || m_openCalls > 0) { // a keyed call may outlive its caller
-        if (most > Duration::zero() && m_clock.now() - begin > most)
+    const Duration stopTimeout = m_settings.entry.stopTimeout;
+    while (m_inFlight > 0 || m_openCallCount > 0) { // a keyed call may outlive its caller
+        if (stopTimeout > Duration::zero() && m_clock.now() - begin > stopTimeout)
             break;
-        std::this_thread::sleep_for(kStopStep);
+        std::this_thread::sleep_for(kStopPoll);
     }
     m_callers.stopListening();
     m_callers.stop();
@@ -99,24 +99,25 @@
     if (message.path == "/healthz" || message.path == "/readyz" || message.path == "/metrics")
         return operatorAnswer(message.path);
     m_metrics.count("fordwood_requests_total");
-    const bool keyed = !message.header("Idempotency-Key").empty();
+    const bool hasKey = !message.header("Idempotency-Key").empty();
     const auto state = m_state.load();
     if (!state)
-        return refusal(Verdict::of(Reason::NotReady, {}, kRetrySoon), keyed);
+        return rejectionAnswer(Verdict::of(Reason::NotReady, {}, kRetryDelay), hasKey);
     if (m_inFlight >= m_settings.entry.maxInFlight)
-        return refusal(Verdict::of(Reason::InFlightLimit, {}, kRetrySoon), keyed);
-    auto understood = interpret(*state, std::move(message), m_clock.now());
-    if (!understood)
-        return refusal(understood.error(), keyed);
-    if (auto *answer = std::get_if<adapters::DirectAnswer>(&*understood))
+        return rejectionAnswer(Verdict::of(Reason::InFlightLimit, {}, kRetryDelay), hasKey);
+    auto parsed = parseRequest(*state, std::move(message), m_clock.now());
+    if (!parsed)
+        return rejectionAnswer(parsed.error(), hasKey);
+    if (auto *answer = std::get_if<adapters::DirectAnswer>(&*parsed))
         return std::move(*answer);
-    auto &interpreted = std::get<Interpreted>(*understood);
-    interpreted.call.id = m_nextCall++;
-    auto exchange = std::make_shared<adapters::Exchange>(
-        interpreted.call.id, std::move(interpreted.upstream), m_settings.entry.answerBufferBytes);
+    auto &parsedRequest = std::get<ParsedRequest>(*parsed);
+    parsedRequest.call.id = m_nextCall++;
+    auto exchange = std::make_shared<adapters::Exchange>(parsedRequest.call.id,
+                                                         std::move(parsedRequest.upstream),
+                                                         m_settings.entry.answerBufferBytes);
     ++m_inFlight;
-    const std::lock_guard lock(m_understoodMutex);
-    m_understood.emplace(interpreted.call.id, std::move(interpreted.call));
+    const std::lock_guard lock(m_unsubmittedMutex);
+    m_unsubmitted.emplace(parsedRequest.call.id, std::move(parsedRequest.call));
     return exchange;
 }
 
@@ -124,22 +125,22 @@
 {
     CallRequest request;
     {
-        const std::lock_guard lock(m_understoodMutex);
-        request = std::move(m_understood.extract(exchange->id()).mapped());
+        const std::lock_guard lock(m_unsubmittedMutex);
+        request = std::move(m_unsubmitted.extract(exchange->id()).mapped());
     }
-    const bool keyed = request.key.has_value();
+    const bool hasKey = request.key.has_value();
     if (m_ring.tryPush(BeginEvent{std::move(request), exchange}))
         return;
     m_metrics.countRefusal(Reason::RingFull);
-    Verdict verdict = Verdict::of(Reason::RingFull, {}, kRetrySoon);
-    if (keyed)
+    Verdict verdict = Verdict::of(Reason::RingFull, {}, kRetryDelay);
+    if (hasKey)
         verdict.state = RunState::MayHaveRun;
     exchange->refuse(verdict);
 }
 
 void EntryNode::callerLeft(CallId call)
 {
-    pushBlocking(LeftEvent{call});
+    pushBlocking(CallerLeftEvent{call});
 }
 
 void EntryNode::exchangeEnded(CallId)
@@ -208,26 +209,26 @@
     }
     if (path == "/healthz")
         return {200, "text/plain", "ok\n", {}};
-    if (m_unready)
+    if (m_stopBegan)
         return {503, "text/plain", "stopping\n", {}};
     if (!m_ready)
         return {503, "text/plain", "no configuration yet\n", {}};
     return {200, "text/plain", "ready\n", {}};
 }
 
-adapters::DirectAnswer EntryNode::refusal(Verdict verdict, bool keyed)
+adapters::DirectAnswer EntryNode::rejectionAnswer(Verdict verdict, bool hasKey)
 {
     // With a key the verdict speaks of the key: an earlier send of it may have run. Requests that
     // are wrong in themselves were refused before, too.
-    constexpr int kTooMany = 429;
+    constexpr int kTooManyRequests = 429;
     const int status = info(verdict.reason).httpStatus;
-    if (keyed && (status >= 500 || status == kTooMany))
+    if (hasKey && (status >= 500 || status == kTooManyRequests))
         verdict.state = RunState::MayHaveRun;
     m_metrics.countRefusal(verdict.reason);
     return adapters::answerOf(verdict);
 }
 
-void EntryNode::takeSnapshot(const wire::Snapshot &snapshot)
+void EntryNode::applySnapshot(const wire::Snapshot &snapshot)
 {
     std::string error;
     const auto view = m_snapshots.read(snapshot, error);
@@ -237,8 +238,8 @@
         return;
     }
     const auto state = std::make_shared<const ServingState>(view);
-    const auto before = m_state.exchange(state);
-    if (!before || before->view->version() != view->version())
+    const auto previous = m_state.exchange(state);
+    if (!previous || previous->view->version() != view->version())
         logEvent(Event::ConfigurationApplied, {{"version", view->version()}});
     m_metrics.setGauge("fordwood_configuration_version", static_cast<double>(view->version()));
     m_metrics.setGauge("fordwood_leaving_upstreams", static_cast<double>(view->leaving().size()));
@@ -263,7 +264,7 @@
             std::visit([this](auto &it) { on(it); }, *event);
             event = n < kEventsPerRound ? m_ring.tryPop() : std::nullopt;
         }
-        m_openCalls = m_dispatcher.calls();
+        m_openCallCount = m_dispatcher.calls();
         if (m_clock.now() >= nextTick) {
             m_dispatcher.tick();
             nextTick = m_clock.now() + kTick;
@@ -279,7 +280,7 @@
 
 void EntryNode::on(BeginEvent &event)
 {
-    m_open.emplace(event.request.id, OpenCall{event.request, std::move(event.exchange)});
+    m_openCalls.emplace(event.request.id, OpenCall{event.request, std::move(event.exchange)});
     m_dispatcher.begin(event.request);
 }
 
@@ -310,7 +311,7 @@
 void EntryNode::on(const FinishedEvent &event)
 {
     m_dispatcher.attemptFinished(event.call, event.attempt, event.cost, event.answer);
-    if (m_open.erase(event.call) > 0)
+    if (m_openCalls.erase(event.call) > 0)
         m_metrics.count("fordwood_answers_total");
 }
 
@@ -321,11 +322,11 @@
 
 void EntryNode::on(const LimitEvent &event)
 {
-    const auto heard = m_dispatcher.limitRead(event.call, event.attempt, event.limit);
-    if (event.limit.isUnreadable && !heard.upstream.empty())
-        m_limitLog.unreadable(heard.upstream, std::to_string(event.call));
-    if (heard.change)
-        m_limitLog.changed(*heard.change, std::to_string(event.call), heard.ownRate);
+    const auto outcome = m_dispatcher.limitRead(event.call, event.attempt, event.limit);
+    if (event.limit.isUnreadable && !outcome.upstream.empty())
+        m_limitLog.unreadable(outcome.upstream, std::to_string(event.call));
+    if (outcome.change)
+        m_limitLog.changed(*outcome.change, std::to_string(event.call), outcome.ownRate);
     m_metrics.setGauge("fordwood_limited_upstreams",
                        static_cast<double>(m_dispatcher.limitedUpstreams()));
 }
@@ -342,7 +343,7 @@
                                                            {"backoff_ms", length.count()}});
 }
 
-void EntryNode::on(const LeftEvent &event)
+void EntryNode::on(const CallerLeftEvent &event)
 {
     m_dispatcher.callerLeft(event.call);
 }
@@ -359,14 +360,14 @@
 
 void EntryNode::carryOut(const Action &action)
 {
-    if (const auto *ask = std::get_if<RequestPermit>(&action)) {
-        m_permits.ask(*ask);
+    if (const auto *permitRequest = std::get_if<RequestPermit>(&action)) {
+        m_permits.ask(*permitRequest);
     } else if (const auto *withdrawal = std::get_if<WithdrawPermitRequest>(&action)) {
         m_permits.withdraw(*withdrawal);
     } else if (const auto *release = std::get_if<ReleasePermit>(&action)) {
         m_permits.release(*release);
-    } else if (const auto *hold = std::get_if<AdoptPermit>(&action)) {
-        m_permits.hold(*hold);
+    } else if (const auto *adoption = std::get_if<AdoptPermit>(&action)) {
+        m_permits.hold(*adoption);
     } else if (const auto *cancel = std::get_if<CancelAttempt>(&action)) {
         m_upstreams.cancel(*cancel);
     } else if (const auto *retry = std::get_if<CountRetry>(&action)) {
@@ -378,8 +379,8 @@
         m_permits.claim(*claim);
     } else if (const auto *finish = std::get_if<FinishClaim>(&action)) {
         m_permits.finishClaim(*finish);
-    } else if (const auto *kept = std::get_if<EndWithStoredAnswer>(&action)) {
-        answerKept(*kept);
+    } else if (const auto *stored = std::get_if<EndWithStoredAnswer>(&action)) {
+        sendStoredAnswer(*stored);
     } else if (const auto *end = std::get_if<EndCall>(&action)) {
         endExchange(end->call, end->verdict);
     } else if (const auto *send = std::get_if<SendCall>(&action)) {
@@ -389,22 +390,22 @@
 
 void EntryNode::sendUpstream(const SendCall &send)
 {
-    const auto open = m_open.find(send.call);
-    if (open != m_open.end() && !send.weightVersion.empty())
-        stampWeightVersion(open->second.exchange->editRequest(), open->second.request,
-                           send.weightVersion);
+    const auto open = m_openCalls.find(send.call);
+    if (open != m_openCalls.end() && !send.weightVersion.empty())
+        setWeightVersion(open->second.exchange->editRequest(), open->second.request,
+                         send.weightVersion);
     if (send.resumeFrom)
         m_metrics.count("fordwood_resumed_streams_total");
-    if (open == m_open.end() || !m_upstreams.send({send, open->second.exchange}))
+    if (open == m_openCalls.end() || !m_upstreams.send({send, open->second.exchange}))
         m_dispatcher.attemptFailed(send.call, send.attempt,
                                    {RunState::NotRun, Reason::RingFull, "", false});
 }
 
 // The caller gets the answer that its first send got.
-void EntryNode::answerKept(const EndWithStoredAnswer &action)
+void EntryNode::sendStoredAnswer(const EndWithStoredAnswer &action)
 {
-    const auto it = m_open.find(action.call);
-    if (it == m_open.end())
+    const auto it = m_openCalls.find(action.call);
+    if (it == m_openCalls.end())
         return;
     constexpr unsigned kOnlyAttempt = 1;
     adapters::AnswerHead head{action.answer.status, {}, false};
@@ -415,17 +416,17 @@
         it->second.exchange->append(kOnlyAttempt, action.answer.body);
         it->second.exchange->finish(kOnlyAttempt);
     }
-    m_open.erase(it);
+    m_openCalls.erase(it);
     m_metrics.count("fordwood_repeated_answers_total");
 }
 
 void EntryNode::endExchange(CallId call, const Verdict &verdict)
 {
-    const auto it = m_open.find(call);
-    if (it == m_open.end())
+    const auto it = m_openCalls.find(call);
+    if (it == m_openCalls.end())
         return;
     it->second.exchange->refuse(verdict);
-    m_open.erase(it);
+    m_openCalls.erase(it);
     m_metrics.countRefusal(verdict.reason);
     if (verdict.state != RunState::NotRun && verdict.reason != Reason::CallerLeft)
         logEvent(Event::AnswerBroken,
--- a/src/apps/entryd/entry_node.hpp
+++ b/src/apps/entryd/entry_node.hpp
@@ -92,7 +92,7 @@
         unsigned attempt;
         ParsedLimit limit;
     };
-    struct LeftEvent
+    struct CallerLeftEvent
     {
         CallId call;
     };
@@ -104,7 +104,7 @@
     { };
     using EntryEvent = std::variant<BeginEvent, ReplyEvent, ClaimEvent, AllowanceEvent,
                                     StreamLostEvent, FinishedEvent, FailedEvent, LimitEvent,
-                                    NoticeEvent, LeftEvent, StateEvent, StopEvent>;
+                                    NoticeEvent, CallerLeftEvent, StateEvent, StopEvent>;
 
     // CallerHandler, on the HTTP threads
     std::variant<adapters::DirectAnswer, std::shared_ptr<adapters::Exchange>>
@@ -128,8 +128,8 @@
     void noticeRead(CallId call, unsigned attempt, const UpstreamNotice &notice) override;
 
     adapters::DirectAnswer operatorAnswer(const std::string &path);
-    adapters::DirectAnswer refusal(Verdict verdict, bool keyed);
-    void takeSnapshot(const wire::Snapshot &snapshot);
+    adapters::DirectAnswer rejectionAnswer(Verdict verdict, bool hasKey);
+    void applySnapshot(const wire::Snapshot &snapshot);
     void pushBlocking(const EntryEvent &event);
 
     // On the dispatch thread
@@ -143,13 +143,13 @@
     void on(const FailedEvent &event);
     void on(const LimitEvent &event);
     void on(const NoticeEvent &event);
-    void on(const LeftEvent &event);
+    void on(const CallerLeftEvent &event);
     void on(const StateEvent &event);
     void on(const StopEvent &event);
     void carryOut(const Action &action);
     void sendUpstream(const SendCall &send);
     void endExchange(CallId call, const Verdict &verdict);
-    void answerKept(const EndWithStoredAnswer &action);
+    void sendStoredAnswer(const EndWithStoredAnswer &action);
 
     const config::Settings m_settings;
     adapters::SystemClock m_clock;
@@ -169,14 +169,14 @@
     std::atomic<std::shared_ptr<const ServingState>> m_state;
     std::atomic<CallId> m_nextCall{1};
     std::atomic<std::size_t> m_inFlight{0};
-    std::atomic<std::size_t> m_openCalls{0}; // of the dispatcher
+    std::atomic<std::size_t> m_openCallCount{0}; // of the dispatcher
     std::atomic<bool> m_ready{false};
-    std::atomic<bool> m_unready{false}; // a planned stop has begun
+    std::atomic<bool> m_stopBegan{false}; // a planned stop has begun
     std::atomic<bool> m_stopping{false};
 
     // Requests understood but not yet submitted, by id.
-    std::mutex m_understoodMutex;
-    std::unordered_map<CallId, CallRequest> m_understood;
+    std::mutex m_unsubmittedMutex;
+    std::unordered_map<CallId, CallRequest> m_unsubmitted;
 
     // Of the dispatch thread alone:
     struct OpenCall
@@ -184,7 +184,7 @@
         CallRequest request;
         std::shared_ptr<adapters::Exchange> exchange;
     };
-    std::unordered_map<CallId, OpenCall> m_open;
+    std::unordered_map<CallId, OpenCall> m_openCalls;
 };
 
 } // namespace fordwood::apps
--- a/src/apps/entryd/snapshot_reader.cpp
+++ b/src/apps/entryd/snapshot_reader.cpp
@@ -21,17 +21,17 @@
     }
     if (snapshot.head().manifest_sha256() != m_manifestSha256 || !m_configuration) {
         for (const wire::Piece &it : snapshot.new_pieces())
-            m_texts[it.sha256()] = it.text();
+            m_pieceTexts[it.sha256()] = it.text();
         std::map<std::string, std::string> texts;
         std::vector<StoredPiece> pieces;
         for (const wire::PieceReference &it : snapshot.manifest().pieces()) {
-            const auto known = m_texts.find(it.sha256());
-            if (known == m_texts.end()) {
+            const auto found = m_pieceTexts.find(it.sha256());
+            if (found == m_pieceTexts.end()) {
                 error = "piece " + it.name() + " is missing";
                 return nullptr;
             }
-            pieces.push_back({it.name(), it.sha256(), known->second});
-            texts.emplace(it.sha256(), known->second);
+            pieces.push_back({it.name(), it.sha256(), found->second});
+            texts.emplace(it.sha256(), found->second);
         }
         config::ConfigErrors errors;
         auto configuration = m_assembler.assemble(pieces, errors);
@@ -39,7 +39,7 @@
             error = errors.empty() ? "damaged" : errors.front().toString();
             return nullptr;
         }
-        m_texts = std::move(texts);
+        m_pieceTexts = std::move(texts);
         m_configuration = std::move(configuration);
         m_manifestSha256 = snapshot.head().manifest_sha256();
     }
--- a/src/apps/entryd/snapshot_reader.hpp
+++ b/src/apps/entryd/snapshot_reader.hpp
@@ -25,7 +25,7 @@
 
 private:
     std::string m_ownFailureDomain;
-    std::map<std::string, std::string> m_texts; // pieces by digest
+    std::map<std::string, std::string> m_pieceTexts; // pieces by digest
     config::ConfigurationAssembler m_assembler;
     std::string m_manifestSha256;
     std::shared_ptr<const Configuration> m_configuration;
--- a/src/apps/entryd/team_index.cpp
+++ b/src/apps/entryd/team_index.cpp
@@ -31,11 +31,11 @@
 const TeamConfig *TeamIndex::find(std::string_view bearerKey) const
 {
     const Sha256 digest = config::sha256(bearerKey);
-    const auto bucket = m_entries.find(firstBytes(digest));
-    if (bucket == m_entries.end())
+    const auto candidates = m_entries.find(firstBytes(digest));
+    if (candidates == m_entries.end())
         return nullptr;
     const TeamConfig *found = nullptr;
-    for (const Entry &it : bucket->second) {
+    for (const Entry &it : candidates->second) {
         if (CRYPTO_memcmp(it.digest.data(), digest.data(), digest.size()) == 0)
             found = it.team;
     }
--- a/tests/unit/isolation_test.cpp
+++ b/tests/unit/isolation_test.cpp
@@ -43,15 +43,15 @@
     return message;
 }
 
-apps::Interpreted interpreted(const apps::ServingState &state, const std::string &key,
-                              const std::string &model)
+apps::ParsedRequest parsedRequest(const apps::ServingState &state, const std::string &key,
+                                  const std::string &model)
 {
-    auto result = apps::interpret(state, messageOf(key, model), TimePoint{});
+    auto result = apps::parseRequest(state, messageOf(key, model), TimePoint{});
     REQUIRE(result);
-    return std::get<apps::Interpreted>(*result);
+    return std::get<apps::ParsedRequest>(*result);
 }
 
-std::string saltOf(const apps::Interpreted &it)
+std::string saltOf(const apps::ParsedRequest &it)
 {
     return Json::parse(it.upstream.body)["cache_salt"];
 }
@@ -61,10 +61,10 @@
 TEST_CASE("isolation: a bearer key identifies its own team only [isolation]")
 {
     const auto state = stateOf();
-    CHECK(interpreted(*state, "key of a", "c").call.team == "a");
+    CHECK(parsedRequest(*state, "key of a", "c").call.team == "a");
     for (const char *it : {"key of b", "key of a ", "", "key of a/b/c"}) {
         CAPTURE(it);
-        const auto result = apps::interpret(*state, messageOf(it, "c"), TimePoint{});
+        const auto result = apps::parseRequest(*state, messageOf(it, "c"), TimePoint{});
         REQUIRE_FALSE(result);
         CHECK(result.error().reason == Reason::UnknownTeam);
     }
@@ -73,13 +73,13 @@
 TEST_CASE("isolation: different teams, models or versions never share a salt or prefix [isolation]")
 {
     const auto state = stateOf();
-    const auto one = interpreted(*state, "key of a", "b/c");
-    const auto other = interpreted(*state, "key of a/b", "c");
+    const auto one = parsedRequest(*state, "key of a", "b/c");
+    const auto other = parsedRequest(*state, "key of a/b", "c");
     CHECK(saltOf(one) != saltOf(other));
     CHECK(one.call.prefixHash != other.call.prefixHash);
-    const auto newer = interpreted(*stateOf("v/v"), "key of a", "b/c");
+    const auto newer = parsedRequest(*stateOf("v/v"), "key of a", "b/c");
     CHECK(saltOf(one) != saltOf(newer));
-    CHECK(saltOf(one) == saltOf(interpreted(*state, "key of a", "b/c")));
+    CHECK(saltOf(one) == saltOf(parsedRequest(*state, "key of a", "b/c")));
 }
 
 TEST_CASE("isolation: a caller's own salt, version or team is not passed on [isolation]")
@@ -87,23 +87,23 @@
     const auto state = stateOf();
     auto message = messageOf("key of a", "c");
     message.body = R"({"model": "c", "prompt": "x", "cache_salt": "of another team"})";
-    const auto refused = apps::interpret(*state, message, TimePoint{});
+    const auto refused = apps::parseRequest(*state, message, TimePoint{});
     REQUIRE_FALSE(refused);
     CHECK(refused.error().reason == Reason::InvalidField);
-    for (const auto &[name, value] : interpreted(*state, "key of a", "c").upstream.headers)
+    for (const auto &[name, value] : parsedRequest(*state, "key of a", "c").upstream.headers)
         CHECK(value != "forged");
 }
 
 TEST_CASE("isolation: a later weight version replaces the whole salt [isolation]")
 {
-    auto call = interpreted(*stateOf(), "key of a", "c");
+    auto call = parsedRequest(*stateOf(), "key of a", "c");
     const std::string before = saltOf(call);
-    apps::stampWeightVersion(call.upstream, call.call, "a longer version");
+    apps::setWeightVersion(call.upstream, call.call, "a longer version");
     CHECK(saltOf(call) != before);
     const Json body = Json::parse(call.upstream.body);
     CHECK(body["prompt"] == "the same text");
     CHECK(call.upstream.body.find("cache_salt") == call.upstream.body.rfind("cache_salt"));
-    apps::stampWeightVersion(call.upstream, call.call, "v");
+    apps::setWeightVersion(call.upstream, call.call, "v");
     CHECK(saltOf(call) == before);
 }
 
