--- a/src/apps/controld/active_fleet.hpp
+++ b/src/apps/controld/active_fleet.hpp
@@ -16,18 +16,18 @@
 
 namespace fordwood::apps {
 
-// The configuration and the members that are in force on this node, and what follows from them for
-// its duties. Of the control thread alone.
+// The active configuration and members of this node, and what the other components derive from
+// them. Used only on the control thread.
 class ActiveFleet
 {
 public:
     explicit ActiveFleet(Member self) : m_self(std::move(self)) { }
 
-    // Puts a configuration in force. False when its pieces do not make one; the one before it stays
-    // then, and `errors` says why.
+    // Activates a configuration. Returns false and sets `errors` when its pieces are not a valid
+    // configuration; the previous one then stays active.
     bool apply(const ApplyConfiguration &action, config::ConfigErrors &errors);
 
-    // Takes the members and leaving upstreams.
+    // Replaces the members and the leaving upstreams.
     void apply(const ApplyMembers &action);
 
     bool hasConfiguration() const { return m_configuration != nullptr; }
@@ -36,21 +36,21 @@
     const std::vector<Member> &members() const { return m_members.members; }
     const std::set<std::string> &leavingUpstreams() const { return m_members.leavingUpstreams; }
 
-    // The rest needs a configuration.
+    // The functions below require a configuration.
 
     // The upstreams for which this node grants permits.
     std::vector<OwnedUpstream> ownedUpstreams() const;
 
-    // Shares of the teams.
+    // The share of each team.
     std::map<std::string, double> teamShares() const;
 
-    // What this node may give away of the ceilings of the teams that it owns.
+    // How much of each owned team's ceiling this node may allocate.
     std::map<std::string, std::size_t> ceilingPools() const;
 
-    // Which weights the owned engines must serve.
+    // The weights that the owned engines must serve.
     WeightLoader::Plan loadPlan(const std::vector<OwnedUpstream> &owned) const;
 
-    // All of it, for the entry nodes.
+    // The configuration and the members, for the entry nodes.
     std::shared_ptr<wire::Snapshot> snapshot() const;
 
 private:
--- a/src/apps/controld/control_events.hpp
+++ b/src/apps/controld/control_events.hpp
@@ -16,82 +16,82 @@
 
 namespace fordwood::apps {
 
-// What the other threads tell the control thread.
+// Events that other threads send to the control thread.
 
-// Commands of one entry node.
+// Commands from one entry node.
 struct CommandsEvent
 {
     HolderId holder;
     wire::PermitCommands commands;
 };
 
-// The connection of an entry node is gone.
+// The connection to an entry node was lost.
 struct HolderGoneEvent
 {
     HolderId holder;
 };
 
-// The platform's head of the configuration.
+// The configuration head was read from the platform.
 struct HeadEvent
 {
     ConfigHead head;
 };
 
-// The platform's list of VMs.
+// The VM list was read from the platform.
 struct ListEvent
 {
     VmList list;
 };
 
-// Values that were read from the platform.
+// Values were fetched from the platform.
 struct BlobsEvent
 {
     std::vector<Blob> blobs;
 };
 
-// Whether the platform answers.
+// The platform became reachable or unreachable.
 struct ReachableEvent
 {
     bool isReachable;
 };
 
-// A link to a peer is up or down.
+// A link to a peer was opened or closed.
 struct LinkEvent
 {
     std::string peer;
     bool isUp;
 };
 
-// A peer's update.
+// An update from a peer.
 struct UpdateEvent
 {
     std::string peer;
     PeerUpdate update;
 };
 
-// Who held the keys of some partitions, and until when.
+// The holders of the keys of some partitions, past and present, with the ends of their tenures.
 struct ChainsEvent
 {
     std::map<std::uint32_t, TenureChain> chains;
 };
 
-// An owned engine is to be kept free of new requests, or no longer.
+// Pauses or resumes the granting of permits for an owned engine.
 struct EnginePausedEvent
 {
     std::string upstream;
     bool isPaused;
 };
 
-// Keys that a node which stops hands to this one.
+// A node that is stopping handed its keys over to this one.
 struct KeysReceivedEvent
 {
     HandedKeys keys;
 };
 
-// This node stops.
+// This node is stopping.
 struct StopEvent
 {
-    std::shared_ptr<std::promise<HandedKeys>> keys; // what this process hands over
+    std::shared_ptr<std::promise<HandedKeys>> keys; // fulfilled with the keys to hand over
 };
 
 using ControlEvent = std::variant<CommandsEvent, HolderGoneEvent, HeadEvent, ListEvent, BlobsEvent,
--- a/src/apps/controld/control_inbox.cpp
+++ b/src/apps/controld/control_inbox.cpp
@@ -8,11 +8,10 @@
 
 namespace {
 
-constexpr std::size_t kRingSize = 16'384; // events; our choice: a second of asks at full load
-constexpr Duration kFullRingPoll = std::chrono::milliseconds(1); // between looks for a free place
+constexpr std::size_t kRingSize = 16'384; // about a second of permit requests at full load
+constexpr Duration kFullRingPoll = std::chrono::milliseconds(1); // between attempts to push
 
-// A release that got lost would block a place for as long as the stream lives; an ask is sent
-// again.
+// A lost release would occupy a slot until the stream ends. Permit requests are sent again.
 bool isDroppable(const wire::PermitCommands &commands)
 {
     return commands.releases().empty() && commands.withdrawals().empty()
@@ -95,7 +94,8 @@
     pushBlocking(ChainsEvent{std::move(chains)});
 }
 
-// For events that must not be lost and whose threads may wait: never a caller's thread.
+// Waits for space in the ring. For events that must not be lost; must not be called on a thread
+// that serves callers.
 void ControlInbox::pushBlocking(const ControlEvent &event)
 {
     while (!m_ring.tryPush(event) && !m_closed)
--- a/src/apps/controld/control_inbox.hpp
+++ b/src/apps/controld/control_inbox.hpp
@@ -15,8 +15,8 @@
 
 namespace fordwood::apps {
 
-// The bounded ring between the adapters' threads and the control thread. Hears all adapters, and
-// decides what may be refused when the ring is full: only commands that their sender repeats.
+// The bounded event queue of the control thread. Implements the listeners of all adapters. When the
+// queue is full, only commands that their sender repeats are rejected; all other events wait.
 class ControlInbox : public PlatformListener,
                      public adapters::PermitListener,
                      public adapters::PeerListener,
@@ -26,14 +26,16 @@
 public:
     explicit ControlInbox(adapters::Metrics &metrics);
 
-    // For the control thread alone: the next event, waiting for `timeout` at most, or at once.
+    // Return the next event; pop() waits up to `timeout`, tryPop() does not wait. Only for the
+    // control thread.
     std::optional<ControlEvent> pop(Duration timeout) { return m_ring.pop(timeout); }
     std::optional<ControlEvent> tryPop() { return m_ring.tryPop(); }
 
-    // This node stops; what it hands over comes by the promise.
+    // Queues the stop of this node. The control thread fulfills `keys` with the keys to hand over.
     void requestStop(std::shared_ptr<std::promise<HandedKeys>> keys);
 
-    // The control thread takes no more: whoever waits for a place goes on, and its event is lost.
+    // Call when the control thread no longer reads events: waiting threads return, and their events
+    // are dropped.
     void close() { m_closed = true; }
 
     // PlatformListener
--- a/src/apps/controld/control_node.cpp
+++ b/src/apps/controld/control_node.cpp
@@ -83,7 +83,7 @@
     m_weightLoader.start();
     m_replicator.start();
     m_thread = std::thread([this] { run(); });
-    // Until the VM list is known, the seeds are the only peers that can be asked.
+    // Until the VM list has been read, the seeds are the only known peers.
     m_links.dial(m_settings.control.seeds);
     return true;
 }
@@ -273,7 +273,7 @@
     }
 }
 
-// Who may hold keys, by the boots that the members' liveness tells.
+// Updates the processes that may hold keys, identified by the boots in the members' liveness.
 void ControlNode::updateTenureMembers()
 {
     std::vector<TenureMember> members;
@@ -289,7 +289,7 @@
     m_tenureService.setMembers(std::move(members));
 }
 
-// Tells the duties what follows from the configuration and the members in force.
+// Passes what follows from the active configuration and members to the other components.
 void ControlNode::updateComponents()
 {
     if (!m_fleet.hasConfiguration())
--- a/src/apps/controld/control_node.hpp
+++ b/src/apps/controld/control_node.hpp
@@ -29,9 +29,9 @@
 
 namespace fordwood::apps {
 
-// One controld: takes part in spreading the configuration and the members, tells them to the entryd
-// of its VM, and grants permits for the upstreams that it owns. All decisions are made on one
-// thread.
+// The controld process: takes part in replicating the configuration and the member list, publishes
+// them to the entryd of its VM, and grants permits for the upstreams that it owns. All decisions
+// are made on one thread.
 class ControlNode : public Daemon
 {
 public:
@@ -43,7 +43,7 @@
     void finishStop() override;
 
 private:
-    // On the control thread
+    // On the control thread:
     void run();
     void on(const CommandsEvent &event);
     void on(const HolderGoneEvent &event);
@@ -67,7 +67,7 @@
 
     const config::Settings m_settings;
     adapters::SystemClock m_clock;
-    const std::uint64_t m_boot; // names the start of this process
+    const std::uint64_t m_boot; // identifies this run of the process
     adapters::ProtoHeadCodec m_codec;
     adapters::Metrics m_metrics;
     ControlInbox m_inbox;
@@ -87,7 +87,7 @@
     std::thread m_thread;
     std::atomic<bool> m_stopping{false};
 
-    // Of the control thread alone:
+    // Used only on the control thread:
     ActiveFleet m_fleet;
     bool m_reachable = false;
 };
--- a/src/apps/controld/permit_command_handler.hpp
+++ b/src/apps/controld/permit_command_handler.hpp
@@ -10,8 +10,8 @@
 
 namespace fordwood::apps {
 
-// Carries out the commands of the entry nodes against the three books of an owner (permits, parts
-// of ceilings, keys), and sends the answers. Of the control thread alone.
+// Executes the commands of the entry nodes on an owner's permit scheduler, allowance allocator and
+// key registry, and sends the answers. Used only on the control thread.
 class PermitCommandHandler
 {
 public:
@@ -22,13 +22,13 @@
           m_metrics(metrics)
     { }
 
-    // Commands are taken in the order that frees places first.
+    // Executes the commands that free slots before those that request them.
     void execute(HolderId holder, const wire::PermitCommands &commands);
 
-    // The connection of an entry node is gone, and with it all that it held.
+    // Drops the permits and claims of an entry node whose connection was lost.
     void dropHolder(HolderId holder);
 
-    // Sends the permits that have been decided since.
+    // Sends the answers to permit requests that were decided since the last call.
     void sendPermits();
 
 private:
--- a/src/apps/controld/platform_reader.cpp
+++ b/src/apps/controld/platform_reader.cpp
@@ -65,7 +65,7 @@
 
 void PlatformReader::fetch(const FetchBlobs &fetch)
 {
-    // A full ring drops the request; the replicator asks again for what did not come.
+    // A full ring drops the request; the replicator requests missing values again.
     if (!m_fetches.tryPush(fetch))
         m_metrics.count("fordwood_platform_fetches_dropped_total");
 }
@@ -78,7 +78,7 @@
     }
 }
 
-// Reads the head, then follows its changes until the connection breaks or reading ends.
+// Reads the head, then watches it until the connection breaks or reading is disabled.
 void PlatformReader::readAndWatchHead()
 {
     m_metrics.count("fordwood_platform_reads_total");
@@ -125,7 +125,7 @@
 void PlatformReader::runListThread()
 {
     bool isLost = false;
-    std::string tag; // of the list that was read last
+    std::string tag; // entity tag of the last list
     while (waitUntilReading()) {
         m_metrics.count("fordwood_vm_list_reads_total");
         const auto document
@@ -189,7 +189,7 @@
     m_listener.onReachabilityChanged(reachable);
 }
 
-// False when the duty is being stopped.
+// Returns false when the reader is being stopped.
 bool PlatformReader::waitUntilReading()
 {
     std::unique_lock lock(m_mutex);
--- a/src/apps/controld/platform_reader.hpp
+++ b/src/apps/controld/platform_reader.hpp
@@ -19,7 +19,7 @@
 
 namespace fordwood::apps {
 
-// What the platform's threads report. Called from those threads.
+// Receives what the platform reader reads. Called on the reader's threads.
 class PlatformListener
 {
 public:
@@ -30,8 +30,8 @@
     virtual void onReachabilityChanged(bool reachable) = 0;
 };
 
-// Reads the platform, as long as this node is told to: one thread watches the head of the
-// configuration, one reads the VM list, one fetches values by digest.
+// Reads from the platform: one thread watches the configuration head, one reads the VM list, one
+// fetches values by digest. The first two run only while reading is enabled.
 class PlatformReader
 {
 public:
@@ -42,10 +42,10 @@
     void start();
     void stop();
 
-    // Whether to watch the head and to read the list.
+    // Enables or disables watching the head and reading the VM list.
     void setReading(bool enabled);
 
-    // Fetches values; those that are not there are left out of the answer.
+    // Fetches values; those that do not exist are left out of the result.
     void fetch(const FetchBlobs &fetch);
 
 private:
@@ -73,7 +73,7 @@
     bool m_stopping = false;
     bool m_isReading = false;
     std::shared_ptr<adapters::KeyWatch> m_watch;
-    std::optional<bool> m_reachable; // of the head's thread alone
+    std::optional<bool> m_reachable; // used only on the head thread
 };
 
 } // namespace fordwood::apps
--- a/src/apps/controld/tenure_service.cpp
+++ b/src/apps/controld/tenure_service.cpp
@@ -120,7 +120,8 @@
         {tenureKey(value), stored->revision, adapters::toWire(chains).SerializeAsString()}};
     m_metrics.count("fordwood_tenure_writes_total");
     const auto done = m_store.write(write, kCallTimeout);
-    // Only what is surely stored may be told; a write whose reply was lost is read back next time.
+    // Send only chains that are known to be stored. If the reply to a write was lost, the next
+    // period reads the value again.
     if (!done || !*done) {
         m_metrics.count(done ? "fordwood_tenure_conflicts_total" : "fordwood_tenure_errors_total");
         return;
@@ -143,8 +144,8 @@
     return result;
 }
 
-// Tells each holder the chains of its partitions. A holder that misses this goes on with the tenure
-// that it knows, which is shorter.
+// Sends each holder the chains of its partitions. A holder that misses the message continues with
+// its previous tenure, which ends earlier.
 void TenureService::sendChains(const std::vector<TenureMember> &members,
                                const std::map<std::uint32_t, TenureChain> &chains)
 {
@@ -178,8 +179,8 @@
     return *stub;
 }
 
-// A successor gets the keys first and the tenures after them: with the tenures alone it would take
-// keys that have run for new ones.
+// Sends a successor the keys before the tenures: with only the tenures, it would treat keys whose
+// requests have already run as new.
 void TenureService::handOver(const KeyHolder &self, const HandedKeys &handed)
 {
     std::vector<TenureMember> others;
@@ -208,7 +209,7 @@
              {{"keys", handed.keys.size()}, {"successors", ready.size()}});
 }
 
-// In parts, so that no message is too large. False when any of them was not taken.
+// Sends the keys in several messages, to bound their size. Returns false when a message failed.
 bool TenureService::sendKeys(const TenureMember &to, const HandedKeys &keys)
 {
     constexpr std::size_t kMaxMessageBytes = 1 << 20;
@@ -231,13 +232,14 @@
                                   const std::vector<TenureMember> &members,
                                   const std::function<KeyHolder(std::uint32_t)> &successor)
 {
-    constexpr int kMaxAttempts = 3; // the value's keeper may write at the same moment
+    constexpr int kMaxAttempts = 3; // the node that extends the value may write at the same time
     for (int it = 0; it < kMaxAttempts; ++it) {
         const auto stored = read(value);
         if (!stored)
             continue;
         const auto chains = handOverTenures(stored->chains, self, successor);
-        if (chains == stored->chains) // nothing was ours, or a write whose reply was lost
+        if (chains == stored->chains) // no tenure of this process, or an earlier write succeeded
+                                      // but its reply was lost
             return true;
         const std::vector<ConditionalWrite> write{
             {tenureKey(value), stored->revision, adapters::toWire(chains).SerializeAsString()}};
@@ -250,7 +252,7 @@
     return false;
 }
 
-// Waits for the next period; false when the duty is being stopped.
+// Waits for the next period. Returns false when the service is being stopped.
 bool TenureService::waitForNextPeriod()
 {
     std::unique_lock lock(m_mutex);
--- a/src/apps/controld/tenure_service.hpp
+++ b/src/apps/controld/tenure_service.hpp
@@ -19,7 +19,7 @@
 
 namespace fordwood::apps {
 
-// What the control duty hears of tenures. Called from other threads.
+// Receives tenures and handed-over keys. Called on the service's threads.
 class TenureListener
 {
 public:
@@ -28,17 +28,17 @@
     virtual void onKeysReceived(HandedKeys keys) = 0;
 };
 
-// A process that may hold tenures, and where it is reached.
+// A process that may hold tenures, and its address.
 struct TenureMember
 {
     KeyHolder holder;
     std::string controlAddress;
 };
 
-// Extends the tenures of the stored values that fall to this node, by compare-and-swap, and tells
-// the holders. The writes do not grow with the fleet: each value is written once in a period, by
-// one node. Two nodes that both think a value falls to them cost a write that fails and nothing
-// else.
+// Extends the tenures of the stored values that are assigned to this node, by compare-and-swap, and
+// sends them to their holders. The number of writes does not grow with the fleet: each value is
+// written once per period, by one node. If two nodes both consider a value theirs, one write fails
+// and nothing else happens.
 class TenureService : public wire::Keys::CallbackService
 {
 public:
@@ -49,26 +49,26 @@
     void start();
     void stop();
 
-    // Gives this process's keys and tenures to the others, for a planned stop; call after stop().
-    // Blocks for a few seconds at most. What could not be handed over is refused later as held by a
-    // process that is gone.
+    // Hands this process's keys and tenures over to other members during a planned stop. Call after
+    // stop(). Blocks for a few seconds at most. Claims of keys that could not be handed over are
+    // refused later, because their holder no longer runs.
     void handOver(const KeyHolder &self, const HandedKeys &handed);
 
-    // Who is there to hold tenures now.
+    // Sets the processes that may hold tenures.
     void setMembers(std::vector<TenureMember> members);
 
-    // A keeper tells this node the chains of its partitions.
+    // Receives the tenure chains of this node's partitions from the node that extends them.
     grpc::ServerUnaryReactor *Learn(grpc::CallbackServerContext *context,
                                     const wire::TenureChains *request,
                                     wire::LearnReply *reply) override;
 
-    // A node that is being stopped hands its keys to this one.
+    // Receives the keys of a node that is being stopped.
     grpc::ServerUnaryReactor *HandOver(grpc::CallbackServerContext *context,
                                        const wire::HandedKeys *request,
                                        wire::LearnReply *reply) override;
 
 private:
-    struct StoredChains // a stored value
+    struct StoredChains // one stored value and its revision
     {
         std::map<std::uint32_t, TenureChain> chains;
         std::int64_t revision = 0;
--- a/src/apps/controld/weight_loader.cpp
+++ b/src/apps/controld/weight_loader.cpp
@@ -94,7 +94,7 @@
     }
 }
 
-// Waits for the next period or plan; false when the duty is being stopped.
+// Waits for the next period or a new plan. Returns false when the loader is being stopped.
 bool WeightLoader::waitForWork()
 {
     std::unique_lock lock(m_mutex);
--- a/src/apps/controld/weight_loader.hpp
+++ b/src/apps/controld/weight_loader.hpp
@@ -15,7 +15,7 @@
 
 namespace fordwood::apps {
 
-// What the control duty hears of the engines' weights. Called from the load duty's thread.
+// Receives the results of the weight loader. Called on its thread.
 class WeightLoadListener
 {
 public:
@@ -23,8 +23,9 @@
     virtual void onEnginePaused(const std::string &upstream, bool isPaused) = 0;
 };
 
-// Carries out what the load planner decides, on one thread: looks at the owned engines, takes load
-// slots in the platform, orders engines to load. Every call blocks, and each has a time limit.
+// Executes the decisions of the weight load planner on one thread: reads the state of the owned
+// engines, acquires load slots in the platform, and orders engines to load. Every call blocks and
+// has a timeout.
 class WeightLoader
 {
 public:
@@ -43,7 +44,7 @@
     void start();
     void stop();
 
-    // What the engines that this node owns must serve now.
+    // Sets the weights that the owned engines must serve.
     void setPlan(Plan plan);
 
 private:
@@ -59,11 +60,11 @@
     const Clock &m_clock;
     WeightLoadListener &m_listener;
     adapters::Metrics &m_metrics;
-    WeightLoadPlanner m_planner; // of the duty's thread alone
+    WeightLoadPlanner m_planner; // used only on the loader's thread
     std::thread m_thread;
     std::mutex m_mutex;
     std::condition_variable m_wake;
-    std::optional<Plan> m_newPlan; // not yet taken by the thread
+    std::optional<Plan> m_newPlan; // not yet applied by the thread
     bool m_stopping = false;
 };
 
