--- a/src/apps/common/daemon.hpp
+++ b/src/apps/common/daemon.hpp
@@ -13,17 +13,17 @@
 // Exit codes of all programs.
 enum ExitCode : int {
     ExitOk = 0,
-    ExitFailed = 1, // could not do its work
-    ExitUsage = 2, // wrong options, or a text that was refused
+    ExitFailed = 1, // the operation failed
+    ExitUsage = 2, // wrong options or an invalid input file
 };
 
-// What a daemon does between its start and its stop.
+// A long-running process with a planned stop.
 class Daemon
 {
 public:
     virtual ~Daemon() = default;
 
-    // False when it cannot serve; the cause has been logged.
+    // Returns false after logging the cause if the daemon cannot serve.
     virtual bool start() = 0;
 
     // Begins a planned stop.
@@ -35,7 +35,7 @@
 
 using DaemonFactory = std::function<std::unique_ptr<Daemon>(const config::Settings &settings)>;
 
-// Reads options and settings, runs the daemon until SIGTERM or SIGINT, and gives the exit code.
+// Parses options and settings, runs the daemon until SIGTERM or SIGINT, and returns the exit code.
 int runDaemon(int argc, char **argv, const std::string &name, const DaemonFactory &make);
 
 } // namespace fordwood::apps
--- a/src/apps/common/options.hpp
+++ b/src/apps/common/options.hpp
@@ -9,11 +9,12 @@
 
 namespace fordwood::apps {
 
-// Blocks signals in all threads, so that the main thread alone takes them, with sigwait(). A write
-// to a closed connection raises none.
+// Blocks signals in all threads, so that the main thread can receive them with sigwait(). Also
+// ignores SIGPIPE, so that a write to a closed connection raises no signal.
 sigset_t blockSignals(std::initializer_list<int> signals);
 
-// The settings file that a daemon shall use, or the exit code when there is nothing to run.
+// Parses a daemon's options. Returns the settings file, or nothing with the exit code in `code` if
+// the program must end.
 std::optional<std::string> parseOptions(int argc, char **argv, const std::string &name, int &code);
 
 } // namespace fordwood::apps
--- a/src/apps/entryd/api.cpp
+++ b/src/apps/entryd/api.cpp
@@ -22,7 +22,7 @@
 constexpr double kBytesPerToken = 4.0;
 constexpr double kDefaultNewTokens = 256.0;
 constexpr double kMaxNewTokens = 1e6;
-constexpr std::size_t kPrefixBytes = 1024; // of a plain prompt that decide its upstream
+constexpr std::size_t kPrefixBytes = 1024; // how much of a plain prompt selects its upstream
 constexpr int kPriorityBound = 100;
 
 tl::unexpected<Verdict> reject(Reason reason, std::string detail = {})
@@ -30,7 +30,7 @@
     return tl::make_unexpected(Verdict::of(reason, std::move(detail)));
 }
 
-// Headers that are not passed on to plain services.
+// Headers that are not forwarded to plain services.
 bool isNotForwarded(std::string_view name)
 {
     static constexpr std::array kNames{
@@ -52,7 +52,7 @@
     return state.teams.find(std::string_view(header).substr(kBearer.size()));
 }
 
-// Reads what any request may say in headers: deadline, priority, repeatable.
+// Parses the headers that any request may have: deadline, priority, repeatable, idempotency key.
 tl::expected<CallRequest, Verdict> parseCommonFields(const ServingState &state,
                                                      const TeamConfig &team,
                                                      const adapters::CallerMessage &message,
@@ -140,7 +140,7 @@
     return "";
 }
 
-// The part of a prompt that its follow-ups share: the first message, or the beginning of a text.
+// The part of a prompt that follow-up requests share: the first message, or the start of the text.
 std::string sharedPrefix(const Json &body, bool chat)
 {
     if (chat)
@@ -153,22 +153,22 @@
     return static_cast<std::size_t>(static_cast<double>(bytes) / kBytesPerToken);
 }
 
-// What keeps the context of teams and weight versions apart inside the engines.
+// The salt that separates the contexts of different teams, models and weight versions in the
+// engines.
 std::string cacheSalt(const std::string &team, const std::string &model, const std::string &version)
 {
-    // As a list and not joined by a mark: names may hold any mark.
+    // A JSON list, not text joined by a separator: names may contain any separator.
     return config::sha256Hex(Json::array({team, model, version}).dump());
 }
 
-// Makes a request ask for a weight version, in its headers and in the salt.
+// Sets the weight version in the header and the cache salt in the body.
 void setVersionAndSalt(adapters::UpstreamRequest &request, const std::string &version,
                        const std::string &salt)
 {
     constexpr std::string_view kHeader = "X-Weight-Version";
     std::erase_if(request.headers, [&](const auto &it) { return it.first == kHeader; });
     request.headers.emplace_back(kHeader, version);
-    // The salt goes in front of the caller's fields, as text: the rest of the body stays as it
-    // came.
+    // Insert the salt as text before the caller's fields, to leave the rest of the body unchanged.
     const std::string field = "\"cache_salt\":" + Json(salt).dump() + ",";
     if (request.weightVersion.empty())
         request.saltBegin = request.body.find('{') + 1;
@@ -236,7 +236,8 @@
     return std::variant<ParsedRequest, adapters::DirectAnswer>(std::move(answer));
 }
 
-// The route with the longest path that the request's path begins with, at a segment's border.
+// The route with the longest path that is a prefix of the request's path and ends at a segment
+// boundary.
 const RouteConfig *findRoute(const Configuration &configuration, const std::string &path)
 {
     const RouteConfig *best = nullptr;
--- a/src/apps/entryd/api.hpp
+++ b/src/apps/entryd/api.hpp
@@ -15,7 +15,7 @@
 
 namespace fordwood::apps {
 
-// What callers are served from: a view of the fleet with the index of its teams.
+// What requests are served from: a fleet view and the index of its teams.
 struct ServingState
 {
     explicit ServingState(std::shared_ptr<const FleetView> fleetView)
@@ -26,20 +26,21 @@
     TeamIndex teams;
 };
 
-// A caller's request, understood.
+// A caller's parsed request.
 struct ParsedRequest
 {
     CallRequest call; // without its id
     adapters::UpstreamRequest upstream;
 };
 
-// Makes a completion's request ask for a weight version, in its headers and in the salt that keeps
-// the contexts of teams and weight versions apart.
+// Sets the weight version of a completion request, in its header and in the cache salt that
+// separates the contexts of different teams and weight versions.
 void setWeightVersion(adapters::UpstreamRequest &request, const CallRequest &call,
                       const std::string &version);
 
-// Understands a caller's request: who asks, for what, until when, and what is sent upstream.
-// Gives an answer at once where no upstream is needed, and a verdict where it is refused.
+// Parses a caller's request into the call (team, target, deadline) and the request to send
+// upstream. Returns a direct answer where no upstream is needed, and a verdict if the request is
+// rejected.
 tl::expected<std::variant<ParsedRequest, adapters::DirectAnswer>, Verdict>
 parseRequest(const ServingState &state, adapters::CallerMessage message, TimePoint now);
 
--- a/src/apps/entryd/entry_node.cpp
+++ b/src/apps/entryd/entry_node.cpp
@@ -16,7 +16,7 @@
 constexpr Duration kIdleWait = std::chrono::milliseconds(200);
 constexpr Duration kStopPoll = std::chrono::milliseconds(20);
 constexpr std::size_t kEventsPerRound = 256;
-// No call has more events under way than this, so that the ring cannot fill up with them.
+// Upper bound of the queued events of one call, so that the ring has space for those of all calls.
 constexpr std::size_t kEventsPerCall = 8;
 constexpr std::chrono::milliseconds kRetryDelay{500};
 
@@ -77,7 +77,9 @@
 {
     const TimePoint begin = m_clock.now();
     const Duration stopTimeout = m_settings.entry.stopTimeout;
-    while (m_inFlight > 0 || m_openCallCount > 0) { // a keyed call may outlive its caller
+    while (m_inFlight > 0
+           || m_openCallCount
+                  > 0) { // a call with an idempotency key may continue after its caller disconnects
         if (stopTimeout > Duration::zero() && m_clock.now() - begin > stopTimeout)
             break;
         std::this_thread::sleep_for(kStopPoll);
@@ -166,7 +168,8 @@
 void EntryNode::allowanceAnswered(const std::string &team, std::uint64_t requestId,
                                   const Allowance &allowance)
 {
-    // One that is lost is given up after the owner's timeout, and what it granted runs out.
+    // If the answer is dropped, the request times out after the owner's timeout, and the allowance
+    // expires.
     if (!m_ring.tryPush(AllowanceEvent{team, requestId, allowance}))
         m_metrics.count("fordwood_allowances_dropped_total");
 }
@@ -188,14 +191,14 @@
 
 void EntryNode::limitRead(CallId call, unsigned attempt, const ParsedLimit &limit)
 {
-    // The next answer says the same.
+    // May be dropped: the next answer repeats it.
     if (!m_ring.tryPush(LimitEvent{call, attempt, limit}))
         m_metrics.count("fordwood_limits_dropped_total");
 }
 
 void EntryNode::noticeRead(CallId call, unsigned attempt, const UpstreamNotice &notice)
 {
-    // The next answer says the same.
+    // May be dropped: the next answer repeats it.
     if (!m_ring.tryPush(NoticeEvent{call, attempt, notice}))
         m_metrics.count("fordwood_notices_dropped_total");
 }
@@ -218,8 +221,8 @@
 
 adapters::DirectAnswer EntryNode::rejectionAnswer(Verdict verdict, bool hasKey)
 {
-    // With a key the verdict speaks of the key: an earlier send of it may have run. Requests that
-    // are wrong in themselves were refused before, too.
+    // With an idempotency key, the verdict covers earlier sends of the same key, which may have
+    // run. Requests that are invalid in themselves were rejected each time, so their verdict stays.
     constexpr int kTooManyRequests = 429;
     const int status = info(verdict.reason).httpStatus;
     if (hasKey && (status >= 500 || status == kTooManyRequests))
@@ -247,8 +250,8 @@
     m_ready = true;
 }
 
-// For events that must not be lost. The ring is sized so that it takes them; should it ever be
-// full, the thread waits rather than lose the end of a call.
+// For events that must not be lost. The ring is large enough for them; if it is full nevertheless,
+// the thread waits, so that the end of a call is not lost.
 void EntryNode::pushBlocking(const EntryEvent &event)
 {
     while (!m_ring.tryPush(event) && !m_stopping)
@@ -269,7 +272,7 @@
             m_dispatcher.tick();
             nextTick = m_clock.now() + kTick;
         }
-        // Carrying out may bring further actions.
+        // Executing an action may add further actions.
         for (auto actions = m_dispatcher.takeActions(); !actions.empty();
              actions = m_dispatcher.takeActions()) {
             for (const Action &it : actions)
@@ -401,7 +404,7 @@
                                    {RunState::NotRun, Reason::RingFull, "", false});
 }
 
-// The caller gets the answer that its first send got.
+// Sends the caller the stored answer to the first request with the same key.
 void EntryNode::sendStoredAnswer(const EndWithStoredAnswer &action)
 {
     const auto it = m_openCalls.find(action.call);
--- a/src/apps/entryd/entry_node.hpp
+++ b/src/apps/entryd/entry_node.hpp
@@ -25,7 +25,7 @@
 
 namespace fordwood::apps {
 
-// One entryd: takes callers' requests, has them answered by upstreams, and passes the answers on.
+// The entryd process: accepts callers' requests, sends them to upstreams, and forwards the answers.
 // Threads: HTTP for callers, dispatch (all decisions), HTTP to upstreams, snapshots from controld.
 class EntryNode : public Daemon,
                   private adapters::CallerHandler,
@@ -106,7 +106,7 @@
                                     StreamLostEvent, FinishedEvent, FailedEvent, LimitEvent,
                                     NoticeEvent, CallerLeftEvent, StateEvent, StopEvent>;
 
-    // CallerHandler, on the HTTP threads
+    // CallerHandler, called on the HTTP threads
     std::variant<adapters::DirectAnswer, std::shared_ptr<adapters::Exchange>>
     handle(adapters::CallerMessage message) override;
     void submit(const std::shared_ptr<adapters::Exchange> &exchange) override;
@@ -114,14 +114,14 @@
     void exchangeEnded(CallId call) override;
     void refused(Reason reason) override;
 
-    // PermitClientListener, on gRPC's threads
+    // PermitClientListener, called on gRPC's threads
     bool replyArrived(const std::string &owner, const PermitReply &reply) override;
     void claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer) override;
     void allowanceAnswered(const std::string &team, std::uint64_t requestId,
                            const Allowance &allowance) override;
     void streamLost(const std::string &owner, std::uint64_t stream) override;
 
-    // UpstreamListener, on the upstream thread
+    // UpstreamListener, called on the upstream thread
     void attemptFinished(CallId call, unsigned attempt, double cost, StoredAnswer answer) override;
     void attemptFailed(CallId call, unsigned attempt, const AttemptFailure &failure) override;
     void limitRead(CallId call, unsigned attempt, const ParsedLimit &limit) override;
@@ -132,7 +132,7 @@
     void applySnapshot(const wire::Snapshot &snapshot);
     void pushBlocking(const EntryEvent &event);
 
-    // On the dispatch thread
+    // On the dispatch thread:
     void runDispatch();
     void on(BeginEvent &event);
     void on(const ReplyEvent &event);
@@ -169,16 +169,16 @@
     std::atomic<std::shared_ptr<const ServingState>> m_state;
     std::atomic<CallId> m_nextCall{1};
     std::atomic<std::size_t> m_inFlight{0};
-    std::atomic<std::size_t> m_openCallCount{0}; // of the dispatcher
+    std::atomic<std::size_t> m_openCallCount{0}; // calls that the dispatcher has open
     std::atomic<bool> m_ready{false};
     std::atomic<bool> m_stopBegan{false}; // a planned stop has begun
     std::atomic<bool> m_stopping{false};
 
-    // Requests understood but not yet submitted, by id.
+    // Requests that were parsed but not yet submitted, by id.
     std::mutex m_unsubmittedMutex;
     std::unordered_map<CallId, CallRequest> m_unsubmitted;
 
-    // Of the dispatch thread alone:
+    // Used only on the dispatch thread:
     struct OpenCall
     {
         CallRequest request;
--- a/src/apps/entryd/snapshot_reader.hpp
+++ b/src/apps/entryd/snapshot_reader.hpp
@@ -12,15 +12,15 @@
 
 namespace fordwood::apps {
 
-// Puts the snapshots of controld together: keeps the pieces that it was sent, and parses only those
-// that are new.
+// Builds fleet views from controld's snapshots. Keeps the pieces it has received and parses only
+// new ones.
 class SnapshotReader
 {
 public:
     explicit SnapshotReader(std::string ownFailureDomain);
 
-    // Gives the view that the snapshot describes, or null with `error` set when it cannot be used;
-    // the view given before then stays in force.
+    // Returns the view that the snapshot describes, or null with `error` set if the snapshot is not
+    // usable; the previous view then stays valid.
     std::shared_ptr<const FleetView> read(const wire::Snapshot &snapshot, std::string &error);
 
 private:
--- a/src/apps/entryd/team_index.hpp
+++ b/src/apps/entryd/team_index.hpp
@@ -11,13 +11,13 @@
 
 namespace fordwood::apps {
 
-// Finds the team of a bearer key. Digests are compared in constant time.
+// Finds the team of a bearer key. Compares digests in constant time.
 class TeamIndex
 {
 public:
     explicit TeamIndex(const Configuration &configuration);
 
-    // Null when the key belongs to no team.
+    // Returns null if the key belongs to no team.
     const TeamConfig *find(std::string_view bearerKey) const;
 
 private:
@@ -26,8 +26,8 @@
         Sha256 digest;
         const TeamConfig *team;
     };
-    // By the first bytes of the digest. These tell nothing about the key: a caller who could learn
-    // them by timing would still have to find a text with that digest.
+    // Indexed by the first bytes of the digest. They reveal nothing about the key: even if timing
+    // disclosed them, an attacker would still have to find a text with that digest.
     std::unordered_map<std::uint64_t, std::vector<Entry>> m_entries;
 };
 
--- a/src/apps/noded/main.cpp
+++ b/src/apps/noded/main.cpp
@@ -19,10 +19,10 @@
 
 constexpr const char *kName = "fordwood-noded";
 
-// The time in which the last messages to peers and to the platform leave.
+// Time to send the last messages to peers and the platform before the process ends.
 constexpr Duration kGoodbyeTime = std::chrono::milliseconds(100);
 
-// Reads the settings; what is wrong is logged and shown.
+// Reads the settings. Errors are logged and written to standard error.
 std::optional<config::OneProcessSettings> readSettings(const std::string &path)
 {
     config::ConfigErrors errors;
@@ -34,7 +34,7 @@
     return settings;
 }
 
-// Waits for SIGTERM or SIGINT; a SIGHUP has the settings read again.
+// Waits for SIGTERM or SIGINT and returns it. On SIGHUP, reloads the settings.
 int waitForStop(const sigset_t &signals, const std::string &path, node::ControlDuty &control)
 {
     for (;;) {
@@ -49,20 +49,20 @@
     }
 }
 
-// Serves until a planned stop is complete.
+// Serves until a planned stop has completed.
 int serve(const config::OneProcessSettings &settings, const std::string &path,
           const sigset_t &signals)
 {
     const adapters::SystemClock clock;
     adapters::Metrics metrics;
-    // Each thread is told of the other only after both stand.
+    // The two loops refer to each other, so the pointers are set after both are constructed.
     node::ServingLoop *trafficDuty = nullptr;
     node::ControlDuty *controlDuty = nullptr;
     node::ControlDuty control(settings, clock, metrics, [&](node::FleetUpdate it) {
         return trafficDuty->mailbox().push(std::move(it));
     });
     const auto tellLoads = [&](node::OwnLoads it) {
-        // Loads are told again a moment later: one that does not fit is not missed.
+        // If the mailbox is full, the report is dropped: the next one follows shortly.
         std::ignore = controlDuty->loadsMailbox().push(std::move(it));
     };
     const auto tellRequestNews = [&](std::vector<QuarantineUpdate> it) {
