--- a/src/apps/ctl/commands.cpp
+++ b/src/apps/ctl/commands.cpp
@@ -67,20 +67,20 @@
     return out.str();
 }
 
-struct Stored
+struct StoredConfiguration
 {
     ConfigHead head;
     std::vector<StoredPiece> pieces;
 };
 
-tl::expected<Stored, std::string> readStored(const CtlOptions &options)
+tl::expected<StoredConfiguration, std::string> readStoredConfiguration(const CtlOptions &options)
 {
     adapters::EtcdStore store(options.platform);
     const adapters::ProtoHeadCodec codec;
     const auto head = store.get(headKey(), options.timeout);
     if (!head)
         return tl::make_unexpected(head.error().text);
-    Stored stored;
+    StoredConfiguration stored;
     if (!*head)
         return stored;
     const auto decoded = codec.decodeHead((*head)->value);
@@ -113,20 +113,21 @@
     const auto source = readSource(options.arguments[0], errors);
     if (!source)
         return output.reportErrors(errors);
-    const Configuration &found = source->configuration;
+    const Configuration &configuration = source->configuration;
     if (output.json) {
         output.out << Json{{"ok", true},
-                           {"teams", found.teams.size()},
-                           {"models", found.models.size()},
-                           {"upstreams", found.upstreams.size()},
-                           {"routes", found.routes.size()},
-                           {"stores", found.stores.size()}}
+                           {"teams", configuration.teams.size()},
+                           {"models", configuration.models.size()},
+                           {"upstreams", configuration.upstreams.size()},
+                           {"routes", configuration.routes.size()},
+                           {"stores", configuration.stores.size()}}
                           .dump()
                    << "\n";
     } else {
-        output.out << "ok: " << found.teams.size() << " teams, " << found.models.size()
-                   << " models, " << found.upstreams.size() << " upstreams, " << found.routes.size()
-                   << " routes, " << found.stores.size() << " stores\n";
+        output.out << "ok: " << configuration.teams.size() << " teams, "
+                   << configuration.models.size() << " models, " << configuration.upstreams.size()
+                   << " upstreams, " << configuration.routes.size() << " routes, "
+                   << configuration.stores.size() << " stores\n";
     }
     return ExitOk;
 }
@@ -148,14 +149,14 @@
     return "unknown";
 }
 
-int exitCodeOf(SubmissionOutcome outcome)
+int exitCodeFor(SubmissionOutcome outcome)
 {
     switch (outcome) {
     case SubmissionOutcome::Accepted:
     case SubmissionOutcome::Unchanged:
         return ExitOk;
     case SubmissionOutcome::Refused:
-        return kExitRefused;
+        return kExitConflict;
     case SubmissionOutcome::NotStored:
         return ExitFailed;
     case SubmissionOutcome::Unknown:
@@ -183,7 +184,7 @@
     const SubmissionResult result = submitter.submit(submission, options.timeout);
     const std::string name(outcomeName(result.outcome));
     if (output.json) {
-        output.out << Json{{"ok", exitCodeOf(result.outcome) == ExitOk},
+        output.out << Json{{"ok", exitCodeFor(result.outcome) == ExitOk},
                            {"outcome", name},
                            {"version", result.version},
                            {"submission", submission.id},
@@ -196,12 +197,12 @@
                    << ", " << result.piecesWritten << " pieces written"
                    << (result.detail.empty() ? "" : ": " + result.detail) << "\n";
     }
-    return exitCodeOf(result.outcome);
+    return exitCodeFor(result.outcome);
 }
 
 int show(const CtlOptions &options, const Output &output)
 {
-    const auto stored = readStored(options);
+    const auto stored = readStoredConfiguration(options);
     if (!stored)
         return output.fail(ExitFailed, stored.error());
     if (output.json) {
@@ -224,7 +225,7 @@
 }
 
 // The tables of pieces, each as a text, by section and name.
-std::map<std::string, std::string> entriesOf(const std::vector<StoredPiece> &pieces)
+std::map<std::string, std::string> tablesByName(const std::vector<StoredPiece> &pieces)
 {
     std::map<std::string, std::string> entries;
     config::ConfigErrors errors;
@@ -257,13 +258,13 @@
     const auto source = readSource(options.arguments[0], errors);
     if (!source)
         return output.reportErrors(errors);
-    const auto stored = readStored(options);
+    const auto stored = readStoredConfiguration(options);
     if (!stored)
         return output.fail(ExitFailed, stored.error());
-    const auto before = entriesOf(stored->pieces);
-    const auto after = entriesOf(piecesOf(*source));
+    const auto before = tablesByName(stored->pieces);
+    const auto after = tablesByName(piecesOf(*source));
     Json list = Json::array();
-    const auto note = [&](char sign, const std::string &name) {
+    const auto addChange = [&](char sign, const std::string &name) {
         list.push_back({{"change", std::string(1, sign)}, {"entry", name}});
         if (!output.json)
             output.out << sign << " " << name << "\n";
@@ -271,13 +272,13 @@
     for (const auto &[name, text] : before) {
         const auto it = after.find(name);
         if (it == after.end())
-            note('-', name);
+            addChange('-', name);
         else if (it->second != text)
-            note('~', name);
+            addChange('~', name);
     }
     for (const auto &[name, text] : after) {
         if (before.count(name) == 0)
-            note('+', name);
+            addChange('+', name);
     }
     if (output.json)
         output.out
@@ -318,14 +319,16 @@
                        << " upstreams" << (reply->relay() ? ", relay" : "") << ", "
                        << reply->links() << " links, build " << reply->build() << "\n";
     }
-    const bool same = versions.size() <= 1;
+    const bool isSameVersion = versions.size() <= 1;
     if (output.json)
-        output.out
-            << Json{{"ok", allAnswered && same}, {"same_version", same}, {"nodes", list}}.dump()
-            << "\n";
+        output.out << Json{{"ok", allAnswered && isSameVersion},
+                           {"same_version", isSameVersion},
+                           {"nodes", list}}
+                          .dump()
+                   << "\n";
     else
-        output.out << (same ? "all on the same version\n" : "versions differ\n");
-    return allAnswered && same ? ExitOk : ExitFailed;
+        output.out << (isSameVersion ? "all on the same version\n" : "versions differ\n");
+    return allAnswered && isSameVersion ? ExitOk : ExitFailed;
 }
 
 int reference(const CtlOptions &options, const Output &output)
--- a/src/apps/ctl/commands.hpp
+++ b/src/apps/ctl/commands.hpp
@@ -27,7 +27,7 @@
 int runVerb(const CtlOptions &options, std::ostream &out, std::ostream &err);
 
 // Exit codes beside 0 (done), 1 (failed) and 2 (wrong options or a text that was refused).
-constexpr int kExitRefused = 3; // another submission came first
+constexpr int kExitConflict = 3; // another submission came first
 constexpr int kExitUnknown = 4; // the store did not say in time whether it took effect
 constexpr int kExitDiffers = 5; // diff found differences
 
--- a/src/apps/ctl/main.cpp
+++ b/src/apps/ctl/main.cpp
@@ -27,7 +27,7 @@
       "3 another submission came first; 4 not known whether it took effect (submit again with the\n"
       "same --submission); 5 diff found differences.\n\n";
 
-po::options_description describe()
+po::options_description makeOptions()
 {
     po::options_description options("Options");
     auto add = options.add_options();
@@ -91,7 +91,7 @@
 
 int run(int argc, char **argv)
 {
-    const po::options_description visible = describe();
+    const po::options_description visible = makeOptions();
     po::options_description all;
     all.add(visible).add_options()("verb", po::value<std::string>())(
         "argument", po::value<std::vector<std::string>>());
--- a/src/apps/ctl/references.cpp
+++ b/src/apps/ctl/references.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-constexpr const char *kMade = "This page is made from the code by `tools/write_references.sh`.";
+constexpr const char *kGeneratedNote
+    = "This page is made from the code by `tools/write_references.sh`.";
 
 std::string reasonsPage()
 {
     std::ostringstream out;
-    out << "# Reasons\n\nWhy a request was refused, retried or ended early. " << kMade
+    out << "# Reasons\n\nWhy a request was refused, retried or ended early. " << kGeneratedNote
         << " The name stands\nin the `Fordwood-Reason` header, in the `code` of the JSON error and "
            "in "
            "the label of the counters\n`fordwood_refusals_total` and `fordwood_retries_total`. The "
@@ -38,17 +39,17 @@
             config::configurationSections(), "Configuration reference",
             "What `fordwoodctl submit` takes: one TOML file, or a folder of them that is taken as\n"
             "one. Every key is checked; an unknown key is an error. "
-                + std::string(kMade));
+                + std::string(kGeneratedNote));
     if (name == "settings")
         return config::referencePage(config::settingsSections(), "Settings reference",
                                      "The settings file of one entry VM, read at start by both "
                                      "daemons.\n"
-                                         + std::string(kMade));
+                                         + std::string(kGeneratedNote));
     if (name == "node-settings")
         return config::referencePage(config::nodeSections(), "Node settings reference",
                                      "The settings file of `fordwood-noded`, read at its start and "
                                      "at SIGHUP.\n"
-                                         + std::string(kMade));
+                                         + std::string(kGeneratedNote));
     if (name == "reasons")
         return reasonsPage();
     if (name == "events")
--- a/src/apps/ctl/sources.cpp
+++ b/src/apps/ctl/sources.cpp
@@ -12,7 +12,7 @@
 
 namespace fs = std::filesystem;
 
-std::vector<std::string> filesOf(const std::string &path, config::ConfigErrors &errors)
+std::vector<std::string> listFiles(const std::string &path, config::ConfigErrors &errors)
 {
     std::error_code ec;
     if (!fs::is_directory(path, ec))
@@ -32,10 +32,10 @@
 
 } // namespace
 
-std::optional<Source> readSource(const std::string &path, config::ConfigErrors &errors)
+std::optional<ConfigurationSource> readSource(const std::string &path, config::ConfigErrors &errors)
 {
-    Source source;
-    for (const std::string &file : filesOf(path, errors)) {
+    ConfigurationSource source;
+    for (const std::string &file : listFiles(path, errors)) {
         const auto text = config::readFile(file, errors);
         if (!text)
             continue;
@@ -49,7 +49,7 @@
     return source;
 }
 
-std::vector<StoredPiece> piecesOf(const Source &source)
+std::vector<StoredPiece> piecesOf(const ConfigurationSource &source)
 {
     std::vector<StoredPiece> pieces;
     for (config::ConfigPiece &it : config::cutPieces(source.documents)) {
--- a/src/apps/ctl/sources.hpp
+++ b/src/apps/ctl/sources.hpp
@@ -12,7 +12,7 @@
 namespace fordwood::apps {
 
 // A configuration read from files, checked.
-struct Source
+struct ConfigurationSource
 {
     std::vector<config::Document> documents;
     Configuration configuration;
@@ -20,10 +20,11 @@
 
 // Reads a file, or every .toml file of a folder and the folders in it. Empty when any error was
 // added.
-std::optional<Source> readSource(const std::string &path, config::ConfigErrors &errors);
+std::optional<ConfigurationSource> readSource(const std::string &path,
+                                              config::ConfigErrors &errors);
 
 // The pieces that are stored for it.
-std::vector<StoredPiece> piecesOf(const Source &source);
+std::vector<StoredPiece> piecesOf(const ConfigurationSource &source);
 
 } // namespace fordwood::apps
 
--- a/src/apps/load/main.cpp
+++ b/src/apps/load/main.cpp
@@ -107,12 +107,12 @@
     if (values.count("seed") != 0)
         workload->seed = values["seed"].as<std::uint64_t>();
 
-    const auto plan = apps::planOf(*workload);
+    const auto plan = apps::makePlan(*workload);
     const apps::StandinCounts before = apps::readStandins(*workload);
     const auto begin = std::chrono::steady_clock::now();
     const auto records
         = apps::runPlan(*workload, plan, std::max(1U, values["threads"].as<unsigned>()));
-    const Duration took = std::chrono::steady_clock::now() - begin;
+    const Duration duration = std::chrono::steady_clock::now() - begin;
     apps::StandinCounts counts = apps::readStandins(*workload);
     counts.promptTokens -= before.promptTokens;
     counts.uncachedTokens -= before.uncachedTokens;
@@ -122,10 +122,10 @@
         counts.retries[reason] -= n;
     std::erase_if(counts.retries, [](const auto &it) { return it.second <= 0; });
 
-    const std::string json = apps::reportJson(records, counts, took);
+    const std::string json = apps::reportJson(records, counts, duration);
     std::cout << (values["output"].as<std::string>() == "json"
                       ? json + "\n"
-                      : apps::reportText(records, counts, took));
+                      : apps::reportText(records, counts, duration));
     if (values.count("result") != 0)
         std::ofstream(values["result"].as<std::string>()) << json << "\n";
     for (const apps::RequestRecord &it : records) {
--- a/src/apps/load/outcome.cpp
+++ b/src/apps/load/outcome.cpp
@@ -24,13 +24,13 @@
 }
 
 // The value below which a part of the samples lies.
-double quantile(std::vector<double> samples, double part)
+double quantile(std::vector<double> samples, double fraction)
 {
     if (samples.empty())
         return 0;
     std::sort(samples.begin(), samples.end());
     const auto index
-        = static_cast<std::size_t>(std::lround(part * static_cast<double>(samples.size() - 1)));
+        = static_cast<std::size_t>(std::lround(fraction * static_cast<double>(samples.size() - 1)));
     return samples[index];
 }
 
@@ -41,11 +41,12 @@
                 {"p99", quantile(samples, 0.99)}};
 }
 
-Json summary(const std::vector<RequestRecord> &records, const StandinCounts &counts, Duration took)
+Json summary(const std::vector<RequestRecord> &records, const StandinCounts &counts,
+             Duration duration)
 {
     std::vector<double> firstBytes;
-    std::vector<double> between;
-    std::vector<double> whole;
+    std::vector<double> betweenTokens;
+    std::vector<double> total;
     std::array<int, kOutcomeNames.size()> outcomes{};
     std::map<std::string, int> reasons;
     std::map<std::string, std::map<std::string, int>> byTarget;
@@ -58,22 +59,22 @@
         if (it.outcome != CallerOutcome::Answered)
             continue;
         firstBytes.push_back(toMs(it.firstByte));
-        whole.push_back(toMs(it.whole));
+        total.push_back(toMs(it.total));
         if (it.betweenTokens > Duration::zero())
-            between.push_back(toMs(it.betweenTokens));
+            betweenTokens.push_back(toMs(it.betweenTokens));
     }
     Json byOutcome = Json::object();
     for (std::size_t it = 0; it < outcomes.size(); ++it)
         byOutcome[kOutcomeNames[it]] = outcomes[it];
-    const double seconds = std::chrono::duration<double>(took).count();
+    const double seconds = std::chrono::duration<double>(duration).count();
     return Json{{"requests", records.size()},
                 {"seconds", seconds},
                 {"outcomes", byOutcome},
                 {"reasons", reasons},
                 {"by_target", byTarget},
                 {"first_byte_ms", quantiles(firstBytes)},
-                {"whole_ms", quantiles(whole)},
-                {"between_tokens_ms", quantiles(between)},
+                {"whole_ms", quantiles(total)},
+                {"between_tokens_ms", quantiles(betweenTokens)},
                 {"recomputed_share",
                  counts.promptTokens > 0 ? counts.uncachedTokens / counts.promptTokens : 0.0},
                 {"link_bytes", counts.linkBytes},
@@ -85,9 +86,9 @@
 } // namespace
 
 std::string reportText(const std::vector<RequestRecord> &records, const StandinCounts &counts,
-                       Duration took)
+                       Duration duration)
 {
-    const Json all = summary(records, counts, took);
+    const Json all = summary(records, counts, duration);
     std::ostringstream out;
     out << std::fixed << std::setprecision(2);
     out << "requests " << records.size() << " in " << all["seconds"].get<double>() << " s\n";
@@ -111,9 +112,9 @@
 }
 
 std::string reportJson(const std::vector<RequestRecord> &records, const StandinCounts &counts,
-                       Duration took)
+                       Duration duration)
 {
-    return summary(records, counts, took).dump(2);
+    return summary(records, counts, duration).dump(2);
 }
 
 } // namespace fordwood::apps
--- a/src/apps/load/outcome.hpp
+++ b/src/apps/load/outcome.hpp
@@ -30,7 +30,7 @@
     std::string reason; // of a refusal or a broken answer
     std::string verdict;
     Duration firstByte{0}; // from the intended time
-    Duration whole{0};
+    Duration total{0};
     Duration betweenTokens{0}; // mean
 };
 
@@ -47,9 +47,9 @@
 
 // Results of one run, as text or as JSON.
 std::string reportText(const std::vector<RequestRecord> &records, const StandinCounts &counts,
-                       Duration took);
+                       Duration duration);
 std::string reportJson(const std::vector<RequestRecord> &records, const StandinCounts &counts,
-                       Duration took);
+                       Duration duration);
 
 } // namespace fordwood::apps
 
--- a/src/apps/load/report.cpp
+++ b/src/apps/load/report.cpp
@@ -18,7 +18,7 @@
 using Json = nlohmann::json;
 
 // Lines of a plot of prices: the dearest ones.
-constexpr std::size_t kMostPrices = 6;
+constexpr std::size_t kMaxPriceLines = 6;
 
 // Reads a JSON file with `read`, which may use the throwing accessors.
 template <typename T, typename Read>
@@ -34,12 +34,12 @@
     }
 }
 
-PlayedDay readDay(const Json &object)
+SimulatedDay readDay(const Json &object)
 {
-    PlayedDay day;
+    SimulatedDay day;
     object.at("name").get_to(day.name);
     day.worth = object.value("G", 0.0);
-    day.brokenRules = object.value("rules", Json::object()).size();
+    day.ruleViolations = object.value("rules", Json::object()).size();
     const Json prices = object.value("prices", Json::array());
     for (const Json &it : prices) // [what for, how much of it, the part of the worth]
         day.prices[it.at(0).get<std::string>()] = it.at(2).get<double>();
@@ -47,7 +47,7 @@
 }
 
 // A text that may be missing or null.
-std::string textOf(const Json &object, const char *key)
+std::string optionalText(const Json &object, const char *key)
 {
     const auto it = object.find(key);
     return it != object.end() && it->is_string() ? it->get<std::string>() : std::string();
@@ -58,8 +58,8 @@
     JournalEntry entry;
     entry.at = object.at("at").at(1).get<std::string>();
     object.at("cmd").get_to(entry.command);
-    entry.why = textOf(object, "why");
-    entry.site = textOf(object, "site");
+    entry.why = optionalText(object, "why");
+    entry.site = optionalText(object, "site");
     const Json days = object.value("days", Json::array());
     for (const Json &it : days)
         entry.days.push_back(readDay(it));
@@ -70,12 +70,12 @@
 {
     LoadResult result;
     object.at("first_byte_ms").get_to(result.firstByteMs);
-    object.at("whole_ms").get_to(result.wholeMs);
+    object.at("whole_ms").get_to(result.totalMs);
     object.at("outcomes").get_to(result.outcomes);
     return result;
 }
 
-std::vector<std::filesystem::path> entriesOf(const std::string &directory)
+std::vector<std::filesystem::path> listEntryFiles(const std::string &directory)
 {
     std::vector<std::filesystem::path> paths;
     for (const auto &it : std::filesystem::directory_iterator(directory)) {
@@ -87,7 +87,7 @@
 }
 
 // The scores of one site, in order: rounds that may be compared.
-std::vector<const JournalEntry *> scoresOf(const Report &report, const std::string &site)
+std::vector<const JournalEntry *> scoreEntries(const Report &report, const std::string &site)
 {
     std::vector<const JournalEntry *> scores;
     for (const JournalEntry &it : report.journal) {
@@ -97,10 +97,10 @@
     return scores;
 }
 
-const PlayedDay *findDay(const JournalEntry &entry, const std::string &name)
+const SimulatedDay *findDay(const JournalEntry &entry, const std::string &name)
 {
     const auto it = std::find_if(entry.days.begin(), entry.days.end(),
-                                 [&](const PlayedDay &day) { return day.name == name; });
+                                 [&](const SimulatedDay &day) { return day.name == name; });
     return it == entry.days.end() ? nullptr : &*it;
 }
 
@@ -109,7 +109,7 @@
 {
     std::map<std::string, int> counts;
     for (const JournalEntry *entry : scores) {
-        for (const PlayedDay &it : entry->days)
+        for (const SimulatedDay &it : entry->days)
             ++counts[it.name];
     }
     std::set<std::string> names;
@@ -120,13 +120,13 @@
     return names;
 }
 
-Plot worthPlot(const std::string &site, const std::vector<const JournalEntry *> &scores)
+Plot plotWorth(const std::string &site, const std::vector<const JournalEntry *> &scores)
 {
     Plot plot{site + ": worth by day", "of an ideal system", {}};
     for (const std::string &name : repeatedDays(scores)) {
         PlotSeries series{name, {}};
         for (const JournalEntry *it : scores) {
-            const PlayedDay *day = findDay(*it, name);
+            const SimulatedDay *day = findDay(*it, name);
             series.values.push_back(day != nullptr ? std::optional(day->worth) : std::nullopt);
         }
         plot.series.push_back(std::move(series));
@@ -138,30 +138,30 @@
 double meanPrice(const JournalEntry &entry, const std::string &name)
 {
     double sum = 0.0;
-    for (const PlayedDay &it : entry.days) {
+    for (const SimulatedDay &it : entry.days) {
         const auto price = it.prices.find(name);
         sum += price == it.prices.end() ? 0.0 : price->second;
     }
     return sum / static_cast<double>(entry.days.size());
 }
 
-Plot pricePlot(const std::string &site, const std::vector<const JournalEntry *> &scores)
+Plot plotPrices(const std::string &site, const std::vector<const JournalEntry *> &scores)
 {
     std::map<std::string, double> sums;
     for (const JournalEntry *entry : scores) {
-        for (const PlayedDay &day : entry->days) {
+        for (const SimulatedDay &day : entry->days) {
             for (const auto &[name, part] : day.prices)
                 sums[name] += part;
         }
     }
-    std::vector<std::pair<double, std::string>> dearest;
-    dearest.reserve(sums.size());
+    std::vector<std::pair<double, std::string>> highest;
+    highest.reserve(sums.size());
     for (const auto &[name, sum] : sums)
-        dearest.emplace_back(sum, name);
-    std::sort(dearest.rbegin(), dearest.rend());
-    dearest.resize(std::min(dearest.size(), kMostPrices));
+        highest.emplace_back(sum, name);
+    std::sort(highest.rbegin(), highest.rend());
+    highest.resize(std::min(highest.size(), kMaxPriceLines));
     Plot plot{site + ": prices, mean over the days", "part of the worth", {}};
-    for (const auto &[sum, name] : dearest) {
+    for (const auto &[sum, name] : highest) {
         PlotSeries series{name, {}};
         for (const JournalEntry *it : scores)
             series.values.emplace_back(meanPrice(*it, name));
@@ -170,7 +170,7 @@
     return plot;
 }
 
-Plot timesPlot(const std::vector<LoadResult> &results)
+Plot plotTimes(const std::vector<LoadResult> &results)
 {
     std::set<std::string> quantiles;
     for (const LoadResult &result : results) {
@@ -195,8 +195,9 @@
     out << "<table><tr><th>ended</th><th>command</th><th>site</th><th>days</th>"
            "<th>mean worth</th><th>days with a rule broken</th><th>why</th></tr>\n";
     for (const JournalEntry &it : journal) {
-        const auto broken = std::count_if(it.days.begin(), it.days.end(),
-                                          [](const PlayedDay &day) { return day.brokenRules > 0; });
+        const auto broken
+            = std::count_if(it.days.begin(), it.days.end(),
+                            [](const SimulatedDay &day) { return day.ruleViolations > 0; });
         const auto mean = it.meanWorth();
         out << "<tr><td>" << escapeHtml(it.at) << "</td><td>" << escapeHtml(it.command)
             << "</td><td>" << escapeHtml(it.site) << "</td><td>" << it.days.size() << "</td><td>";
@@ -221,7 +222,7 @@
         out << "<tr><td>" << escapeHtml(it.file) << "</td>";
         list(it.outcomes);
         list(it.firstByteMs);
-        list(it.wholeMs);
+        list(it.totalMs);
         out << "</tr>\n";
     }
     out << "</table>\n";
@@ -234,7 +235,7 @@
     if (days.empty())
         return std::nullopt;
     double sum = 0.0;
-    for (const PlayedDay &it : days)
+    for (const SimulatedDay &it : days)
         sum += it.worth;
     return sum / static_cast<double>(days.size());
 }
@@ -246,7 +247,7 @@
     if (!journalDirectory.empty()) {
         if (!std::filesystem::is_directory(journalDirectory))
             return tl::unexpected(ReportError{journalDirectory + ": is no directory"});
-        for (const auto &path : entriesOf(journalDirectory)) {
+        for (const auto &path : listEntryFiles(journalDirectory)) {
             auto entry = readFile<JournalEntry>(path, readEntry);
             if (!entry)
                 return tl::unexpected(entry.error());
@@ -277,14 +278,14 @@
             sites.insert(it.site);
     }
     for (const std::string &site : sites) {
-        const auto scores = scoresOf(report, site);
+        const auto scores = scoreEntries(report, site);
         if (scores.empty())
             continue;
         out << "<h2>" << escapeHtml(site) << ": " << scores.size() << " scores</h2>\n"
-            << drawSvg(worthPlot(site, scores)) << drawSvg(pricePlot(site, scores));
+            << drawSvg(plotWorth(site, scores)) << drawSvg(plotPrices(site, scores));
     }
     if (!report.results.empty()) {
-        out << "<h2>Result files</h2>\n" << drawSvg(timesPlot(report.results));
+        out << "<h2>Result files</h2>\n" << drawSvg(plotTimes(report.results));
         writeResultTable(out, report.results);
     }
     if (!report.journal.empty()) {
--- a/src/apps/load/report.hpp
+++ b/src/apps/load/report.hpp
@@ -12,12 +12,12 @@
 namespace fordwood::apps {
 
 // One day that was played for the users' platform.
-struct PlayedDay
+struct SimulatedDay
 {
     std::string name;
     double worth = 0.0; // of what an ideal system would reach
     std::map<std::string, double> prices; // parts of the worth that were paid, by what for
-    std::size_t brokenRules = 0;
+    std::size_t ruleViolations = 0;
 };
 
 // One entry of the users' journal: a command, and the days that it played.
@@ -27,7 +27,7 @@
     std::string command;
     std::string why;
     std::string site; // empty: several or none
-    std::vector<PlayedDay> days;
+    std::vector<SimulatedDay> days;
 
     std::optional<double> meanWorth() const;
 };
@@ -37,7 +37,7 @@
 {
     std::string file;
     std::map<std::string, double> firstByteMs; // by quantile
-    std::map<std::string, double> wholeMs;
+    std::map<std::string, double> totalMs;
     std::map<std::string, double> outcomes;
 };
 
--- a/src/apps/load/runner.cpp
+++ b/src/apps/load/runner.cpp
@@ -24,11 +24,11 @@
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr std::size_t kBytesPerToken = 4;
-constexpr auto kGrace = std::chrono::seconds(5); // after a request's own deadline
+constexpr auto kTimeoutGrace = std::chrono::seconds(5); // after a request's own deadline
 constexpr auto kStatsTimeout = std::chrono::seconds(2);
 
 // A text of so many tokens that depends on its seed alone.
-std::string textOf(const std::string &seed, std::size_t tokens)
+std::string generateText(const std::string &seed, std::size_t tokens)
 {
     std::string text;
     std::uint64_t state = stableHash(seed);
@@ -41,25 +41,25 @@
 }
 
 // The prompt of one turn: the shared context, then every question so far.
-std::vector<std::pair<std::string, std::string>> messagesOf(const ConversationKind &kind,
-                                                            const PlannedRequest &request)
+std::vector<std::pair<std::string, std::string>> buildMessages(const ConversationKind &kind,
+                                                               const PlannedRequest &request)
 {
     std::vector<std::pair<std::string, std::string>> messages;
-    messages.emplace_back(
-        "system", textOf(kind.team + "/" + std::to_string(request.context), kind.contextTokens));
+    messages.emplace_back("system", generateText(kind.team + "/" + std::to_string(request.context),
+                                                 kind.contextTokens));
     for (std::size_t turn = 0; turn <= request.turn; ++turn) {
         const std::string seed = std::to_string(request.conversation) + "/" + std::to_string(turn);
-        messages.emplace_back("user", textOf(seed, kind.questionTokens));
+        messages.emplace_back("user", generateText(seed, kind.questionTokens));
     }
     return messages;
 }
 
 // One request under way.
-class Sending
+class PendingRequest
 {
 public:
-    Sending(const Workload &workload, const PlannedRequest &plan, std::size_t number,
-            SteadyClock::time_point intended, RequestRecord &record)
+    PendingRequest(const Workload &workload, const PlannedRequest &plan, std::size_t number,
+                   SteadyClock::time_point intended, RequestRecord &record)
         : m_kind(workload.kinds[plan.kind]), m_intended(intended), m_record(record),
           m_easy(curl_easy_init())
     {
@@ -72,7 +72,7 @@
             path = "/v1/chat/completions";
             prepareCompletion(plan);
         } else {
-            m_body = textOf(m_record.id, m_kind.questionTokens);
+            m_body = generateText(m_record.id, m_kind.questionTokens);
         }
         const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(workload.deadline);
         addHeader("Authorization: Bearer " + m_kind.key);
@@ -87,17 +87,18 @@
         curl_easy_setopt(m_easy, CURLOPT_HTTPHEADER, m_headers);
         curl_easy_setopt(m_easy, CURLOPT_POSTFIELDS, m_body.data());
         curl_easy_setopt(m_easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(m_body.size()));
-        curl_easy_setopt(m_easy, CURLOPT_TIMEOUT_MS,
-                         static_cast<long>(ms.count() + std::chrono::milliseconds(kGrace).count()));
-        curl_easy_setopt(m_easy, CURLOPT_HEADERFUNCTION, &Sending::onHeader);
+        curl_easy_setopt(
+            m_easy, CURLOPT_TIMEOUT_MS,
+            static_cast<long>(ms.count() + std::chrono::milliseconds(kTimeoutGrace).count()));
+        curl_easy_setopt(m_easy, CURLOPT_HEADERFUNCTION, &PendingRequest::onHeader);
         curl_easy_setopt(m_easy, CURLOPT_HEADERDATA, this);
-        curl_easy_setopt(m_easy, CURLOPT_WRITEFUNCTION, &Sending::onBody);
+        curl_easy_setopt(m_easy, CURLOPT_WRITEFUNCTION, &PendingRequest::onBody);
         curl_easy_setopt(m_easy, CURLOPT_WRITEDATA, this);
         curl_easy_setopt(m_easy, CURLOPT_PRIVATE, this);
     }
-    Sending(const Sending &) = delete;
-    Sending &operator=(const Sending &) = delete;
-    ~Sending()
+    PendingRequest(const PendingRequest &) = delete;
+    PendingRequest &operator=(const PendingRequest &) = delete;
+    ~PendingRequest()
     {
         curl_easy_cleanup(m_easy);
         curl_slist_free_all(m_headers);
@@ -107,11 +108,11 @@
 
     void finish(CURLcode ec)
     {
-        m_record.whole = SteadyClock::now() - m_intended;
+        m_record.total = SteadyClock::now() - m_intended;
         if (m_events > 1)
             m_record.betweenTokens = (m_lastByte - m_firstByte) / (m_events - 1);
         m_record.firstByte = m_firstByte - m_intended;
-        m_record.outcome = judge(ec);
+        m_record.outcome = determineOutcome(ec);
         if (m_record.outcome == CallerOutcome::Answered)
             m_record.reason.clear();
     }
@@ -121,7 +122,7 @@
     {
         Json messages = Json::array();
         std::string prompt;
-        for (const auto &[role, content] : messagesOf(m_kind, plan)) {
+        for (const auto &[role, content] : buildMessages(m_kind, plan)) {
             messages.push_back({{"role", role}, {"content", content}});
             prompt += role + ":" + Json(content).dump() + "\n";
         }
@@ -141,11 +142,11 @@
 
     static std::size_t onHeader(char *data, std::size_t size, std::size_t n, void *self)
     {
-        static_cast<Sending *>(self)->takeHeader(std::string(data, size * n));
+        static_cast<PendingRequest *>(self)->handleHeader(std::string(data, size * n));
         return size * n;
     }
 
-    void takeHeader(const std::string &line)
+    void handleHeader(const std::string &line)
     {
         const auto value = [&](std::string_view name) {
             std::string text = line.substr(name.size());
@@ -161,11 +162,11 @@
 
     static std::size_t onBody(char *data, std::size_t size, std::size_t n, void *self)
     {
-        static_cast<Sending *>(self)->takeBody(std::string_view(data, size * n));
+        static_cast<PendingRequest *>(self)->handleBody(std::string_view(data, size * n));
         return size * n;
     }
 
-    void takeBody(std::string_view bytes)
+    void handleBody(std::string_view bytes)
     {
         m_lastByte = SteadyClock::now();
         if (m_answer.empty())
@@ -176,7 +177,7 @@
         m_answer.append(bytes);
     }
 
-    CallerOutcome judge(CURLcode ec)
+    CallerOutcome determineOutcome(CURLcode ec)
     {
         long status = 0;
         curl_easy_getinfo(m_easy, CURLINFO_RESPONSE_CODE, &status);
@@ -185,7 +186,7 @@
         if (status != 200)
             return m_record.reason.empty() ? CallerOutcome::Truncated : CallerOutcome::Refused;
         if (const std::size_t event = m_answer.find("event: error"); event != std::string::npos) {
-            noteError(m_answer.substr(event));
+            recordError(m_answer.substr(event));
             return CallerOutcome::Broken;
         }
         if (ec != CURLE_OK)
@@ -193,16 +194,16 @@
         if (m_kind.model.empty())
             return m_answer.find(m_record.id) == std::string::npos ? CallerOutcome::Crossed
                                                                    : CallerOutcome::Answered;
-        const bool ended
+        const bool isComplete
             = m_answer.find("end") != std::string::npos
               && (!m_kind.stream || m_answer.find("data: [DONE]") != std::string::npos);
-        if (!ended)
+        if (!isComplete)
             return CallerOutcome::Truncated;
         return m_answer.find(m_expected) == std::string::npos ? CallerOutcome::Crossed
                                                               : CallerOutcome::Answered;
     }
 
-    void noteError(const std::string &event)
+    void recordError(const std::string &event)
     {
         const std::size_t begin = event.find('{');
         const Json json = Json::parse(event.substr(std::min(begin, event.size())), nullptr, false);
@@ -238,17 +239,17 @@
     Worker &operator=(const Worker &) = delete;
     ~Worker() { curl_multi_cleanup(m_multi); }
 
-    void run(std::size_t first, std::size_t step)
+    void run(std::size_t first, std::size_t stride)
     {
         std::size_t next = first;
-        while (next < m_plan.size() || !m_sending.empty()) {
+        while (next < m_plan.size() || !m_pending.empty()) {
             while (next < m_plan.size() && m_begin + m_plan[next].at <= SteadyClock::now()) {
                 send(next);
-                next += step;
+                next += stride;
             }
             int running = 0;
             curl_multi_perform(m_multi, &running);
-            takeResults();
+            finishCompleted();
             curl_multi_poll(m_multi, nullptr, 0, pollMs(next), nullptr);
         }
     }
@@ -256,33 +257,33 @@
 private:
     int pollMs(std::size_t next) const
     {
-        constexpr int kMost = 100;
+        constexpr int kMaxPollMs = 100;
         if (next >= m_plan.size())
-            return kMost;
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+            return kMaxPollMs;
+        const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
             m_begin + m_plan[next].at - SteadyClock::now());
-        return static_cast<int>(std::clamp<std::int64_t>(left.count(), 0, kMost));
+        return static_cast<int>(std::clamp<std::int64_t>(remaining.count(), 0, kMaxPollMs));
     }
 
     void send(std::size_t number)
     {
-        auto sending = std::make_unique<Sending>(m_workload, m_plan[number], number,
-                                                 m_begin + m_plan[number].at, m_records[number]);
-        curl_multi_add_handle(m_multi, sending->easy());
-        CURL *easy = sending->easy();
-        m_sending.emplace(easy, std::move(sending));
+        auto request = std::make_unique<PendingRequest>(
+            m_workload, m_plan[number], number, m_begin + m_plan[number].at, m_records[number]);
+        curl_multi_add_handle(m_multi, request->easy());
+        CURL *easy = request->easy();
+        m_pending.emplace(easy, std::move(request));
     }
 
-    void takeResults()
+    void finishCompleted()
     {
-        int left = 0;
-        while (const CURLMsg *message = curl_multi_info_read(m_multi, &left)) {
+        int messagesLeft = 0;
+        while (const CURLMsg *message = curl_multi_info_read(m_multi, &messagesLeft)) {
             if (message->msg != CURLMSG_DONE)
                 continue;
-            const auto it = m_sending.find(message->easy_handle);
+            const auto it = m_pending.find(message->easy_handle);
             it->second->finish(message->data.result);
             curl_multi_remove_handle(m_multi, message->easy_handle);
-            m_sending.erase(it);
+            m_pending.erase(it);
         }
     }
 
@@ -291,7 +292,7 @@
     std::vector<RequestRecord> &m_records;
     SteadyClock::time_point m_begin;
     CURLM *m_multi;
-    std::map<CURL *, std::unique_ptr<Sending>> m_sending;
+    std::map<CURL *, std::unique_ptr<PendingRequest>> m_pending;
 };
 
 Json readJson(const std::string &url)
--- a/src/apps/load/svg_plot.cpp
+++ b/src/apps/load/svg_plot.cpp
@@ -18,7 +18,7 @@
 constexpr double kRight = 190; // for the legend
 constexpr double kTop = 30;
 constexpr double kBottom = 30;
-constexpr double kLegendLine = 16;
+constexpr double kLegendLineHeight = 16;
 constexpr int kTicks = 4;
 
 constexpr std::array<std::string_view, 8> kColours
@@ -28,8 +28,8 @@
 struct Scale
 {
     std::size_t rounds = 0;
-    double least = 0.0;
-    double most = 1.0;
+    double minValue = 0.0;
+    double maxValue = 1.0;
 
     double x(std::size_t round) const
     {
@@ -40,11 +40,11 @@
     }
     double y(double value) const
     {
-        return kTop + (kHeight - kTop - kBottom) * (most - value) / (most - least);
+        return kTop + (kHeight - kTop - kBottom) * (maxValue - value) / (maxValue - minValue);
     }
 };
 
-std::optional<Scale> scaleOf(const Plot &plot)
+std::optional<Scale> computeScale(const Plot &plot)
 {
     Scale scale;
     std::vector<double> values;
@@ -57,9 +57,9 @@
     }
     if (values.empty())
         return std::nullopt;
-    const auto [least, most] = std::minmax_element(values.begin(), values.end());
-    scale.least = std::min(0.0, *least);
-    scale.most = std::max(*most, scale.least + 1e-6);
+    const auto [minValue, maxValue] = std::minmax_element(values.begin(), values.end());
+    scale.minValue = std::min(0.0, *minValue);
+    scale.maxValue = std::max(*maxValue, scale.minValue + 1e-6);
     return scale;
 }
 
@@ -68,7 +68,7 @@
     out << "<text x=\"" << kLeft << "\" y=\"16\" font-weight=\"bold\">" << escapeHtml(plot.title)
         << " (" << escapeHtml(plot.unit) << ")</text>\n";
     for (int it = 0; it <= kTicks; ++it) {
-        const double value = scale.least + (scale.most - scale.least) * it / kTicks;
+        const double value = scale.minValue + (scale.maxValue - scale.minValue) * it / kTicks;
         const double y = scale.y(value);
         out << "<line x1=\"" << kLeft << "\" x2=\"" << kWidth - kRight << "\" y1=\"" << y
             << "\" y2=\"" << y << "\" stroke=\"#ddd\"/>\n"
@@ -77,9 +77,9 @@
     }
 }
 
-void drawSeries(std::ostream &out, const PlotSeries &series, std::size_t n, const Scale &scale)
+void drawSeries(std::ostream &out, const PlotSeries &series, std::size_t index, const Scale &scale)
 {
-    const std::string_view colour = kColours[n % kColours.size()];
+    const std::string_view colour = kColours[index % kColours.size()];
     std::ostringstream points;
     points << std::fixed << std::setprecision(1);
     for (std::size_t it = 0; it < series.values.size(); ++it) {
@@ -92,7 +92,7 @@
             << "\"><title>" << escapeHtml(series.name) << ": " << *series.values[it]
             << "</title></circle>\n";
     }
-    const double y = kTop + kLegendLine * static_cast<double>(n + 1);
+    const double y = kTop + kLegendLineHeight * static_cast<double>(index + 1);
     out << "<polyline points=\"" << points.str() << "\" fill=\"none\" stroke=\"" << colour
         << "\" stroke-width=\"1.5\"/>\n"
         << "<text x=\"" << kWidth - kRight + 12 << "\" y=\"" << y << "\" fill=\"" << colour << "\">"
@@ -127,15 +127,15 @@
 
 std::string drawSvg(const Plot &plot)
 {
-    const auto scale = scaleOf(plot);
+    const auto scale = computeScale(plot);
     if (!scale)
         return "<p>" + escapeHtml(plot.title) + ": no values.</p>\n";
     std::ostringstream out;
     out << std::setprecision(4) << "<svg width=\"" << kWidth << "\" height=\"" << kHeight
         << "\" font-size=\"12\" font-family=\"sans-serif\" role=\"img\">\n";
     drawAxes(out, plot, *scale);
-    for (std::size_t n = 0; n < plot.series.size(); ++n)
-        drawSeries(out, plot.series[n], n, *scale);
+    for (std::size_t index = 0; index < plot.series.size(); ++index)
+        drawSeries(out, plot.series[index], index, *scale);
     out << "</svg>\n";
     return out.str();
 }
--- a/src/apps/load/workload.cpp
+++ b/src/apps/load/workload.cpp
@@ -14,26 +14,26 @@
 using config::Field;
 using enum config::FieldType;
 
-constexpr double kMany = 1e9;
+constexpr double kMaxCount = 1e9;
 
-constexpr Field kRun[] = {
+constexpr Field kRunFields[] = {
     {"targets", TextList, true, 0, 0, "", "Addresses of entry VMs, used in turn."},
     {"engines", TextList, false, 0, 0, "[]", "Stand-in engines whose statistics are read."},
     {"services", TextList, false, 0, 0, "[]", "Stand-in services whose runs are counted."},
     {"stores", TextList, false, 0, 0, "[]", "Stand-in stores whose link use is read."},
     {"rate", Number, false, 1e-3, 1e6, "10",
      "New conversations a second, whatever the answers do."},
-    {"requests", Integer, false, 1, kMany, "100", "Requests in all, follow-ups included."},
-    {"seed", Integer, false, 0, kMany, "1", "Seed of the random arrivals."},
+    {"requests", Integer, false, 1, kMaxCount, "100", "Requests in all, follow-ups included."},
+    {"seed", Integer, false, 0, kMaxCount, "1", "Seed of the random arrivals."},
     {"deadline", Span, false, 0.001, 86400, "30s", "Deadline that each request names."},
 };
-constexpr Field kKind[] = {
+constexpr Field kConversationFields[] = {
     {"team", Text, true, 0, 0, "", "Name of the team, for the report."},
     {"key", Text, true, 0, 0, "", "Bearer key of the team."},
     {"weight", Number, false, 1e-6, 1e6, "1", "Share of the conversations."},
     {"model", Text, false, 0, 0, "", "Model that is asked."},
     {"path", Text, false, 0, 0, "", "Path of a plain call, instead of a model."},
-    {"contexts", Integer, false, 1, kMany, "1", "Number of different shared contexts."},
+    {"contexts", Integer, false, 1, kMaxCount, "1", "Number of different shared contexts."},
     {"context_tokens", Integer, false, 0, 1e6, "0", "Length of a shared context, in tokens."},
     {"question_tokens", Integer, false, 1, 1e6, "16", "Length of one question, in tokens."},
     {"new_tokens", Integer, false, 2, 1e6, "16", "Tokens to generate."},
@@ -42,8 +42,8 @@
     {"stream", Flag, false, 0, 0, "true", "Whether answers are streamed."},
 };
 constexpr config::Section kSections[] = {
-    {"run", false, kRun, "One run."},
-    {"conversation", true, kKind, "One kind of conversation."},
+    {"run", false, kRunFields, "One run."},
+    {"conversation", true, kConversationFields, "One kind of conversation."},
 };
 
 void readRun(const config::CheckedTable &table, Workload &workload)
@@ -58,12 +58,12 @@
     workload.deadline = table.span("deadline", workload.deadline);
 }
 
-std::size_t sizeOf(const config::CheckedTable &table, std::string_view key, std::int64_t fallback)
+std::size_t readSize(const config::CheckedTable &table, std::string_view key, std::int64_t fallback)
 {
     return static_cast<std::size_t>(table.integer(key, fallback));
 }
 
-ConversationKind kindOf(const config::CheckedTable &table)
+ConversationKind readKind(const config::CheckedTable &table)
 {
     ConversationKind kind;
     kind.team = table.text("team");
@@ -71,12 +71,12 @@
     kind.weight = table.number("weight", 1.0);
     kind.model = table.text("model");
     kind.path = table.text("path");
-    kind.contexts = sizeOf(table, "contexts", 1);
-    kind.contextTokens = sizeOf(table, "context_tokens", 0);
-    kind.questionTokens = sizeOf(table, "question_tokens", 16);
-    kind.newTokens = sizeOf(table, "new_tokens", 16);
-    kind.returns = sizeOf(table, "returns", 0);
-    kind.returnGap = table.span("return_gap", kind.returnGap);
+    kind.contexts = readSize(table, "contexts", 1);
+    kind.contextTokens = readSize(table, "context_tokens", 0);
+    kind.questionTokens = readSize(table, "question_tokens", 16);
+    kind.newTokens = readSize(table, "new_tokens", 16);
+    kind.followUps = readSize(table, "returns", 0);
+    kind.followUpGap = table.span("return_gap", kind.followUpGap);
     kind.stream = table.flag("stream", true);
     return kind;
 }
@@ -98,7 +98,7 @@
             readRun(it, workload);
             continue;
         }
-        workload.kinds.push_back(kindOf(it));
+        workload.kinds.push_back(readKind(it));
         if (workload.kinds.back().model.empty() == workload.kinds.back().path.empty())
             errors.push_back(it.error("model", "stands beside path, or both are missing",
                                       "expected one of model and path"));
@@ -111,7 +111,7 @@
     return workload;
 }
 
-std::vector<PlannedRequest> planOf(const Workload &workload)
+std::vector<PlannedRequest> makePlan(const Workload &workload)
 {
     std::mt19937_64 random(workload.seed);
     std::vector<double> weights;
@@ -135,11 +135,11 @@
         const ConversationKind &kind = workload.kinds[request.kind];
         request.context = random() % kind.contexts;
         double later = now;
-        for (std::size_t turn = 0; turn <= kind.returns; ++turn) {
+        for (std::size_t turn = 0; turn <= kind.followUps; ++turn) {
             request.turn = turn;
             request.at = seconds(later);
             plan.push_back(request);
-            const double gap = std::chrono::duration<double>(kind.returnGap).count();
+            const double gap = std::chrono::duration<double>(kind.followUpGap).count();
             if (gap > 0)
                 later += std::exponential_distribution<double>(1.0 / gap)(random);
         }
--- a/src/apps/load/workload.hpp
+++ b/src/apps/load/workload.hpp
@@ -23,8 +23,8 @@
     std::size_t contextTokens = 0; // length of a shared context
     std::size_t questionTokens = 16;
     std::size_t newTokens = 16;
-    std::size_t returns = 0; // follow-ups of a conversation
-    Duration returnGap = std::chrono::seconds(1); // mean time between them
+    std::size_t followUps = 0; // follow-ups of a conversation
+    Duration followUpGap = std::chrono::seconds(1); // mean time between them
     bool stream = true;
 };
 
@@ -56,7 +56,7 @@
 std::optional<Workload> readWorkload(const std::string &path, config::ConfigErrors &errors);
 
 // The whole plan, in the order of time; the same seed gives the same plan.
-std::vector<PlannedRequest> planOf(const Workload &workload);
+std::vector<PlannedRequest> makePlan(const Workload &workload);
 
 // The reference page of workload files, in Markdown.
 std::string workloadReference();
--- a/src/apps/noded/main.cpp
+++ b/src/apps/noded/main.cpp
@@ -20,7 +20,7 @@
 constexpr const char *kName = "fordwood-noded";
 
 // Time to send the last messages to peers and the platform before the process ends.
-constexpr Duration kGoodbyeTime = std::chrono::milliseconds(100);
+constexpr Duration kFinalSendTime = std::chrono::milliseconds(100);
 
 // Reads the settings. Errors are logged and written to standard error.
 std::optional<config::OneProcessSettings> readSettings(const std::string &path)
@@ -56,31 +56,31 @@
     const adapters::SystemClock clock;
     adapters::Metrics metrics;
     // The two loops refer to each other, so the pointers are set after both are constructed.
-    node::ServingLoop *trafficDuty = nullptr;
-    node::ControlDuty *controlDuty = nullptr;
+    node::ServingLoop *servingPointer = nullptr;
+    node::ControlDuty *controlPointer = nullptr;
     node::ControlDuty control(settings, clock, metrics, [&](node::FleetUpdate it) {
-        return trafficDuty->mailbox().push(std::move(it));
+        return servingPointer->mailbox().push(std::move(it));
     });
-    const auto tellLoads = [&](node::OwnLoads it) {
+    const auto publishLoads = [&](node::OwnLoads it) {
         // If the mailbox is full, the report is dropped: the next one follows shortly.
-        std::ignore = controlDuty->loadsMailbox().push(std::move(it));
+        std::ignore = controlPointer->loadsMailbox().push(std::move(it));
     };
-    const auto tellRequestNews = [&](std::vector<QuarantineUpdate> it) {
-        return controlDuty->requestNewsMailbox().push(std::move(it));
+    const auto publishQuarantineUpdates = [&](std::vector<QuarantineUpdate> it) {
+        return controlPointer->requestNewsMailbox().push(std::move(it));
     };
-    node::ServingLoop traffic(settings, clock, metrics, tellLoads, tellRequestNews);
-    trafficDuty = &traffic;
-    controlDuty = &control;
-    if (!control.open() || !traffic.open())
+    node::ServingLoop serving(settings, clock, metrics, publishLoads, publishQuarantineUpdates);
+    servingPointer = &serving;
+    controlPointer = &control;
+    if (!control.open() || !serving.open())
         return apps::ExitFailed;
     logEvent(Event::Started, {{"node", settings.node.name}, {"version", FORDWOOD_VERSION}});
     std::thread controlThread([&] { control.run(); });
-    std::thread trafficThread([&] { traffic.run(); });
+    std::thread servingThread([&] { serving.run(); });
     logEvent(Event::Stopping, {{"signal", waitForStop(signals, path, control)}});
     control.beginStop();
-    trafficThread.join();
+    servingThread.join();
     control.finishStop();
-    std::this_thread::sleep_for(kGoodbyeTime);
+    std::this_thread::sleep_for(kFinalSendTime);
     control.stop();
     controlThread.join();
     logEvent(Event::Stopped);
