--- a/src/apps/ctl/commands.cpp
+++ b/src/apps/ctl/commands.cpp
@@ -23,7 +23,7 @@
 
 using Json = nlohmann::json;
 
-// What a verb writes to, as text or as JSON.
+// Where a verb writes its output, as text or as JSON.
 struct Output
 {
     bool json;
@@ -224,7 +224,7 @@
     return ExitOk;
 }
 
-// The tables of pieces, each as a text, by section and name.
+// The TOML tables of the pieces as text, by section and name.
 std::map<std::string, std::string> tablesByName(const std::vector<StoredPiece> &pieces)
 {
     std::map<std::string, std::string> entries;
--- a/src/apps/ctl/commands.hpp
+++ b/src/apps/ctl/commands.hpp
@@ -19,16 +19,17 @@
     std::string platform; // address of the key-value service
     std::vector<std::string> nodes; // addresses of controld, for status
     std::string submissionId;
-    long long base = -1; // version that the submission is based on; -1: any
+    long long base = -1; // required active version; -1: any
     Duration timeout = std::chrono::seconds(10);
 };
 
-// Runs one verb and gives the exit code.
+// Runs one verb and returns the exit code.
 int runVerb(const CtlOptions &options, std::ostream &out, std::ostream &err);
 
-// Exit codes beside 0 (done), 1 (failed) and 2 (wrong options or a text that was refused).
-constexpr int kExitConflict = 3; // another submission came first
-constexpr int kExitUnknown = 4; // the store did not say in time whether it took effect
+// Exit codes in addition to 0 (done), 1 (failed) and 2 (wrong options or an invalid configuration).
+constexpr int kExitConflict = 3; // another submission was accepted first
+constexpr int kExitUnknown
+    = 4; // the store did not confirm in time whether the submission took effect
 constexpr int kExitDiffers = 5; // diff found differences
 
 } // namespace fordwood::apps
--- a/src/apps/ctl/main.cpp
+++ b/src/apps/ctl/main.cpp
@@ -16,15 +16,15 @@
 
 constexpr const char *kUsage
     = "Usage: fordwoodctl VERB [options]\n\n"
-      "  check PATH    checks a configuration (a file, or a folder of .toml files)\n"
-      "  submit PATH   checks it whole and puts it in force as one unit\n"
-      "  show          prints the configuration in force\n"
-      "  diff PATH     compares it with the configuration in force\n"
+      "  check PATH    validates a configuration (a file, or a folder of .toml files)\n"
+      "  submit PATH   validates a configuration and activates it as a whole\n"
+      "  show          prints the active configuration\n"
+      "  diff PATH     compares a configuration with the active one\n"
       "  status        asks nodes which version they serve\n"
-      "  reference P   prints a page of the docs: configuration, settings, reasons or events\n"
+      "  reference P   prints a reference page: configuration, settings, reasons or events\n"
       "  version       prints the version of this program\n\n"
-      "Exit codes: 0 done; 1 failed; 2 wrong options or a configuration that was refused;\n"
-      "3 another submission came first; 4 not known whether it took effect (submit again with the\n"
+      "Exit codes: 0 done; 1 failed; 2 wrong options or an invalid configuration; 3 another\n"
+      "submission was accepted first; 4 unknown whether it took effect (submit again with the\n"
       "same --submission); 5 diff found differences.\n\n";
 
 po::options_description makeOptions()
@@ -36,9 +36,9 @@
     add("platform", po::value<std::string>(), "address of the key-value service, IP:port");
     add("node", po::value<std::vector<std::string>>(), "address of a controld (may be repeated)");
     add("submission", po::value<std::string>(),
-        "id of the submission; the same id is never taken twice");
-    add("base", po::value<long long>(), "refuse if another version than this is in force");
-    add("timeout", po::value<std::string>()->default_value("10s"), "longest time to try");
+        "id of the submission; a repeated id is accepted only once");
+    add("base", po::value<long long>(), "reject the submission unless this version is active");
+    add("timeout", po::value<std::string>()->default_value("10s"), "time limit for retries");
     return options;
 }
 
@@ -51,27 +51,27 @@
 constexpr VerbHelp kVerbs[] = {
     {"check",
      "Usage: fordwoodctl check PATH [--output json]\n\n"
-     "Checks a configuration, a file or a folder of .toml files taken as one. Nothing is\n"
-     "sent anywhere. Exit codes: 0 sound, 2 refused (each fault with file:line:column).\n"},
+     "Validates a configuration: a file, or a folder of .toml files read as one. Sends nothing.\n"
+     "Exit codes: 0 valid, 2 invalid (each error with file:line:column).\n"},
     {"submit", "Usage: fordwoodctl submit PATH --platform IP:PORT [--base N] [--submission ID]\n"
                "                          [--timeout 10s] [--output json]\n\n"
-               "Checks a configuration whole and puts it in force as one unit. Exit codes: 0 in\n"
-               "force (or nothing differs), 1 surely not stored, 2 refused as faulty, 3 another\n"
-               "submission came first, 4 not known: submit again with the same --submission.\n"},
+               "Validates a configuration and activates it as a whole. Exit codes: 0 active (or\n"
+               "unchanged), 1 not stored, 2 invalid, 3 another submission was accepted first,\n"
+               "4 unknown: submit again with the same --submission.\n"},
     {"show", "Usage: fordwoodctl show --platform IP:PORT [--output json]\n\n"
-             "Prints the configuration in force. Exit codes: 0 done, 1 it cannot be read.\n"},
+             "Prints the active configuration. Exit codes: 0 done, 1 it cannot be read.\n"},
     {"diff", "Usage: fordwoodctl diff PATH --platform IP:PORT [--output json]\n\n"
-             "Compares a configuration with the one in force: + added, - removed, ~ changed.\n"
-             "Exit codes: 0 nothing differs, 5 it differs, 1 it cannot be read, 2 refused.\n"},
+             "Compares a configuration with the active one: + added, - removed, ~ changed.\n"
+             "Exit codes: 0 no differences, 5 differences, 1 it cannot be read, 2 invalid.\n"},
     {"status", "Usage: fordwoodctl status --node IP:PORT [--node ...] [--output json]\n\n"
                "Asks nodes (their control.listen) which version they serve. Exit codes: 0 all\n"
                "answer and serve the same version, 1 otherwise.\n"},
     {"reference", "Usage: fordwoodctl reference configuration|settings|reasons|events\n\n"
-                  "Prints a page of the docs that is made from the code.\n"},
+                  "Prints a reference page that is generated from the code.\n"},
     {"version", "Usage: fordwoodctl version\n\nPrints the version of this program.\n"},
 };
 
-// The help of one verb, or of the program.
+// Prints the help of one verb, or of the program.
 void printHelp(const std::string &verb, const po::options_description &options)
 {
     for (const VerbHelp &it : kVerbs) {
--- a/src/apps/ctl/references.hpp
+++ b/src/apps/ctl/references.hpp
@@ -7,8 +7,8 @@
 
 namespace fordwood::apps {
 
-// A reference page of the docs, made from the code: configuration, settings, reasons or events.
-// Empty for any other name.
+// A reference page of the documentation, generated from the code: configuration, settings,
+// node-settings, reasons or events. Returns nothing for any other name.
 std::optional<std::string> referenceOf(const std::string &name);
 
 } // namespace fordwood::apps
--- a/src/apps/ctl/sources.hpp
+++ b/src/apps/ctl/sources.hpp
@@ -11,19 +11,19 @@
 
 namespace fordwood::apps {
 
-// A configuration read from files, checked.
+// A validated configuration and the files it was read from.
 struct ConfigurationSource
 {
     std::vector<config::Document> documents;
     Configuration configuration;
 };
 
-// Reads a file, or every .toml file of a folder and the folders in it. Empty when any error was
-// added.
+// Reads a file, or every .toml file in a folder and its subfolders. Returns nothing if it added any
+// error.
 std::optional<ConfigurationSource> readSource(const std::string &path,
                                               config::ConfigErrors &errors);
 
-// The pieces that are stored for it.
+// The pieces in which the configuration is stored.
 std::vector<StoredPiece> piecesOf(const ConfigurationSource &source);
 
 } // namespace fordwood::apps
--- a/src/apps/load/main.cpp
+++ b/src/apps/load/main.cpp
@@ -20,13 +20,13 @@
 constexpr const char *kUsage
     = "Usage: fordwood-load WORKLOAD [options]\n"
       "       fordwood-load report [--journal DIR] [--input FILE]... --page FILE\n\n"
-      "Sends a workload at its own pace and reports what its callers saw; or makes\n"
-      "one HTML page of the figures of earlier runs.\n\n"
-      "Exit codes: 0 done, and every request was answered or refused with a\n"
+      "Sends a workload at a fixed rate and reports the outcomes that callers\n"
+      "observed, or renders an HTML page from the results of earlier runs.\n\n"
+      "Exit codes: 0 done, and every request was answered or rejected with a\n"
       "verdict; 1 some were lost, truncated, crossed or doubled; 2 wrong\n"
-      "options or a workload file that was refused.\n\n";
+      "options or an invalid workload file.\n\n";
 
-// Makes the page of the figures of earlier runs.
+// Renders the page with the results of earlier runs.
 int makeReport(const po::variables_map &values)
 {
     if (values.count("page") == 0 || (values.count("journal") == 0 && values.count("input") == 0)) {
@@ -59,16 +59,16 @@
     auto add = options.add_options();
     add("help", "show this text");
     add("version", "show the version");
-    add("reference", "print the reference of workload files");
+    add("reference", "print the reference page of workload files");
     add("target", po::value<std::vector<std::string>>(),
         "use these addresses instead of the file's");
     add("rate", po::value<double>(), "use this rate instead of the file's");
     add("requests", po::value<std::size_t>(), "use this number of requests instead of the file's");
     add("seed", po::value<std::uint64_t>(), "use this seed instead of the file's");
-    add("threads", po::value<unsigned>()->default_value(1), "threads that send");
+    add("threads", po::value<unsigned>()->default_value(1), "number of sending threads");
     add("output", po::value<std::string>()->default_value("text"), "text or json");
     add("result", po::value<std::string>(), "write the result as JSON to this file too");
-    add("journal", po::value<std::string>(), "report: the directory of the journal");
+    add("journal", po::value<std::string>(), "report: journal directory");
     add("input", po::value<std::vector<std::string>>(), "report: result files of earlier runs");
     add("page", po::value<std::string>(), "report: write the page to this file");
     po::options_description all;
--- a/src/apps/load/outcome.cpp
+++ b/src/apps/load/outcome.cpp
@@ -23,7 +23,7 @@
     return std::chrono::duration<double, std::milli>(time).count();
 }
 
-// The value below which a part of the samples lies.
+// The value below which the given fraction of the samples lies.
 double quantile(std::vector<double> samples, double fraction)
 {
     if (samples.empty())
--- a/src/apps/load/outcome.hpp
+++ b/src/apps/load/outcome.hpp
@@ -11,30 +11,30 @@
 
 namespace fordwood::apps {
 
-// How one request ended, as its caller saw it.
+// The outcome of a request as observed by its caller.
 enum class CallerOutcome : std::uint8_t {
-    Answered, // whole, and the answer to this request
-    Refused, // with a verdict and a reason
-    Broken, // begun, then ended by an error event
-    Truncated, // ended early without being told
-    Crossed, // the answer to another request
+    Answered, // a complete answer to this request
+    Refused, // rejected with a verdict and a reason
+    Broken, // started, then ended by an error event
+    Truncated, // ended early without an error event
+    Crossed, // received the answer to another request
     Lost, // no answer at all
 };
 
 struct RequestRecord
 {
     std::size_t kind = 0;
-    std::string target; // that it was sent to
+    std::string target; // address the request was sent to
     std::string id;
     CallerOutcome outcome = CallerOutcome::Lost;
-    std::string reason; // of a refusal or a broken answer
+    std::string reason; // of a rejection or a broken answer
     std::string verdict;
-    Duration firstByte{0}; // from the intended time
+    Duration firstByte{0}; // since the intended send time
     Duration total{0};
     Duration betweenTokens{0}; // mean
 };
 
-// What stand-ins counted during the run.
+// Counters of the stand-in servers and the entry nodes.
 struct StandinCounts
 {
     double promptTokens = 0;
@@ -45,7 +45,7 @@
     std::map<std::string, double> retries; // of the entry nodes, by reason
 };
 
-// Results of one run, as text or as JSON.
+// Formats the results of one run as text or as JSON.
 std::string reportText(const std::vector<RequestRecord> &records, const StandinCounts &counts,
                        Duration duration);
 std::string reportJson(const std::vector<RequestRecord> &records, const StandinCounts &counts,
--- a/src/apps/load/report.cpp
+++ b/src/apps/load/report.cpp
@@ -17,10 +17,10 @@
 
 using Json = nlohmann::json;
 
-// Lines of a plot of prices: the dearest ones.
+// A plot of prices shows only this many causes, those with the highest sums.
 constexpr std::size_t kMaxPriceLines = 6;
 
-// Reads a JSON file with `read`, which may use the throwing accessors.
+// Parses a JSON file with `read`, which may use accessors that throw.
 template <typename T, typename Read>
 tl::expected<T, ReportError> readFile(const std::filesystem::path &path, Read read)
 {
@@ -41,12 +41,12 @@
     day.worth = object.value("G", 0.0);
     day.ruleViolations = object.value("rules", Json::object()).size();
     const Json prices = object.value("prices", Json::array());
-    for (const Json &it : prices) // [what for, how much of it, the part of the worth]
+    for (const Json &it : prices) // [cause, amount, deduction from the worth]
         day.prices[it.at(0).get<std::string>()] = it.at(2).get<double>();
     return day;
 }
 
-// A text that may be missing or null.
+// A string that may be missing or null.
 std::string optionalText(const Json &object, const char *key)
 {
     const auto it = object.find(key);
@@ -82,11 +82,11 @@
         if (it.path().extension() == ".json")
             paths.push_back(it.path());
     }
-    std::sort(paths.begin(), paths.end()); // their names begin with the time
+    std::sort(paths.begin(), paths.end()); // file names start with the time
     return paths;
 }
 
-// The scores of one site, in order: rounds that may be compared.
+// The score entries of one site, in order. Only rounds of the same site are comparable.
 std::vector<const JournalEntry *> scoreEntries(const Report &report, const std::string &site)
 {
     std::vector<const JournalEntry *> scores;
@@ -104,7 +104,8 @@
     return it == entry.days.end() ? nullptr : &*it;
 }
 
-// Days that more than one score has played; those drawn for one score alone make no line.
+// Days that more than one score contains. A day that only one score contains gives no line in a
+// plot.
 std::set<std::string> repeatedDays(const std::vector<const JournalEntry *> &scores)
 {
     std::map<std::string, int> counts;
@@ -134,7 +135,7 @@
     return plot;
 }
 
-// Mean over the days of an entry.
+// Mean price over the days of an entry.
 double meanPrice(const JournalEntry &entry, const std::string &name)
 {
     double sum = 0.0;
@@ -246,7 +247,7 @@
     Report report;
     if (!journalDirectory.empty()) {
         if (!std::filesystem::is_directory(journalDirectory))
-            return tl::unexpected(ReportError{journalDirectory + ": is no directory"});
+            return tl::unexpected(ReportError{journalDirectory + ": is not a directory"});
         for (const auto &path : listEntryFiles(journalDirectory)) {
             auto entry = readFile<JournalEntry>(path, readEntry);
             if (!entry)
--- a/src/apps/load/report.hpp
+++ b/src/apps/load/report.hpp
@@ -11,28 +11,28 @@
 
 namespace fordwood::apps {
 
-// One day that was played for the users' platform.
+// The result of one simulated day of load.
 struct SimulatedDay
 {
     std::string name;
-    double worth = 0.0; // of what an ideal system would reach
-    std::map<std::string, double> prices; // parts of the worth that were paid, by what for
+    double worth = 0.0; // relative to an ideal system
+    std::map<std::string, double> prices; // deductions from the worth, by cause
     std::size_t ruleViolations = 0;
 };
 
-// One entry of the users' journal: a command, and the days that it played.
+// One entry of the journal: a command and the days that it simulated.
 struct JournalEntry
 {
-    std::string at; // when it ended
+    std::string at; // end time
     std::string command;
     std::string why;
-    std::string site; // empty: several or none
+    std::string site; // empty: several sites or none
     std::vector<SimulatedDay> days;
 
     std::optional<double> meanWorth() const;
 };
 
-// One result file of fordwood-load.
+// A result file of fordwood-load.
 struct LoadResult
 {
     std::string file;
@@ -43,22 +43,22 @@
 
 struct Report
 {
-    std::vector<JournalEntry> journal; // in order of time
+    std::vector<JournalEntry> journal; // in chronological order
     std::vector<LoadResult> results; // in the order given
 };
 
-// What cannot be read, with its file, for people.
+// A readable message that names the file that could not be read.
 struct ReportError
 {
     std::string text;
 };
 
-// Reads the entries of a journal's directory and result files.
+// Reads the entries in a journal directory, and result files.
 tl::expected<Report, ReportError> readReport(const std::string &journalDirectory,
                                              const std::vector<std::string> &resultFiles);
 
-// One HTML page that needs nothing else: plots of worth, prices and times by round, and a table of
-// all entries.
+// Renders a self-contained HTML page: plots of worth, prices and times by round, and a table of all
+// entries.
 std::string renderReport(const Report &report);
 
 } // namespace fordwood::apps
--- a/src/apps/load/runner.cpp
+++ b/src/apps/load/runner.cpp
@@ -24,10 +24,10 @@
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr std::size_t kBytesPerToken = 4;
-constexpr auto kTimeoutGrace = std::chrono::seconds(5); // after a request's own deadline
+constexpr auto kTimeoutGrace = std::chrono::seconds(5); // added to a request's deadline
 constexpr auto kStatsTimeout = std::chrono::seconds(2);
 
-// A text of so many tokens that depends on its seed alone.
+// Generates a text of the given length that depends only on the seed.
 std::string generateText(const std::string &seed, std::size_t tokens)
 {
     std::string text;
@@ -40,7 +40,7 @@
     return text;
 }
 
-// The prompt of one turn: the shared context, then every question so far.
+// The messages of one turn: the shared context, then all questions up to this turn.
 std::vector<std::pair<std::string, std::string>> buildMessages(const ConversationKind &kind,
                                                                const PlannedRequest &request)
 {
@@ -54,7 +54,7 @@
     return messages;
 }
 
-// One request under way.
+// A request that was sent and has not finished.
 class PendingRequest
 {
 public:
@@ -224,7 +224,7 @@
     SteadyClock::time_point m_lastByte{};
 };
 
-// One thread's part of the plan.
+// Sends one thread's share of the plan.
 class Worker
 {
 public:
@@ -306,7 +306,7 @@
 std::vector<RequestRecord> runPlan(const Workload &workload,
                                    const std::vector<PlannedRequest> &plan, unsigned threads)
 {
-    // Many open streams need many sockets.
+    // Raise the limit of open files: each open stream needs a socket.
     rlimit files{};
     getrlimit(RLIMIT_NOFILE, &files);
     files.rlim_cur = files.rlim_max;
@@ -323,7 +323,7 @@
     return records;
 }
 
-// Adds the retries that an entry node has counted so far.
+// Adds the retries that an entry node has counted.
 static void readRetries(const std::string &target, std::map<std::string, double> &retries)
 {
     const auto text = adapters::httpGet("http://" + target + "/metrics", kStatsTimeout);
--- a/src/apps/load/runner.hpp
+++ b/src/apps/load/runner.hpp
@@ -9,13 +9,13 @@
 
 namespace fordwood::apps {
 
-// Sends every planned request at its intended time, whether earlier ones were answered or not, and
-// records how each ended. Times count from the intended time, so that a late start is not hidden.
-// `threads` share the requests in turn.
+// Sends every planned request at its intended time, whether or not earlier ones were answered, and
+// records the outcomes. Times are measured from the intended time, so that late sending is
+// included. The requests are distributed round-robin over `threads` threads.
 std::vector<RequestRecord> runPlan(const Workload &workload,
                                    const std::vector<PlannedRequest> &plan, unsigned threads);
 
-// What the stand-ins of a workload have counted so far.
+// Reads the current counters of a workload's stand-in servers and entry nodes.
 StandinCounts readStandins(const Workload &workload);
 
 } // namespace fordwood::apps
--- a/src/apps/load/svg_plot.cpp
+++ b/src/apps/load/svg_plot.cpp
@@ -24,7 +24,7 @@
 constexpr std::array<std::string_view, 8> kColours
     = {"#1b6ca8", "#c0392b", "#2e8b57", "#8e44ad", "#d68910", "#34495e", "#16a085", "#7f8c8d"};
 
-// Where a plot's values lie on the page.
+// Maps rounds and values to coordinates.
 struct Scale
 {
     std::size_t rounds = 0;
--- a/src/apps/load/svg_plot.hpp
+++ b/src/apps/load/svg_plot.hpp
@@ -8,7 +8,7 @@
 
 namespace fordwood::apps {
 
-// One line of a plot: a value for each round, or none where the round has none.
+// One line of a plot: an optional value for each round.
 struct PlotSeries
 {
     std::string name;
@@ -22,11 +22,11 @@
     std::vector<PlotSeries> series;
 };
 
-// The text with what HTML gives a meaning written out.
+// Escapes the characters that are special in HTML.
 std::string escapeHtml(const std::string &text);
 
-// Draws the plot as an SVG element with axes and a legend; rounds stand side by side. Without any
-// value it says so.
+// Draws the plot as an SVG element with axes and a legend; the x axis shows the rounds. If the plot
+// has no values, returns a paragraph that says so.
 std::string drawSvg(const Plot &plot);
 
 } // namespace fordwood::apps
--- a/src/apps/load/workload.cpp
+++ b/src/apps/load/workload.cpp
@@ -100,7 +100,7 @@
         }
         workload.kinds.push_back(readKind(it));
         if (workload.kinds.back().model.empty() == workload.kinds.back().path.empty())
-            errors.push_back(it.error("model", "stands beside path, or both are missing",
+            errors.push_back(it.error("model", "is set together with path, or both are missing",
                                       "expected one of model and path"));
     }
     if (errors.empty() && (workload.targets.empty() || workload.kinds.empty()))
@@ -125,7 +125,8 @@
 
     std::vector<PlannedRequest> plan;
     double now = 0;
-    // Conversations begin until the requests that are wanted have come, in the order of time.
+    // Start one conversation per requested request, so that there are enough. The plan is then
+    // sorted by time and cut to the requested length.
     for (std::size_t n = 0; n < workload.requests; ++n) {
         now += nextArrival(random);
         PlannedRequest request;
--- a/src/apps/load/workload.hpp
+++ b/src/apps/load/workload.hpp
@@ -16,27 +16,28 @@
 {
     std::string team;
     std::string key; // bearer key
-    double weight = 1.0; // among the kinds
-    std::string model; // empty: a plain call
-    std::string path; // of a plain call
-    std::size_t contexts = 1; // different shared contexts
+    double weight = 1.0; // relative frequency
+    std::string model; // empty: a call of a plain service
+    std::string path; // of a call of a plain service
+    std::size_t contexts = 1; // number of different shared contexts
     std::size_t contextTokens = 0; // length of a shared context
     std::size_t questionTokens = 16;
     std::size_t newTokens = 16;
-    std::size_t followUps = 0; // follow-ups of a conversation
-    Duration followUpGap = std::chrono::seconds(1); // mean time between them
+    std::size_t followUps = 0; // per conversation
+    Duration followUpGap = std::chrono::seconds(1); // mean time between follow-ups
     bool stream = true;
 };
 
-// What is to be sent, and where.
+// The requests to send and their targets.
 struct Workload
 {
-    std::vector<std::string> targets; // IP:port, used in turn
-    std::vector<std::string> engines; // stand-ins whose statistics are read before and after
+    std::vector<std::string> targets; // IP:port, used round-robin
+    std::vector<std::string>
+        engines; // stand-in engines whose statistics are read before and after the run
     std::vector<std::string> services;
     std::vector<std::string> stores;
-    double rate = 10.0; // first requests of conversations a second
-    std::size_t requests = 100; // in all, follow-ups included
+    double rate = 10.0; // new conversations per second
+    std::size_t requests = 100; // total, including follow-ups
     std::uint64_t seed = 1;
     Duration deadline = std::chrono::seconds(30);
     std::vector<ConversationKind> kinds;
@@ -52,10 +53,10 @@
     std::size_t turn = 0;
 };
 
-// Reads a workload file; empty when any error was added.
+// Reads a workload file. Returns nothing if it added any error.
 std::optional<Workload> readWorkload(const std::string &path, config::ConfigErrors &errors);
 
-// The whole plan, in the order of time; the same seed gives the same plan.
+// The complete plan in chronological order. The same seed gives the same plan.
 std::vector<PlannedRequest> makePlan(const Workload &workload);
 
 // The reference page of workload files, in Markdown.
