--- a/src/apps/ctl/main.cpp
+++ b/src/apps/ctl/main.cpp
@@ -38,7 +38,7 @@
     add("submission", po::value<std::string>(),
         "id of the submission; a repeated id is accepted only once");
     add("base", po::value<long long>(), "reject the submission unless this version is active");
-    add("timeout", po::value<std::string>()->default_value("10s"), "time limit for retries");
+    add("timeout", po::value<std::string>()->default_value("10s"), "time limit");
     return options;
 }
 
--- a/src/apps/load/main.cpp
+++ b/src/apps/load/main.cpp
@@ -20,8 +20,9 @@
 constexpr const char *kUsage
     = "Usage: fordwood-load WORKLOAD [options]\n"
       "       fordwood-load report [--journal DIR] [--input FILE]... --page FILE\n\n"
-      "Sends a workload at a fixed rate and reports the outcomes that callers\n"
-      "observed, or renders an HTML page from the results of earlier runs.\n\n"
+      "Sends a workload at a rate that does not depend on the answers, and reports\n"
+      "the outcomes that callers observed; or renders an HTML page from the results\n"
+      "of earlier runs.\n\n"
       "Exit codes: 0 done, and every request was answered or rejected with a\n"
       "verdict; 1 some were lost, truncated, crossed or doubled; 2 wrong\n"
       "options or an invalid workload file.\n\n";
