--- a/src/apps/controld/tenure_duty.hpp
+++ b/src/apps/controld/tenure_service.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_APPS_CONTROLD_TENURE_DUTY_HPP_INCLUDED
-#define FORDWOOD_APPS_CONTROLD_TENURE_DUTY_HPP_INCLUDED
+#ifndef FORDWOOD_APPS_CONTROLD_TENURE_SERVICE_HPP_INCLUDED
+#define FORDWOOD_APPS_CONTROLD_TENURE_SERVICE_HPP_INCLUDED
 
 #include <condition_variable>
 #include <map>
@@ -19,56 +19,56 @@
 
 namespace fordwood::apps {
 
-// What the control duty hears of tenures. Called from other threads.
+// Receives tenures and handed-over keys. Called on the service's threads.
 class TenureListener
 {
 public:
     virtual ~TenureListener() = default;
-    virtual void chainsLearned(std::map<std::uint32_t, TenureChain> chains) = 0;
-    virtual void keysHanded(HandedKeys keys) = 0;
+    virtual void onChainsReceived(std::map<std::uint32_t, TenureChain> chains) = 0;
+    virtual void onKeysReceived(HandedKeys keys) = 0;
 };
 
-// A process that may hold tenures, and where it is reached.
+// A process that may hold tenures, and its address.
 struct TenureMember
 {
     KeyHolder holder;
     std::string controlAddress;
 };
 
-// Extends the tenures of the stored values that fall to this node, by compare-and-swap, and tells
-// the holders. The writes do not grow with the fleet: each value is written once in a period, by
-// one node. Two nodes that both think a value falls to them cost a write that fails and nothing
-// else.
-class TenureDuty : public wire::Keys::CallbackService
+// Extends the tenures of the stored values that are assigned to this node, by compare-and-swap, and
+// sends them to their holders. The number of writes does not grow with the fleet: each value is
+// written once per period, by one node. If two nodes both consider a value theirs, one write fails
+// and nothing else happens.
+class TenureService : public wire::Keys::CallbackService
 {
 public:
-    TenureDuty(const std::string &storeAddress, std::string self, const Clock &clock,
-               TenureListener &listener, adapters::Metrics &metrics);
-    ~TenureDuty() override;
+    TenureService(const std::string &storeAddress, std::string self, const Clock &clock,
+                  TenureListener &listener, adapters::Metrics &metrics);
+    ~TenureService() override;
 
     void start();
     void stop();
 
-    // Gives this process's keys and tenures to the others, for a planned stop; call after stop().
-    // Blocks for a few seconds at most. What could not be handed over is refused later as held by a
-    // process that is gone.
+    // Hands this process's keys and tenures over to other members during a planned stop. Call after
+    // stop(). Blocks for a few seconds at most. Claims of keys that could not be handed over are
+    // refused later, because their holder no longer runs.
     void handOver(const KeyHolder &self, const HandedKeys &handed);
 
-    // Who is there to hold tenures now.
+    // Sets the processes that may hold tenures.
     void setMembers(std::vector<TenureMember> members);
 
-    // A keeper tells this node the chains of its partitions.
+    // Receives the tenure chains of this node's partitions from the node that extends them.
     grpc::ServerUnaryReactor *Learn(grpc::CallbackServerContext *context,
                                     const wire::TenureChains *request,
                                     wire::LearnReply *reply) override;
 
-    // A node that is being stopped hands its keys to this one.
+    // Receives the keys of a node that is being stopped.
     grpc::ServerUnaryReactor *HandOver(grpc::CallbackServerContext *context,
                                        const wire::HandedKeys *request,
                                        wire::LearnReply *reply) override;
 
 private:
-    struct Known // a stored value
+    struct StoredChains // one stored value and its revision
     {
         std::map<std::uint32_t, TenureChain> chains;
         std::int64_t revision = 0;
@@ -80,18 +80,18 @@
                        const std::vector<TenureMember> &members,
                        const std::function<KeyHolder(std::uint32_t)> &successor);
     wire::Keys::Stub &stubOf(const std::string &address);
-    void extend(std::uint32_t value, const std::vector<TenureMember> &members);
-    std::optional<Known> read(std::uint32_t value);
-    void tell(const std::vector<TenureMember> &members,
-              const std::map<std::uint32_t, TenureChain> &chains);
-    bool pause();
+    void extendValue(std::uint32_t value, const std::vector<TenureMember> &members);
+    std::optional<StoredChains> read(std::uint32_t value);
+    void sendChains(const std::vector<TenureMember> &members,
+                    const std::map<std::uint32_t, TenureChain> &chains);
+    bool waitForNextPeriod();
 
     adapters::EtcdStore m_store;
     const std::string m_self;
     const Clock &m_clock;
     TenureListener &m_listener;
     adapters::Metrics &m_metrics;
-    TenureTimings m_limits;
+    TenureTimings m_timings;
     std::map<std::string, std::unique_ptr<wire::Keys::Stub>> m_stubs; // by address
     std::thread m_thread;
     std::mutex m_mutex;
@@ -102,4 +102,4 @@
 
 } // namespace fordwood::apps
 
-#endif // FORDWOOD_APPS_CONTROLD_TENURE_DUTY_HPP_INCLUDED
+#endif // FORDWOOD_APPS_CONTROLD_TENURE_SERVICE_HPP_INCLUDED
--- a/src/apps/entryd/entry_node.hpp
+++ b/src/apps/entryd/entry_node.hpp
@@ -25,7 +25,7 @@
 
 namespace fordwood::apps {
 
-// One entryd: takes callers' requests, has them answered by upstreams, and passes the answers on.
+// The entryd process: accepts callers' requests, sends them to upstreams, and forwards the answers.
 // Threads: HTTP for callers, dispatch (all decisions), HTTP to upstreams, snapshots from controld.
 class EntryNode : public Daemon,
                   private adapters::CallerHandler,
@@ -92,7 +92,7 @@
         unsigned attempt;
         ParsedLimit limit;
     };
-    struct LeftEvent
+    struct CallerLeftEvent
     {
         CallId call;
     };
@@ -104,9 +104,9 @@
     { };
     using EntryEvent = std::variant<BeginEvent, ReplyEvent, ClaimEvent, AllowanceEvent,
                                     StreamLostEvent, FinishedEvent, FailedEvent, LimitEvent,
-                                    NoticeEvent, LeftEvent, StateEvent, StopEvent>;
+                                    NoticeEvent, CallerLeftEvent, StateEvent, StopEvent>;
 
-    // CallerHandler, on the HTTP threads
+    // CallerHandler, called on the HTTP threads
     std::variant<adapters::DirectAnswer, std::shared_ptr<adapters::Exchange>>
     handle(adapters::CallerMessage message) override;
     void submit(const std::shared_ptr<adapters::Exchange> &exchange) override;
@@ -114,25 +114,25 @@
     void exchangeEnded(CallId call) override;
     void refused(Reason reason) override;
 
-    // PermitClientListener, on gRPC's threads
+    // PermitClientListener, called on gRPC's threads
     bool replyArrived(const std::string &owner, const PermitReply &reply) override;
     void claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer) override;
     void allowanceAnswered(const std::string &team, std::uint64_t requestId,
                            const Allowance &allowance) override;
     void streamLost(const std::string &owner, std::uint64_t stream) override;
 
-    // UpstreamListener, on the upstream thread
+    // UpstreamListener, called on the upstream thread
     void attemptFinished(CallId call, unsigned attempt, double cost, StoredAnswer answer) override;
     void attemptFailed(CallId call, unsigned attempt, const AttemptFailure &failure) override;
     void limitRead(CallId call, unsigned attempt, const ParsedLimit &limit) override;
     void noticeRead(CallId call, unsigned attempt, const UpstreamNotice &notice) override;
 
     adapters::DirectAnswer operatorAnswer(const std::string &path);
-    adapters::DirectAnswer refusal(Verdict verdict, bool keyed);
-    void takeSnapshot(const wire::Snapshot &snapshot);
-    void pushSurely(const EntryEvent &event);
+    adapters::DirectAnswer rejectionAnswer(Verdict verdict, bool hasKey);
+    void applySnapshot(const wire::Snapshot &snapshot);
+    void pushBlocking(const EntryEvent &event);
 
-    // On the dispatch thread
+    // On the dispatch thread:
     void runDispatch();
     void on(BeginEvent &event);
     void on(const ReplyEvent &event);
@@ -143,13 +143,13 @@
     void on(const FailedEvent &event);
     void on(const LimitEvent &event);
     void on(const NoticeEvent &event);
-    void on(const LeftEvent &event);
+    void on(const CallerLeftEvent &event);
     void on(const StateEvent &event);
     void on(const StopEvent &event);
     void carryOut(const Action &action);
     void sendUpstream(const SendCall &send);
     void endExchange(CallId call, const Verdict &verdict);
-    void answerKept(const EndWithStoredAnswer &action);
+    void sendStoredAnswer(const EndWithStoredAnswer &action);
 
     const config::Settings m_settings;
     adapters::SystemClock m_clock;
@@ -169,22 +169,22 @@
     std::atomic<std::shared_ptr<const ServingState>> m_state;
     std::atomic<CallId> m_nextCall{1};
     std::atomic<std::size_t> m_inFlight{0};
-    std::atomic<std::size_t> m_openCalls{0}; // of the dispatcher
+    std::atomic<std::size_t> m_openCallCount{0}; // calls that the dispatcher has open
     std::atomic<bool> m_ready{false};
-    std::atomic<bool> m_unready{false}; // a planned stop has begun
+    std::atomic<bool> m_stopBegan{false}; // a planned stop has begun
     std::atomic<bool> m_stopping{false};
 
-    // Requests understood but not yet submitted, by id.
-    std::mutex m_understoodMutex;
-    std::unordered_map<CallId, CallRequest> m_understood;
+    // Requests that were parsed but not yet submitted, by id.
+    std::mutex m_unsubmittedMutex;
+    std::unordered_map<CallId, CallRequest> m_unsubmitted;
 
-    // Of the dispatch thread alone:
+    // Used only on the dispatch thread:
     struct OpenCall
     {
         CallRequest request;
         std::shared_ptr<adapters::Exchange> exchange;
     };
-    std::unordered_map<CallId, OpenCall> m_open;
+    std::unordered_map<CallId, OpenCall> m_openCalls;
 };
 
 } // namespace fordwood::apps
--- a/src/apps/entryd/snapshot_reader.hpp
+++ b/src/apps/entryd/snapshot_reader.hpp
@@ -12,20 +12,20 @@
 
 namespace fordwood::apps {
 
-// Puts the snapshots of controld together: keeps the pieces that it was sent, and parses only those
-// that are new.
+// Builds fleet views from controld's snapshots. Keeps the pieces it has received and parses only
+// new ones.
 class SnapshotReader
 {
 public:
     explicit SnapshotReader(std::string ownFailureDomain);
 
-    // Gives the view that the snapshot describes, or null with `error` set when it cannot be used;
-    // the view given before then stays in force.
+    // Returns the view that the snapshot describes, or null with `error` set if the snapshot is not
+    // usable; the previous view then stays valid.
     std::shared_ptr<const FleetView> read(const wire::Snapshot &snapshot, std::string &error);
 
 private:
     std::string m_ownFailureDomain;
-    std::map<std::string, std::string> m_texts; // pieces by digest
+    std::map<std::string, std::string> m_pieceTexts; // pieces by digest
     config::ConfigurationAssembler m_assembler;
     std::string m_manifestSha256;
     std::shared_ptr<const Configuration> m_configuration;
