--- a/src/adapters/grpc/control_client.cpp
+++ b/src/adapters/grpc/control_client.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-constexpr int kReconnectFirstMs = 50;
-constexpr int kReconnectMostMs = 500;
-constexpr auto kPause = std::chrono::milliseconds(100);
+constexpr int kMinReconnectBackoffMs = 50;
+constexpr int kMaxReconnectBackoffMs = 500;
+constexpr auto kReopenDelay = std::chrono::milliseconds(100);
 
 } // namespace
 
 ControlClient::ControlClient(const std::string &address, std::string node) : m_node(std::move(node))
 {
     grpc::ChannelArguments arguments;
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectFirstMs);
-    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kReconnectFirstMs);
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectMostMs);
+    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectBackoffMs);
     arguments.SetMaxReceiveMessageSize(-1);
     m_stub = wire::Control::NewStub(
         grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments));
 }
 
 void ControlClient::run(const std::function<void(const wire::Snapshot &)> &onSnapshot,
-                        const std::function<void(const std::string &why)> &onLost)
+                        const std::function<void(const std::string &message)> &onLost)
 {
     wire::SnapshotRequest request;
     request.set_node(m_node);
@@ -52,7 +52,7 @@
         if (m_stopping)
             return;
         onLost(status.error_message());
-        std::this_thread::sleep_for(kPause);
+        std::this_thread::sleep_for(kReopenDelay);
     }
 }
 
@@ -64,7 +64,8 @@
         m_context->TryCancel();
 }
 
-tl::expected<wire::StatusReply, std::string> askStatus(const std::string &address, Duration timeout)
+tl::expected<wire::StatusReply, std::string> requestStatus(const std::string &address,
+                                                           Duration timeout)
 {
     const auto stub
         = wire::Control::NewStub(grpc::CreateChannel(address, grpc::InsecureChannelCredentials()));
--- a/src/adapters/grpc/control_client.hpp
+++ b/src/adapters/grpc/control_client.hpp
@@ -24,7 +24,7 @@
     // Runs until stop(): calls `onSnapshot` for each snapshot, and `onLost` when the
     // connection breaks.
     void run(const std::function<void(const wire::Snapshot &)> &onSnapshot,
-             const std::function<void(const std::string &why)> &onLost);
+             const std::function<void(const std::string &message)> &onLost);
 
     // Ends run(); may be called from another thread.
     void stop();
@@ -38,8 +38,8 @@
 };
 
 // Asks one controld for its status. The error is a text.
-tl::expected<wire::StatusReply, std::string> askStatus(const std::string &address,
-                                                       Duration timeout);
+tl::expected<wire::StatusReply, std::string> requestStatus(const std::string &address,
+                                                           Duration timeout);
 
 } // namespace fordwood::adapters
 
--- a/src/adapters/grpc/control_service.cpp
+++ b/src/adapters/grpc/control_service.cpp
@@ -12,12 +12,12 @@
 public:
     Stream(ControlService &service, std::uint64_t id) : m_service(service), m_id(id) { }
 
-    void keep(std::shared_ptr<Stream> self) { m_self = std::move(self); }
+    void setSelf(std::shared_ptr<Stream> self) { m_self = std::move(self); }
 
     void offer(std::shared_ptr<const wire::Snapshot> full)
     {
         const std::lock_guard lock(m_mutex);
-        m_waiting = std::move(full);
+        m_pending = std::move(full);
         writeNext();
     }
 
@@ -48,10 +48,10 @@
 private:
     void writeNext()
     {
-        if (m_writing || m_finished || !m_waiting)
+        if (m_writing || m_finished || !m_pending)
             return;
-        const auto full = std::move(m_waiting);
-        m_waiting = nullptr;
+        const auto full = std::move(m_pending);
+        m_pending = nullptr;
         m_current.Clear();
         *m_current.mutable_head() = full->head();
         *m_current.mutable_manifest() = full->manifest();
@@ -72,7 +72,7 @@
     std::uint64_t m_id;
     std::shared_ptr<Stream> m_self;
     std::mutex m_mutex;
-    std::shared_ptr<const wire::Snapshot> m_waiting;
+    std::shared_ptr<const wire::Snapshot> m_pending;
     wire::Snapshot m_current;
     std::set<std::string> m_sent; // digests of the pieces that the subscriber holds
     bool m_writing = false;
@@ -87,7 +87,7 @@
     std::vector<std::shared_ptr<Stream>> streams;
     {
         const std::lock_guard lock(m_mutex);
-        m_full = full;
+        m_fullSnapshot = full;
         for (const auto &[id, it] : m_streams)
             streams.push_back(it);
     }
@@ -124,9 +124,9 @@
         const std::lock_guard lock(m_mutex);
         const std::uint64_t id = m_nextId++;
         stream = std::make_shared<Stream>(*this, id);
-        stream->keep(stream);
+        stream->setSelf(stream);
         m_streams.emplace(id, stream);
-        full = m_full;
+        full = m_fullSnapshot;
         closing = m_closing;
     }
     if (full)
--- a/src/adapters/grpc/control_service.hpp
+++ b/src/adapters/grpc/control_service.hpp
@@ -42,7 +42,7 @@
     void remove(std::uint64_t id);
 
     std::mutex m_mutex;
-    std::shared_ptr<const wire::Snapshot> m_full;
+    std::shared_ptr<const wire::Snapshot> m_fullSnapshot;
     wire::StatusReply m_status;
     std::map<std::uint64_t, std::shared_ptr<Stream>> m_streams;
     std::uint64_t m_nextId = 1;
--- a/src/adapters/grpc/key_codec.cpp
+++ b/src/adapters/grpc/key_codec.cpp
@@ -51,10 +51,10 @@
 {
     wire::TenureChains message;
     for (const auto &[partition, chain] : chains) {
-        wire::PartitionChain *one = message.add_chains();
-        one->set_partition(partition);
+        wire::PartitionChain *partitionChain = message.add_chains();
+        partitionChain->set_partition(partition);
         for (const Tenure &it : chain) {
-            wire::TenureInterval *tenure = one->add_tenures();
+            wire::TenureInterval *tenure = partitionChain->add_tenures();
             tenure->set_node(it.holder.node);
             tenure->set_boot(it.holder.boot);
             tenure->set_from_unix_ms(it.from.time_since_epoch().count());
@@ -67,9 +67,9 @@
 std::map<std::uint32_t, TenureChain> fromWire(const wire::TenureChains &message)
 {
     std::map<std::uint32_t, TenureChain> chains;
-    for (const wire::PartitionChain &one : message.chains()) {
-        TenureChain &chain = chains[one.partition()];
-        for (const wire::TenureInterval &it : one.tenures())
+    for (const wire::PartitionChain &partitionChain : message.chains()) {
+        TenureChain &chain = chains[partitionChain.partition()];
+        for (const wire::TenureInterval &it : partitionChain.tenures())
             chain.push_back({{it.node(), it.boot()},
                              wallTime(it.from_unix_ms()),
                              wallTime(it.until_unix_ms())});
--- a/src/adapters/grpc/peer_links.cpp
+++ b/src/adapters/grpc/peer_links.cpp
@@ -13,15 +13,15 @@
 
 namespace {
 
-constexpr int kReconnectFirstMs = 200;
-constexpr int kReconnectMostMs = 2000;
+constexpr int kMinReconnectBackoffMs = 200;
+constexpr int kMaxReconnectBackoffMs = 2000;
 
 std::shared_ptr<grpc::Channel> openChannel(const std::string &address)
 {
     grpc::ChannelArguments arguments;
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectFirstMs);
-    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kReconnectFirstMs);
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectMostMs);
+    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectBackoffMs);
     arguments.SetMaxReceiveMessageSize(-1);
     // Streams to one address must not share a connection that another object has given up.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
@@ -34,15 +34,16 @@
 using PeerWriter = StreamWriter<wire::PeerMessage, QueuedMessages>;
 
 // A stream that a peer opened.
-class PeerLinks::Served : public grpc::ServerBidiReactor<wire::PeerMessage, wire::PeerMessage>,
-                          public PeerStream
+class PeerLinks::IncomingStream
+    : public grpc::ServerBidiReactor<wire::PeerMessage, wire::PeerMessage>,
+      public PeerStream
 {
 public:
-    explicit Served(PeerLinks &links)
+    explicit IncomingStream(PeerLinks &links)
         : m_links(links), m_writer([this](const wire::PeerMessage *it) { StartWrite(it); })
     { }
 
-    void start(const std::shared_ptr<Served> &self)
+    void start(const std::shared_ptr<IncomingStream> &self)
     {
         m_self = self;
         send(m_links.hello());
@@ -60,7 +61,7 @@
     {
         if (!ok)
             return close();
-        m_links.arrived(m_self, m_peer, m_incoming);
+        m_links.onMessage(m_self, m_peer, m_incoming);
         StartRead(&m_incoming);
     }
 
@@ -68,14 +69,14 @@
     {
         if (!ok)
             return close();
-        m_writer.written();
+        m_writer.onWritten();
     }
 
     void OnCancel() override { close(); }
 
     void OnDone() override
     {
-        m_links.ended(this, m_peer);
+        m_links.onStreamEnd(this, m_peer);
         const auto self = std::move(m_self);
     }
 
@@ -88,15 +89,17 @@
 };
 
 // A stream that this node opened.
-class PeerLinks::Dialled : public grpc::ClientBidiReactor<wire::PeerMessage, wire::PeerMessage>,
-                           public PeerStream
+class PeerLinks::OutgoingStream
+    : public grpc::ClientBidiReactor<wire::PeerMessage, wire::PeerMessage>,
+      public PeerStream
 {
 public:
-    explicit Dialled(PeerLinks &links)
+    explicit OutgoingStream(PeerLinks &links)
         : m_links(links), m_writer([this](const wire::PeerMessage *it) { StartWrite(it); })
     { }
 
-    void start(const std::shared_ptr<Dialled> &self, const std::shared_ptr<grpc::Channel> &channel)
+    void start(const std::shared_ptr<OutgoingStream> &self,
+               const std::shared_ptr<grpc::Channel> &channel)
     {
         m_self = self;
         m_stub = wire::Peers::NewStub(channel);
@@ -119,7 +122,7 @@
     {
         if (!ok)
             return endWrites();
-        m_links.arrived(m_self, m_peer, m_incoming);
+        m_links.onMessage(m_self, m_peer, m_incoming);
         StartRead(&m_incoming);
     }
 
@@ -127,13 +130,13 @@
     {
         if (!ok)
             return endWrites();
-        m_writer.written();
+        m_writer.onWritten();
     }
 
     void OnDone(const grpc::Status &) override
     {
         const auto self = std::move(m_self);
-        m_links.ended(this, m_peer);
+        m_links.onStreamEnd(this, m_peer);
     }
 
 private:
@@ -157,42 +160,42 @@
 
 PeerLinks::~PeerLinks() = default;
 
-void PeerLinks::dial(const std::vector<std::string> &addresses)
+void PeerLinks::setOutgoing(const std::vector<std::string> &addresses)
 {
-    std::vector<std::shared_ptr<Dialled>> gone;
+    std::vector<std::shared_ptr<OutgoingStream>> unwanted;
     {
         const std::lock_guard lock(m_mutex);
-        for (auto it = m_dials.begin(); it != m_dials.end();) {
+        for (auto it = m_outgoingLinks.begin(); it != m_outgoingLinks.end();) {
             const bool wanted
                 = std::find(addresses.begin(), addresses.end(), it->first) != addresses.end();
             if (!wanted && it->second.stream)
-                gone.push_back(it->second.stream);
-            it = wanted ? std::next(it) : m_dials.erase(it);
+                unwanted.push_back(it->second.stream);
+            it = wanted ? std::next(it) : m_outgoingLinks.erase(it);
         }
         for (const std::string &it : addresses)
-            m_dials.try_emplace(it, Dial{openChannel(it), nullptr});
+            m_outgoingLinks.try_emplace(it, OutgoingLink{openChannel(it), nullptr});
     }
-    for (const auto &it : gone)
+    for (const auto &it : unwanted)
         it->close();
-    reopen();
+    reopenBroken();
 }
 
-void PeerLinks::reopen()
+void PeerLinks::reopenBroken()
 {
-    std::vector<std::pair<std::shared_ptr<Dialled>, std::shared_ptr<grpc::Channel>>> fresh;
+    std::vector<std::pair<std::shared_ptr<OutgoingStream>, std::shared_ptr<grpc::Channel>>> opened;
     {
         const std::lock_guard lock(m_mutex);
         if (m_closing)
             return;
-        for (auto &[address, dial] : m_dials) {
-            if (dial.stream)
+        for (auto &[address, link] : m_outgoingLinks) {
+            if (link.stream)
                 continue;
-            dial.stream = std::make_shared<Dialled>(*this);
-            ++m_dialledAlive;
-            fresh.emplace_back(dial.stream, dial.channel);
+            link.stream = std::make_shared<OutgoingStream>(*this);
+            ++m_openOutgoing;
+            opened.emplace_back(link.stream, link.channel);
         }
     }
-    for (const auto &[stream, channel] : fresh)
+    for (const auto &[stream, channel] : opened)
         stream->start(stream, channel);
 }
 
@@ -218,37 +221,37 @@
     {
         const std::lock_guard lock(m_mutex);
         m_closing = true;
-        all = m_served;
-        for (const auto &[address, dial] : m_dials) {
-            if (dial.stream)
-                all.push_back(dial.stream);
+        all = m_incomingStreams;
+        for (const auto &[address, link] : m_outgoingLinks) {
+            if (link.stream)
+                all.push_back(link.stream);
         }
-        m_dials.clear();
+        m_outgoingLinks.clear();
     }
     for (const auto &it : all)
         it->close();
     all.clear();
     std::unique_lock lock(m_mutex);
-    m_none.wait(lock, [this] { return m_dialledAlive == 0; });
+    m_allEnded.wait(lock, [this] { return m_openOutgoing == 0; });
 }
 
 grpc::ServerBidiReactor<wire::PeerMessage, wire::PeerMessage> *
 PeerLinks::Link(grpc::CallbackServerContext *)
 {
-    auto stream = std::make_shared<Served>(*this);
-    keepServed(stream);
+    auto stream = std::make_shared<IncomingStream>(*this);
+    addIncoming(stream);
     stream->start(stream);
     return stream.get();
 }
 
-void PeerLinks::keepServed(const std::shared_ptr<PeerStream> &stream)
+void PeerLinks::addIncoming(const std::shared_ptr<PeerStream> &stream)
 {
     const std::lock_guard lock(m_mutex);
-    m_served.push_back(stream);
+    m_incomingStreams.push_back(stream);
 }
 
-void PeerLinks::arrived(const std::shared_ptr<PeerStream> &stream, std::string &peer,
-                        const wire::PeerMessage &message)
+void PeerLinks::onMessage(const std::shared_ptr<PeerStream> &stream, std::string &peer,
+                          const wire::PeerMessage &message)
 {
     if (peer.empty()) {
         if (message.node().empty() || message.node() == m_self)
@@ -268,16 +271,16 @@
     m_listener.updateArrived(peer, fromWire(message));
 }
 
-void PeerLinks::ended(const PeerStream *stream, const std::string &peer)
+void PeerLinks::onStreamEnd(const PeerStream *stream, const std::string &peer)
 {
     bool last = false;
     {
         const std::lock_guard lock(m_mutex);
         const auto same = [&](const auto &it) { return it.get() == stream; };
-        std::erase_if(m_served, same);
-        for (auto &[address, dial] : m_dials) {
-            if (dial.stream && static_cast<PeerStream *>(dial.stream.get()) == stream)
-                dial.stream = nullptr;
+        std::erase_if(m_incomingStreams, same);
+        for (auto &[address, link] : m_outgoingLinks) {
+            if (link.stream && static_cast<PeerStream *>(link.stream.get()) == stream)
+                link.stream = nullptr;
         }
         const auto known = m_streams.find(peer);
         if (known != m_streams.end()) {
@@ -289,10 +292,10 @@
     if (last)
         m_listener.linkDown(peer);
     // Only after the listener heard of it: closeAll() may let go of everything now.
-    if (dynamic_cast<const Dialled *>(stream) != nullptr) {
+    if (dynamic_cast<const OutgoingStream *>(stream) != nullptr) {
         const std::lock_guard lock(m_mutex);
-        --m_dialledAlive;
-        m_none.notify_all();
+        --m_openOutgoing;
+        m_allEnded.notify_all();
     }
 }
 
--- a/src/adapters/grpc/peer_links.hpp
+++ b/src/adapters/grpc/peer_links.hpp
@@ -44,10 +44,10 @@
     ~PeerLinks() override;
 
     // Sets the addresses to hold a stream to; others that this node opened are closed.
-    void dial(const std::vector<std::string> &addresses);
+    void setOutgoing(const std::vector<std::string> &addresses);
 
     // Opens again what broke; call it about once a second.
-    void reopen();
+    void reopenBroken();
 
     void send(const std::string &peer, const PeerUpdate &update);
 
@@ -61,29 +61,29 @@
     Link(grpc::CallbackServerContext *context) override;
 
 private:
-    class Served;
-    class Dialled;
+    class IncomingStream;
+    class OutgoingStream;
 
     // Called by the streams.
-    void arrived(const std::shared_ptr<PeerStream> &stream, std::string &peer,
-                 const wire::PeerMessage &message);
-    void ended(const PeerStream *stream, const std::string &peer);
+    void onMessage(const std::shared_ptr<PeerStream> &stream, std::string &peer,
+                   const wire::PeerMessage &message);
+    void onStreamEnd(const PeerStream *stream, const std::string &peer);
     wire::PeerMessage hello() const;
-    void keepServed(const std::shared_ptr<PeerStream> &stream);
+    void addIncoming(const std::shared_ptr<PeerStream> &stream);
 
     const std::string m_self;
     PeerListener &m_listener;
     std::mutex m_mutex;
-    std::condition_variable m_none;
+    std::condition_variable m_allEnded;
     std::map<std::string, std::vector<std::shared_ptr<PeerStream>>> m_streams; // by peer
-    std::vector<std::shared_ptr<PeerStream>> m_served;
-    struct Dial
+    std::vector<std::shared_ptr<PeerStream>> m_incomingStreams;
+    struct OutgoingLink
     {
         std::shared_ptr<grpc::Channel> channel;
-        std::shared_ptr<Dialled> stream; // null while broken
+        std::shared_ptr<OutgoingStream> stream; // null while broken
     };
-    std::map<std::string, Dial> m_dials; // by address
-    int m_dialledAlive = 0;
+    std::map<std::string, OutgoingLink> m_outgoingLinks; // by address
+    int m_openOutgoing = 0;
     std::atomic<std::uint64_t> m_bytesSent{0};
     bool m_closing = false;
 };
--- a/src/adapters/grpc/permit_client.cpp
+++ b/src/adapters/grpc/permit_client.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr int kReconnectFirstMs = 100;
-constexpr int kReconnectMostMs = 1000;
+constexpr int kMinReconnectBackoffMs = 100;
+constexpr int kMaxReconnectBackoffMs = 1000;
 
-PermitReply replyOf(const wire::Grant &grant)
+PermitReply toReply(const wire::Grant &grant)
 {
     PermitReply reply;
     reply.requestId = grant.ask_id();
@@ -27,7 +27,7 @@
     return reply;
 }
 
-PermitReply replyOf(const wire::Denial &denial)
+PermitReply toReply(const wire::Denial &denial)
 {
     PermitReply reply;
     reply.requestId = denial.ask_id();
@@ -40,9 +40,9 @@
 std::shared_ptr<grpc::Channel> openChannel(const std::string &address)
 {
     grpc::ChannelArguments arguments;
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectFirstMs);
-    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kReconnectFirstMs);
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectMostMs);
+    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectBackoffMs);
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
     return grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments);
 }
@@ -50,10 +50,10 @@
 } // namespace
 
 // Counts the streams that gRPC still works on.
-struct PermitClient::Alive
+struct PermitClient::OpenStreams
 {
     std::mutex mutex;
-    std::condition_variable none;
+    std::condition_variable allEnded;
     int streams = 0;
 };
 
@@ -63,8 +63,9 @@
 {
 public:
     Stream(std::string owner, std::uint64_t id, PermitClientListener &listener,
-           std::shared_ptr<Alive> alive)
-        : m_owner(std::move(owner)), m_id(id), m_listener(listener), m_alive(std::move(alive)),
+           std::shared_ptr<OpenStreams> openStreams)
+        : m_owner(std::move(owner)), m_id(id), m_listener(listener),
+          m_openStreams(std::move(openStreams)),
           m_writer([this](const wire::PermitCommands *it) { StartWrite(it); })
     { }
 
@@ -74,8 +75,8 @@
     {
         m_self = self;
         {
-            const std::lock_guard lock(m_alive->mutex);
-            ++m_alive->streams;
+            const std::lock_guard lock(m_openStreams->mutex);
+            ++m_openStreams->streams;
         }
         m_stub = wire::Permits::NewStub(channel);
         m_stub->async()->Exchange(&m_context, this);
@@ -98,9 +99,9 @@
         if (!ok)
             return endWrites();
         for (const wire::Grant &it : m_incoming.grants())
-            take(replyOf(it));
+            handleReply(toReply(it));
         for (const wire::Denial &it : m_incoming.denials())
-            take(replyOf(it));
+            handleReply(toReply(it));
         for (const wire::ClaimReply &it : m_incoming.claim_replies())
             m_listener.claimAnswered(it.claim_id(), fromWire(it));
         for (const wire::AllowanceReply &it : m_incoming.allowances())
@@ -113,21 +114,21 @@
     {
         if (!ok)
             return endWrites();
-        m_writer.written();
+        m_writer.onWritten();
     }
 
     void OnDone(const grpc::Status &) override
     {
         m_listener.streamLost(m_owner, m_id);
         const auto self = std::move(m_self);
-        const auto alive = m_alive;
-        const std::lock_guard lock(alive->mutex);
-        --alive->streams;
-        alive->none.notify_all();
+        const auto openStreams = m_openStreams;
+        const std::lock_guard lock(openStreams->mutex);
+        --openStreams->streams;
+        openStreams->allEnded.notify_all();
     }
 
 private:
-    void take(const PermitReply &reply)
+    void handleReply(const PermitReply &reply)
     {
         if (m_listener.replyArrived(m_owner, reply) || !reply.granted)
             return;
@@ -144,7 +145,7 @@
     std::string m_owner;
     std::uint64_t m_id;
     PermitClientListener &m_listener;
-    std::shared_ptr<Alive> m_alive;
+    std::shared_ptr<OpenStreams> m_openStreams;
     std::shared_ptr<Stream> m_self;
     std::unique_ptr<wire::Permits::Stub> m_stub;
     grpc::ClientContext m_context;
@@ -153,7 +154,7 @@
 };
 
 PermitClient::PermitClient(std::string node, PermitClientListener &listener)
-    : m_node(std::move(node)), m_listener(listener), m_alive(std::make_shared<Alive>())
+    : m_node(std::move(node)), m_listener(listener), m_openStreams(std::make_shared<OpenStreams>())
 { }
 
 PermitClient::~PermitClient()
@@ -161,24 +162,24 @@
     close();
 }
 
-void PermitClient::ask(const RequestPermit &ask)
+void PermitClient::requestPermit(const RequestPermit &request)
 {
     wire::PermitCommands commands;
     wire::Ask *message = commands.add_asks();
-    message->set_ask_id(ask.requestId);
-    message->set_upstream(ask.upstream);
-    message->set_team(ask.team);
-    message->set_cost(ask.cost);
-    message->set_priority(ask.priority);
+    message->set_ask_id(request.requestId);
+    message->set_upstream(request.upstream);
+    message->set_team(request.team);
+    message->set_cost(request.cost);
+    message->set_priority(request.priority);
     message->set_wait_ms(static_cast<std::uint32_t>(
-        std::chrono::duration_cast<std::chrono::milliseconds>(ask.wait).count()));
-    message->set_prefix_hash(ask.prompt.prefixHash);
-    message->set_context_tokens(static_cast<std::uint32_t>(ask.prompt.contextTokens));
-    message->set_question_tokens(static_cast<std::uint32_t>(ask.prompt.questionTokens));
-    open(ask.owner, ask.ownerAddress)->send(commands);
+        std::chrono::duration_cast<std::chrono::milliseconds>(request.wait).count()));
+    message->set_prefix_hash(request.prompt.prefixHash);
+    message->set_context_tokens(static_cast<std::uint32_t>(request.prompt.contextTokens));
+    message->set_question_tokens(static_cast<std::uint32_t>(request.prompt.questionTokens));
+    streamTo(request.owner, request.ownerAddress)->send(commands);
 }
 
-void PermitClient::withdraw(const WithdrawPermitRequest &withdrawal)
+void PermitClient::withdrawRequest(const WithdrawPermitRequest &withdrawal)
 {
     wire::PermitCommands commands;
     wire::Withdraw *message = commands.add_withdrawals();
@@ -198,14 +199,14 @@
     send(release.owner, commands);
 }
 
-void PermitClient::hold(const AdoptPermit &hold)
+void PermitClient::adoptPermit(const AdoptPermit &permit)
 {
     wire::PermitCommands commands;
     wire::Held *message = commands.add_held();
-    message->set_permit_id(hold.permitId);
-    message->set_upstream(hold.upstream);
-    message->set_team(hold.team);
-    open(hold.owner, hold.ownerAddress)->send(commands);
+    message->set_permit_id(permit.permitId);
+    message->set_upstream(permit.upstream);
+    message->set_team(permit.team);
+    streamTo(permit.owner, permit.ownerAddress)->send(commands);
 }
 
 void PermitClient::claim(const ClaimKey &claim)
@@ -216,7 +217,7 @@
     message->set_team(claim.key.team);
     message->set_key(claim.key.text);
     message->set_issued_unix_ms(claim.key.issued.time_since_epoch().count());
-    open(claim.holder, claim.holderAddress)->send(commands);
+    streamTo(claim.holder, claim.holderAddress)->send(commands);
 }
 
 void PermitClient::finishClaim(const FinishClaim &finish)
@@ -231,18 +232,18 @@
     send(finish.holder, commands);
 }
 
-void PermitClient::askAllowance(const RequestAllowance &ask)
+void PermitClient::requestAllowance(const RequestAllowance &request)
 {
     wire::PermitCommands commands;
     wire::AllowanceAsk *message = commands.add_allowance_asks();
-    message->set_ask_id(ask.ask.requestId);
-    message->set_team(ask.ask.team);
-    message->set_used(static_cast<std::uint32_t>(ask.ask.used));
-    message->set_wanted(static_cast<std::uint32_t>(ask.ask.wanted));
-    open(ask.owner, ask.ownerAddress)->send(commands);
+    message->set_ask_id(request.ask.requestId);
+    message->set_team(request.ask.team);
+    message->set_used(static_cast<std::uint32_t>(request.ask.used));
+    message->set_wanted(static_cast<std::uint32_t>(request.ask.wanted));
+    streamTo(request.owner, request.ownerAddress)->send(commands);
 }
 
-bool PermitClient::forget(const std::string &owner, std::uint64_t stream)
+bool PermitClient::removeStream(const std::string &owner, std::uint64_t stream)
 {
     const auto it = m_streams.find(owner);
     if (it == m_streams.end() || it->second->id() != stream)
@@ -256,12 +257,12 @@
     for (const auto &[owner, it] : m_streams)
         it->close();
     m_streams.clear();
-    std::unique_lock lock(m_alive->mutex);
-    m_alive->none.wait(lock, [&] { return m_alive->streams == 0; });
+    std::unique_lock lock(m_openStreams->mutex);
+    m_openStreams->allEnded.wait(lock, [&] { return m_openStreams->streams == 0; });
 }
 
-std::shared_ptr<PermitClient::Stream> PermitClient::open(const std::string &owner,
-                                                         const std::string &address)
+std::shared_ptr<PermitClient::Stream> PermitClient::streamTo(const std::string &owner,
+                                                             const std::string &address)
 {
     Channel &channel = m_channels[owner];
     if (channel.address != address) {
@@ -274,7 +275,7 @@
     const auto known = m_streams.find(owner);
     if (known != m_streams.end())
         return known->second;
-    auto stream = std::make_shared<Stream>(owner, m_nextStream++, m_listener, m_alive);
+    auto stream = std::make_shared<Stream>(owner, m_nextStream++, m_listener, m_openStreams);
     m_streams.emplace(owner, stream);
     stream->start(stream, channel.channel);
     wire::PermitCommands hello;
--- a/src/adapters/grpc/permit_client.hpp
+++ b/src/adapters/grpc/permit_client.hpp
@@ -41,16 +41,16 @@
     PermitClient(std::string node, PermitClientListener &listener);
     ~PermitClient();
 
-    void ask(const RequestPermit &ask);
-    void withdraw(const WithdrawPermitRequest &withdrawal);
+    void requestPermit(const RequestPermit &request);
+    void withdrawRequest(const WithdrawPermitRequest &withdrawal);
     void release(const ReleasePermit &release);
-    void hold(const AdoptPermit &hold);
+    void adoptPermit(const AdoptPermit &permit);
     void claim(const ClaimKey &claim);
     void finishClaim(const FinishClaim &finish);
-    void askAllowance(const RequestAllowance &ask);
+    void requestAllowance(const RequestAllowance &request);
 
     // Forgets a stream that was reported lost. True when it was the owner's present stream.
-    bool forget(const std::string &owner, std::uint64_t stream);
+    bool removeStream(const std::string &owner, std::uint64_t stream);
 
     // Ends all streams and waits until gRPC is done with them.
     void close();
@@ -58,7 +58,7 @@
 private:
     class Stream;
 
-    std::shared_ptr<Stream> open(const std::string &owner, const std::string &address);
+    std::shared_ptr<Stream> streamTo(const std::string &owner, const std::string &address);
     void send(const std::string &owner, const wire::PermitCommands &commands);
 
     struct Channel
@@ -72,8 +72,8 @@
     std::map<std::string, Channel> m_channels; // by owner
     std::map<std::string, std::shared_ptr<Stream>> m_streams; // by owner
     std::uint64_t m_nextStream = 1;
-    struct Alive;
-    std::shared_ptr<Alive> m_alive;
+    struct OpenStreams;
+    std::shared_ptr<OpenStreams> m_openStreams;
 };
 
 } // namespace fordwood::adapters
--- a/src/adapters/grpc/permit_service.cpp
+++ b/src/adapters/grpc/permit_service.cpp
@@ -16,7 +16,7 @@
         std::chrono::duration_cast<std::chrono::milliseconds>(time).count());
 }
 
-void addTo(wire::PermitEvents &events, const PermitAnswer &answer)
+void addAnswer(wire::PermitEvents &events, const PermitAnswer &answer)
 {
     if (answer.granted) {
         wire::Grant *grant = events.add_grants();
@@ -63,7 +63,7 @@
         if (!ok)
             return finish();
         if (!m_service.m_listener.commandsArrived(m_holder, m_incoming))
-            refuse();
+            rejectCommands();
         StartRead(&m_incoming);
     }
 
@@ -71,7 +71,7 @@
     {
         if (!ok)
             return finish();
-        m_writer.written();
+        m_writer.onWritten();
     }
 
     void OnCancel() override { finish(); }
@@ -84,7 +84,7 @@
 
 private:
     // The owner's ring is full: every ask is denied at once, none is left without an answer.
-    void refuse()
+    void rejectCommands()
     {
         wire::PermitEvents events;
         for (const wire::Ask &it : m_incoming.asks()) {
@@ -122,12 +122,13 @@
 {
     std::unordered_map<HolderId, wire::PermitEvents> byHolder;
     for (const PermitAnswer &it : answers)
-        addTo(byHolder[it.holder], it);
+        addAnswer(byHolder[it.holder], it);
     for (const auto &[holder, events] : byHolder)
         sendTo(holder, events);
 }
 
-void PermitService::sendClaim(HolderId holder, std::uint64_t claimId, const ClaimAnswer &answer)
+void PermitService::sendClaimAnswer(HolderId holder, std::uint64_t claimId,
+                                    const ClaimAnswer &answer)
 {
     wire::PermitEvents events;
     wire::ClaimReply *reply = events.add_claim_replies();
@@ -141,15 +142,15 @@
     sendTo(holder, events);
 }
 
-void PermitService::sendAllowance(const AllowanceRequest &ask, const Allowance &allowance)
+void PermitService::sendAllowance(const AllowanceRequest &request, const Allowance &allowance)
 {
     wire::PermitEvents events;
     wire::AllowanceReply *reply = events.add_allowances();
-    reply->set_ask_id(ask.requestId);
-    reply->set_team(ask.team);
+    reply->set_ask_id(request.requestId);
+    reply->set_team(request.team);
     reply->set_amount(static_cast<std::uint32_t>(allowance.amount));
     reply->set_life_ms(toMs(allowance.life));
-    sendTo(ask.holder, events);
+    sendTo(request.holder, events);
 }
 
 void PermitService::sendTo(HolderId holder, const wire::PermitEvents &events)
--- a/src/adapters/grpc/permit_service.hpp
+++ b/src/adapters/grpc/permit_service.hpp
@@ -38,10 +38,10 @@
     void send(const std::vector<PermitAnswer> &answers);
 
     // Sends the answer to a claim of a key.
-    void sendClaim(HolderId holder, std::uint64_t claimId, const ClaimAnswer &answer);
+    void sendClaimAnswer(HolderId holder, std::uint64_t claimId, const ClaimAnswer &answer);
 
     // Sends a part of a team's ceiling.
-    void sendAllowance(const AllowanceRequest &ask, const Allowance &allowance);
+    void sendAllowance(const AllowanceRequest &request, const Allowance &allowance);
 
     // Ends all streams, so that the server can stop.
     void closeAll();
--- a/src/adapters/grpc/stream_writer.hpp
+++ b/src/adapters/grpc/stream_writer.hpp
@@ -17,19 +17,19 @@
     void add(const Message &message)
     {
         m_next.MergeFrom(message);
-        m_empty = false;
+        m_isEmpty = false;
     }
-    bool empty() const { return m_empty; }
-    void take(Message &target)
+    bool isEmpty() const { return m_isEmpty; }
+    void moveNextTo(Message &target)
     {
         target.Clear();
         target.Swap(&m_next);
-        m_empty = true;
+        m_isEmpty = true;
     }
 
 private:
     Message m_next;
-    bool m_empty = true;
+    bool m_isEmpty = true;
 };
 
 // What waits to be written: one message after the other.
@@ -37,21 +37,21 @@
 class QueuedMessages
 {
 public:
-    void add(const Message &message) { m_waiting.push_back(message); }
-    bool empty() const { return m_waiting.empty(); }
-    void take(Message &target)
+    void add(const Message &message) { m_pending.push_back(message); }
+    bool isEmpty() const { return m_pending.empty(); }
+    void moveNextTo(Message &target)
     {
-        target = std::move(m_waiting.front());
-        m_waiting.pop_front();
+        target = std::move(m_pending.front());
+        m_pending.pop_front();
     }
 
 private:
-    std::deque<Message> m_waiting;
+    std::deque<Message> m_pending;
 };
 
 // The writing side of a gRPC stream, which takes one message at a time: holds back the others, and
 // begins no write after the stream was closed. Thread-safe.
-template <typename Message, template <typename> typename Waiting>
+template <typename Message, template <typename> typename Pending>
 class StreamWriter
 {
 public:
@@ -62,44 +62,44 @@
     void send(const Message &message)
     {
         const std::lock_guard lock(m_mutex);
-        if (m_closed)
+        if (m_isClosed)
             return;
-        m_waiting.add(message);
-        if (!m_busy)
+        m_pending.add(message);
+        if (!m_isWriting)
             startNext();
     }
 
     // The message under way is written.
-    void written()
+    void onWritten()
     {
         const std::lock_guard lock(m_mutex);
-        m_busy = false;
-        if (!m_closed && !m_waiting.empty())
+        m_isWriting = false;
+        if (!m_isClosed && !m_pending.isEmpty())
             startNext();
     }
 
     // Closes the writer. The first call runs `last`, with the writer locked.
-    void close(const std::function<void()> &last)
+    void close(const std::function<void()> &onClose)
     {
         const std::lock_guard lock(m_mutex);
-        if (!std::exchange(m_closed, true))
-            last();
+        if (!std::exchange(m_isClosed, true))
+            onClose();
     }
 
 private:
     void startNext()
     {
-        m_waiting.take(m_current);
-        m_busy = true;
+        m_pending.moveNextTo(m_current);
+        m_isWriting = true;
         m_start(&m_current);
     }
 
     std::function<void(const Message *)> m_start;
     std::mutex m_mutex;
-    Waiting<Message> m_waiting;
+    Pending<Message> m_pending;
     Message m_current;
-    bool m_busy = false;
-    bool m_closed = false;
+    bool m_isWriting = false;
+    bool m_isClosed = false;
 };
 
 } // namespace fordwood::adapters
--- a/src/adapters/http/admin_server.cpp
+++ b/src/adapters/http/admin_server.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr unsigned kMostConnections = 64;
-constexpr unsigned kIdleSeconds = 30;
+constexpr unsigned kMaxConnections = 64;
+constexpr unsigned kIdleTimeoutSeconds = 30;
 
 MHD_Result onRequest(void *cls, MHD_Connection *connection, const char *url, const char *method,
                      const char *, const char *, std::size_t *, void **)
@@ -38,10 +38,10 @@
     if (!socketAddress)
         return false;
     const unsigned flags = MHD_USE_EPOLL_INTERNAL_THREAD
-                           | (socketAddress->isSix() ? static_cast<unsigned>(MHD_USE_IPv6) : 0U);
+                           | (socketAddress->isIpv6() ? static_cast<unsigned>(MHD_USE_IPv6) : 0U);
     m_daemon = MHD_start_daemon(flags, 0, nullptr, nullptr, &onRequest, this, MHD_OPTION_SOCK_ADDR,
-                                socketAddress->get(), MHD_OPTION_CONNECTION_LIMIT, kMostConnections,
-                                MHD_OPTION_CONNECTION_TIMEOUT, kIdleSeconds, MHD_OPTION_END);
+                                socketAddress->get(), MHD_OPTION_CONNECTION_LIMIT, kMaxConnections,
+                                MHD_OPTION_CONNECTION_TIMEOUT, kIdleTimeoutSeconds, MHD_OPTION_END);
     return m_daemon != nullptr;
 }
 
--- a/src/adapters/http/caller_server.cpp
+++ b/src/adapters/http/caller_server.cpp
@@ -15,54 +15,54 @@
 namespace {
 
 constexpr auto kWatchPeriod = std::chrono::milliseconds(100);
-constexpr unsigned kIdleSeconds = 300;
+constexpr unsigned kIdleTimeoutSeconds = 300;
 constexpr unsigned kSpareConnections = 64;
-constexpr std::size_t kReadBlock = 16'384;
-constexpr std::size_t kMostDiscarded = 8; // times the largest body
+constexpr std::size_t kReadBlockBytes = 16'384;
+constexpr std::size_t kMaxDiscardFactor = 8; // times the largest body
 
 // One request as it arrives.
-struct Incoming
+struct IncomingRequest
 {
-    CallerMessage message;
-    bool tooLarge = false;
+    CallerRequest request;
+    bool isTooLarge = false;
     std::shared_ptr<Exchange> exchange;
 };
 
-struct PartsReader
+struct ChunkReader
 {
     std::shared_ptr<Exchange> exchange;
     MHD_Connection *connection;
 };
 
-ssize_t readPart(void *cls, std::uint64_t, char *target, std::size_t size)
+ssize_t readChunk(void *cls, std::uint64_t, char *target, std::size_t size)
 {
-    auto *reader = static_cast<PartsReader *>(cls);
-    std::size_t taken = 0;
-    switch (reader->exchange->read(target, size, taken)) {
-    case Exchange::Read::Data:
-        return static_cast<ssize_t>(taken);
-    case Exchange::Read::Wait:
+    auto *reader = static_cast<ChunkReader *>(cls);
+    std::size_t count = 0;
+    switch (reader->exchange->read(target, size, count)) {
+    case Exchange::ReadResult::Data:
+        return static_cast<ssize_t>(count);
+    case Exchange::ReadResult::Wait:
         MHD_suspend_connection(reader->connection);
         return 0;
-    case Exchange::Read::End:
+    case Exchange::ReadResult::End:
         return MHD_CONTENT_READER_END_OF_STREAM;
-    case Exchange::Read::Broken:
+    case Exchange::ReadResult::Aborted:
         break;
     }
     return MHD_CONTENT_READER_END_WITH_ERROR;
 }
 
-void freeParts(void *cls)
+void freeChunkReader(void *cls)
 {
-    delete static_cast<PartsReader *>(cls);
+    delete static_cast<ChunkReader *>(cls);
 }
 
-MHD_Result queueParts(MHD_Connection *connection, const std::shared_ptr<Exchange> &exchange,
-                      const AnswerHead &head)
+MHD_Result queueChunks(MHD_Connection *connection, const std::shared_ptr<Exchange> &exchange,
+                       const AnswerHead &head)
 {
-    auto *reader = new PartsReader{exchange, connection};
-    MHD_Response *response = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kReadBlock,
-                                                               &readPart, reader, &freeParts);
+    auto *reader = new ChunkReader{exchange, connection};
+    MHD_Response *response = MHD_create_response_from_callback(
+        MHD_SIZE_UNKNOWN, kReadBlockBytes, &readChunk, reader, &freeChunkReader);
     addHeaders(response, head.headers);
     MHD_add_response_header(response, "Fordwood-Verdict", "ran");
     const MHD_Result result
@@ -71,21 +71,21 @@
     return result;
 }
 
-MHD_Result queueTaken(MHD_Connection *connection, const std::shared_ptr<Exchange> &exchange,
-                      TakenAnswer taken)
+MHD_Result queueAvailable(MHD_Connection *connection, const std::shared_ptr<Exchange> &exchange,
+                          AvailableAnswer available)
 {
-    switch (taken.kind) {
-    case TakenAnswer::Kind::Nothing:
+    switch (available.kind) {
+    case AvailableAnswer::Kind::None:
         MHD_suspend_connection(connection);
         return MHD_YES;
-    case TakenAnswer::Kind::Refusal:
-        return queueAnswer(connection, answerOf(taken.verdict));
-    case TakenAnswer::Kind::Whole:
-        taken.head.headers.emplace_back("Fordwood-Verdict", "ran");
-        return queueAnswer(connection, {taken.head.status, "", std::move(taken.body),
-                                        std::move(taken.head.headers)});
-    case TakenAnswer::Kind::Parts:
-        return queueParts(connection, exchange, taken.head);
+    case AvailableAnswer::Kind::Refusal:
+        return queueAnswer(connection, answerOf(available.verdict));
+    case AvailableAnswer::Kind::Complete:
+        available.head.headers.emplace_back("Fordwood-Verdict", "ran");
+        return queueAnswer(connection, {available.head.status, "", std::move(available.body),
+                                        std::move(available.head.headers)});
+    case AvailableAnswer::Kind::Chunked:
+        return queueChunks(connection, exchange, available.head);
     }
     return MHD_NO;
 }
@@ -98,7 +98,7 @@
 
 // A body with two lengths can be read in two ways: a balancer in front of us may take the other
 // one.
-bool hasTwoLengths(const Headers &headers)
+bool hasSeveralLengths(const Headers &headers)
 {
     int lengths = 0;
     for (const auto &[name, value] : headers) {
@@ -117,9 +117,9 @@
     static void *onUri(void *cls, const char *uri, MHD_Connection *connection)
     {
         // A request begins: its time to arrive whole starts here.
-        static_cast<CallerServer *>(cls)->m_watch.idle(connection);
-        auto *incoming = new Incoming;
-        incoming->message.path = uri;
+        static_cast<CallerServer *>(cls)->m_watch.markIdle(connection);
+        auto *incoming = new IncomingRequest;
+        incoming->request.path = uri;
         return incoming;
     }
 
@@ -128,46 +128,46 @@
                                 std::size_t *size, void **state)
     {
         auto &server = *static_cast<CallerServer *>(cls);
-        auto *incoming = static_cast<Incoming *>(*state);
-        if (incoming->message.method.empty())
+        auto *incoming = static_cast<IncomingRequest *>(*state);
+        if (incoming->request.method.empty())
             return begin(server, connection, *incoming, method);
         if (*size > 0) {
-            collect(server, *incoming, std::string_view(data, *size));
+            appendBody(server, *incoming, std::string_view(data, *size));
             *size = 0;
             return MHD_YES;
         }
         if (incoming->exchange)
-            return queueTaken(connection, incoming->exchange, incoming->exchange->takeAnswer());
-        if (incoming->tooLarge)
+            return queueAvailable(connection, incoming->exchange, incoming->exchange->takeAnswer());
+        if (incoming->isTooLarge)
             return refuse(server, connection, Reason::BodyTooLarge);
         return handle(server, connection, *incoming);
     }
 
-    static MHD_Result begin(CallerServer &server, MHD_Connection *connection, Incoming &incoming,
-                            const char *method)
+    static MHD_Result begin(CallerServer &server, MHD_Connection *connection,
+                            IncomingRequest &incoming, const char *method)
     {
-        incoming.message.method = method;
+        incoming.request.method = method;
         MHD_get_connection_values(connection, MHD_HEADER_KIND, &addHeader,
-                                  &incoming.message.headers);
-        if (hasTwoLengths(incoming.message.headers))
+                                  &incoming.request.headers);
+        if (hasSeveralLengths(incoming.request.headers))
             return refuse(server, connection, Reason::MalformedRequest);
-        const std::string length = incoming.message.header("Content-Length");
+        const std::string length = incoming.request.header("Content-Length");
         const std::size_t bytes = std::strtoull(length.c_str(), nullptr, 10);
-        if (bytes > server.m_settings.maxBodyBytes * kMostDiscarded)
+        if (bytes > server.m_settings.maxBodyBytes * kMaxDiscardFactor)
             return refuse(server, connection, Reason::BodyTooLarge);
         if (bytes <= server.m_settings.maxBodyBytes)
-            incoming.message.body.reserve(bytes);
+            incoming.request.body.reserve(bytes);
         return MHD_YES;
     }
 
-    static void collect(CallerServer &server, Incoming &incoming, std::string_view bytes)
+    static void appendBody(CallerServer &server, IncomingRequest &incoming, std::string_view bytes)
     {
-        if (incoming.message.body.size() + bytes.size() > server.m_settings.maxBodyBytes) {
-            incoming.tooLarge = true;
-            incoming.message.body.clear();
+        if (incoming.request.body.size() + bytes.size() > server.m_settings.maxBodyBytes) {
+            incoming.isTooLarge = true;
+            incoming.request.body.clear();
         }
-        if (!incoming.tooLarge)
-            incoming.message.body.append(bytes);
+        if (!incoming.isTooLarge)
+            incoming.request.body.append(bytes);
     }
 
     static MHD_Result refuse(CallerServer &server, MHD_Connection *connection, Reason reason)
@@ -176,29 +176,31 @@
         return queueAnswer(connection, answerOf(Verdict::of(reason)));
     }
 
-    static MHD_Result handle(CallerServer &server, MHD_Connection *connection, Incoming &incoming)
+    static MHD_Result handle(CallerServer &server, MHD_Connection *connection,
+                             IncomingRequest &incoming)
     {
-        auto handled = server.m_handler.handle(std::move(incoming.message));
-        incoming.message.method = "-"; // marks the request as begun
+        auto handled = server.m_handler.handle(std::move(incoming.request));
+        incoming.request.method = "-"; // marks the request as begun
         if (const auto *answer = std::get_if<DirectAnswer>(&handled))
             return queueAnswer(connection, *answer);
         incoming.exchange = std::get<std::shared_ptr<Exchange>>(handled);
         const CallId call = incoming.exchange->id();
         incoming.exchange->setWake([connection] { MHD_resume_connection(connection); });
-        server.m_watch.serving(connection, [&server, call] { server.m_handler.callerLeft(call); });
+        server.m_watch.markServing(connection,
+                                   [&server, call] { server.m_handler.callerLeft(call); });
         incoming.exchange->takeAnswer(); // nothing yet; from now on the answer wakes us
         MHD_suspend_connection(connection);
         server.m_handler.submit(incoming.exchange);
         return MHD_YES;
     }
 
-    static void onCompleted(void *cls, MHD_Connection *connection, void **state,
-                            MHD_RequestTerminationCode code)
+    static void onRequestCompleted(void *cls, MHD_Connection *connection, void **state,
+                                   MHD_RequestTerminationCode code)
     {
         auto &server = *static_cast<CallerServer *>(cls);
-        const std::unique_ptr<Incoming> incoming(static_cast<Incoming *>(*state));
+        const std::unique_ptr<IncomingRequest> incoming(static_cast<IncomingRequest *>(*state));
         *state = nullptr;
-        server.m_watch.idle(connection);
+        server.m_watch.markIdle(connection);
         if (!incoming || !incoming->exchange)
             return;
         incoming->exchange->abandon();
@@ -212,15 +214,15 @@
     {
         auto &server = *static_cast<CallerServer *>(cls);
         if (code == MHD_CONNECTION_NOTIFY_CLOSED)
-            return server.m_watch.closed(connection);
+            return server.m_watch.removeConnection(connection);
         const auto *socket = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD);
-        server.m_watch.opened(connection, socket == nullptr ? -1 : socket->connect_fd);
+        server.m_watch.addConnection(connection, socket == nullptr ? -1 : socket->connect_fd);
     }
 
     static MHD_Result onAccept(void *cls, const sockaddr *, socklen_t)
     {
         auto &server = *static_cast<CallerServer *>(cls);
-        if (server.m_watch.connections() < server.m_settings.maxConnections)
+        if (server.m_watch.connectionCount() < server.m_settings.maxConnections)
             return MHD_YES;
         server.m_handler.refused(Reason::ConnectionLimit);
         return MHD_NO;
@@ -233,7 +235,7 @@
     }
 };
 
-std::string CallerMessage::header(std::string_view name) const
+std::string CallerRequest::header(std::string_view name) const
 {
     for (const auto &[key, value] : headers) {
         if (key.size() == name.size() && strncasecmp(key.data(), name.data(), name.size()) == 0)
@@ -261,17 +263,17 @@
     const unsigned flags = static_cast<unsigned>(MHD_USE_EPOLL_INTERNAL_THREAD)
                            | static_cast<unsigned>(MHD_ALLOW_SUSPEND_RESUME)
                            | static_cast<unsigned>(MHD_USE_ERROR_LOG)
-                           | (address->isSix() ? static_cast<unsigned>(MHD_USE_IPv6) : 0U);
+                           | (address->isIpv6() ? static_cast<unsigned>(MHD_USE_IPv6) : 0U);
     using Self = CallerServerCallbacks;
     m_daemon = MHD_start_daemon(
         flags, 0, &Self::onAccept, this, &Self::onRequest, this, MHD_OPTION_EXTERNAL_LOGGER,
         &Self::onLog, this, MHD_OPTION_SOCK_ADDR, address->get(), MHD_OPTION_THREAD_POOL_SIZE,
         std::max(2U, m_settings.httpThreads), MHD_OPTION_CONNECTION_LIMIT,
         m_settings.maxConnections + kSpareConnections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        m_settings.maxHeaderBytes + kReadBlock, MHD_OPTION_CONNECTION_TIMEOUT, kIdleSeconds,
-        MHD_OPTION_URI_LOG_CALLBACK, &Self::onUri, this, MHD_OPTION_NOTIFY_COMPLETED,
-        &Self::onCompleted, this, MHD_OPTION_NOTIFY_CONNECTION, &Self::onConnection, this,
-        MHD_OPTION_LISTEN_BACKLOG_SIZE, 1024U, MHD_OPTION_END);
+        m_settings.maxHeaderBytes + kReadBlockBytes, MHD_OPTION_CONNECTION_TIMEOUT,
+        kIdleTimeoutSeconds, MHD_OPTION_URI_LOG_CALLBACK, &Self::onUri, this,
+        MHD_OPTION_NOTIFY_COMPLETED, &Self::onRequestCompleted, this, MHD_OPTION_NOTIFY_CONNECTION,
+        &Self::onConnection, this, MHD_OPTION_LISTEN_BACKLOG_SIZE, 1024U, MHD_OPTION_END);
     if (m_daemon == nullptr)
         return false;
     m_watchThread = std::thread([this] {
--- a/src/adapters/http/caller_server.hpp
+++ b/src/adapters/http/caller_server.hpp
@@ -18,7 +18,7 @@
 namespace fordwood::adapters {
 
 // A caller's request, whole.
-struct CallerMessage
+struct CallerRequest
 {
     std::string method;
     std::string path; // with the query, as sent
@@ -36,7 +36,7 @@
     virtual ~CallerHandler() = default;
 
     // Answers at once, or gives the exchange that will hold the answer.
-    virtual std::variant<DirectAnswer, std::shared_ptr<Exchange>> handle(CallerMessage message) = 0;
+    virtual std::variant<DirectAnswer, std::shared_ptr<Exchange>> handle(CallerRequest request) = 0;
 
     // Begins the work of an exchange that handle() gave.
     virtual void submit(const std::shared_ptr<Exchange> &exchange) = 0;
@@ -69,7 +69,7 @@
     // Ends all connections.
     void stop();
 
-    std::size_t connections() const { return m_watch.connections(); }
+    std::size_t connectionCount() const { return m_watch.connectionCount(); }
 
 private:
     friend struct CallerServerCallbacks;
--- a/src/adapters/http/caller_watch.cpp
+++ b/src/adapters/http/caller_watch.cpp
@@ -21,46 +21,46 @@
     : m_clock(clock), m_readTimeout(readTimeout), m_onTimeout(std::move(onTimeout))
 { }
 
-void CallerWatch::opened(Key key, int socket)
+void CallerWatch::addConnection(Key key, int socket)
 {
     const std::lock_guard lock(m_mutex);
     m_connections[key] = Connection{socket, false, m_clock.now(), nullptr};
 }
 
-void CallerWatch::closed(Key key)
+void CallerWatch::removeConnection(Key key)
 {
     const std::lock_guard lock(m_mutex);
     m_connections.erase(key);
 }
 
-void CallerWatch::serving(Key key, std::function<void()> onLeft)
+void CallerWatch::markServing(Key key, std::function<void()> onDisconnect)
 {
     const std::lock_guard lock(m_mutex);
     Connection &connection = m_connections[key];
-    connection.serving = true;
-    connection.onLeft = std::move(onLeft);
+    connection.isServing = true;
+    connection.onDisconnect = std::move(onDisconnect);
 }
 
-void CallerWatch::idle(Key key)
+void CallerWatch::markIdle(Key key)
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_connections.find(key);
     if (it == m_connections.end())
         return;
-    it->second.serving = false;
-    it->second.since = m_clock.now();
-    it->second.onLeft = nullptr;
+    it->second.isServing = false;
+    it->second.idleSince = m_clock.now();
+    it->second.onDisconnect = nullptr;
 }
 
 void CallerWatch::check()
 {
-    closeSlow();
+    closeTimedOut();
     std::vector<pollfd> sockets;
     std::vector<Key> keys;
     {
         const std::lock_guard lock(m_mutex);
         for (const auto &[key, it] : m_connections) {
-            if (!it.onLeft)
+            if (!it.onDisconnect)
                 continue;
             sockets.push_back({it.socket, POLLRDHUP, 0});
             keys.push_back(key);
@@ -68,45 +68,45 @@
     }
     if (sockets.empty() || poll(sockets.data(), sockets.size(), 0) <= 0)
         return;
-    std::vector<std::function<void()>> left;
+    std::vector<std::function<void()>> disconnected;
     {
         const std::lock_guard lock(m_mutex);
         for (std::size_t it = 0; it < sockets.size(); ++it) {
             if ((sockets[it].revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0)
                 continue;
             const auto known = m_connections.find(keys[it]);
-            if (known != m_connections.end() && known->second.onLeft)
-                left.push_back(std::exchange(known->second.onLeft, nullptr));
+            if (known != m_connections.end() && known->second.onDisconnect)
+                disconnected.push_back(std::exchange(known->second.onDisconnect, nullptr));
         }
     }
-    for (const auto &it : left)
+    for (const auto &it : disconnected)
         it();
 }
 
-std::size_t CallerWatch::connections() const
+std::size_t CallerWatch::connectionCount() const
 {
     const std::lock_guard lock(m_mutex);
     return m_connections.size();
 }
 
-void CallerWatch::closeSlow()
+void CallerWatch::closeTimedOut()
 {
     const TimePoint oldest = m_clock.now() - m_readTimeout;
-    int slow = 0;
+    int timedOut = 0;
     {
         // The lock keeps the sockets open: closed() must be called before a socket is closed.
         const std::lock_guard lock(m_mutex);
         for (auto &[key, it] : m_connections) {
-            if (it.serving || it.since > oldest || it.socket < 0)
+            if (it.isServing || it.idleSince > oldest || it.socket < 0)
                 continue;
             send(it.socket, kTimeoutAnswer.data(), kTimeoutAnswer.size(),
                  MSG_DONTWAIT | MSG_NOSIGNAL);
             shutdown(it.socket, SHUT_RDWR);
             it.socket = -1;
-            ++slow;
+            ++timedOut;
         }
     }
-    for (; slow > 0; --slow)
+    for (; timedOut > 0; --timedOut)
         m_onTimeout();
 }
 
--- a/src/adapters/http/caller_watch.hpp
+++ b/src/adapters/http/caller_watch.hpp
@@ -23,30 +23,30 @@
     // `onTimeout` is called for each connection closed for being slow.
     CallerWatch(const Clock &clock, Duration readTimeout, std::function<void()> onTimeout);
 
-    void opened(Key key, int socket);
-    void closed(Key key);
+    void addConnection(Key key, int socket);
+    void removeConnection(Key key);
 
-    // A request is whole and being served; `onLeft` is called once if its caller leaves.
-    void serving(Key key, std::function<void()> onLeft);
+    // A request is whole and being served; `onDisconnect` is called once if its caller leaves.
+    void markServing(Key key, std::function<void()> onDisconnect);
 
     // The answer has been sent: the next request may begin.
-    void idle(Key key);
+    void markIdle(Key key);
 
     // Looks at every connection once.
     void check();
 
-    std::size_t connections() const;
+    std::size_t connectionCount() const;
 
 private:
     struct Connection
     {
         int socket = -1;
-        bool serving = false;
-        TimePoint since{}; // opened, or last answered
-        std::function<void()> onLeft;
+        bool isServing = false;
+        TimePoint idleSince{}; // opened, or last answered
+        std::function<void()> onDisconnect;
     };
 
-    void closeSlow();
+    void closeTimedOut();
 
     const Clock &m_clock;
     Duration m_readTimeout;
--- a/src/adapters/http/exchange.cpp
+++ b/src/adapters/http/exchange.cpp
@@ -16,44 +16,44 @@
 bool Exchange::begin(unsigned attempt, AnswerHead head)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_head || m_refusal || m_abandoned)
+    if (m_head || m_refusal || m_isAbandoned)
         return false;
-    m_inParts = head.stream;
+    m_isChunked = head.isStream;
     m_head = std::move(head);
     m_attempt = attempt;
     return true;
 }
 
-bool Exchange::goOn(unsigned attempt)
+bool Exchange::continueAnswer(unsigned attempt)
 {
     const std::lock_guard lock(m_mutex);
-    if (!m_started || m_finished || m_refusal || m_abandoned)
+    if (!m_isStarted || m_isFinished || m_refusal || m_isAbandoned)
         return false;
     m_attempt = attempt;
     return true;
 }
 
-Exchange::Append Exchange::append(unsigned attempt, std::string_view bytes)
+Exchange::AppendResult Exchange::append(unsigned attempt, std::string_view bytes)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_abandoned || m_refusal || m_finished || attempt != m_attempt)
-        return Append::Gone;
+    if (m_isAbandoned || m_refusal || m_isFinished || attempt != m_attempt)
+        return AppendResult::Closed;
     if (m_bufferRead == m_buffer.size()) {
         m_buffer.clear();
         m_bufferRead = 0;
     }
-    const std::size_t held = m_buffer.size() - m_bufferRead;
-    if (held > 0 && held + bytes.size() > m_bufferBytes) {
+    const std::size_t buffered = m_buffer.size() - m_bufferRead;
+    if (buffered > 0 && buffered + bytes.size() > m_bufferBytes) {
         // An answer too large to be held whole goes out in parts.
-        m_full = true;
-        m_inParts = true;
+        m_isFull = true;
+        m_isChunked = true;
         wakeLocked();
-        return Append::Full;
+        return AppendResult::Full;
     }
     m_buffer.append(bytes);
-    if (m_inParts)
+    if (m_isChunked)
         wakeLocked();
-    return Append::Taken;
+    return AppendResult::Accepted;
 }
 
 void Exchange::finish(unsigned attempt)
@@ -61,7 +61,7 @@
     const std::lock_guard lock(m_mutex);
     if (m_refusal || attempt != m_attempt)
         return;
-    m_finished = true;
+    m_isFinished = true;
     wakeLocked();
 }
 
@@ -69,14 +69,14 @@
 {
     const std::lock_guard lock(m_mutex);
     if (!m_head || attempt != m_attempt)
-        return !m_started;
-    if (m_started)
+        return !m_isStarted;
+    if (m_isStarted)
         return false;
     m_head.reset();
     m_buffer.clear();
     m_bufferRead = 0;
-    m_inParts = false;
-    m_full = false;
+    m_isChunked = false;
+    m_isFull = false;
     return true;
 }
 
@@ -89,14 +89,14 @@
 void Exchange::refuse(const Verdict &verdict)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_finished || m_refusal)
+    if (m_isFinished || m_refusal)
         return;
     m_refusal = verdict;
-    if (!m_started) {
+    if (!m_isStarted) {
         m_head.reset();
         m_buffer.clear();
         m_bufferRead = 0;
-    } else if (m_head->stream) {
+    } else if (m_head->isStream) {
         m_buffer += "\nevent: error\ndata: " + refusalBody(verdict) + "\n\n";
     }
     wakeLocked();
@@ -108,53 +108,53 @@
     m_wake = std::move(wake);
 }
 
-TakenAnswer Exchange::takeAnswer()
+AvailableAnswer Exchange::takeAnswer()
 {
     const std::lock_guard lock(m_mutex);
-    TakenAnswer taken;
-    if (!readableLocked()) {
-        m_sleeping = true;
-        return taken;
+    AvailableAnswer answer;
+    if (!isReadableLocked()) {
+        m_isReaderWaiting = true;
+        return answer;
     }
     if (!m_head) {
-        taken.kind = TakenAnswer::Kind::Refusal;
-        taken.verdict = *m_refusal;
-        return taken;
+        answer.kind = AvailableAnswer::Kind::Refusal;
+        answer.verdict = *m_refusal;
+        return answer;
     }
-    m_started = true;
-    taken.head = *m_head;
-    if (m_finished && !m_inParts) {
-        taken.kind = TakenAnswer::Kind::Whole;
-        taken.body = std::move(m_buffer);
+    m_isStarted = true;
+    answer.head = *m_head;
+    if (m_isFinished && !m_isChunked) {
+        answer.kind = AvailableAnswer::Kind::Complete;
+        answer.body = std::move(m_buffer);
         m_buffer.clear();
-        return taken;
+        return answer;
     }
-    taken.kind = TakenAnswer::Kind::Parts;
-    return taken;
+    answer.kind = AvailableAnswer::Kind::Chunked;
+    return answer;
 }
 
-Exchange::Read Exchange::read(char *target, std::size_t size, std::size_t &taken)
+Exchange::ReadResult Exchange::read(char *target, std::size_t size, std::size_t &count)
 {
     std::function<void()> onSpace;
     {
         const std::lock_guard lock(m_mutex);
-        taken = std::min(size, m_buffer.size() - m_bufferRead);
-        if (taken == 0) {
-            if (m_refusal || m_abandoned)
-                return Read::Broken;
-            if (m_finished)
-                return Read::End;
-            m_sleeping = true;
-            return Read::Wait;
+        count = std::min(size, m_buffer.size() - m_bufferRead);
+        if (count == 0) {
+            if (m_refusal || m_isAbandoned)
+                return ReadResult::Aborted;
+            if (m_isFinished)
+                return ReadResult::End;
+            m_isReaderWaiting = true;
+            return ReadResult::Wait;
         }
-        std::memcpy(target, m_buffer.data() + m_bufferRead, taken);
-        m_bufferRead += taken;
-        if (std::exchange(m_full, false))
+        std::memcpy(target, m_buffer.data() + m_bufferRead, count);
+        m_bufferRead += count;
+        if (std::exchange(m_isFull, false))
             onSpace = m_onSpace;
     }
     if (onSpace)
         onSpace();
-    return Read::Data;
+    return ReadResult::Data;
 }
 
 void Exchange::abandon()
@@ -162,9 +162,9 @@
     std::function<void()> onSpace;
     {
         const std::lock_guard lock(m_mutex);
-        m_abandoned = true;
+        m_isAbandoned = true;
         m_wake = nullptr;
-        if (std::exchange(m_full, false))
+        if (std::exchange(m_isFull, false))
             onSpace = m_onSpace;
     }
     if (onSpace)
@@ -173,17 +173,17 @@
 
 void Exchange::wakeLocked()
 {
-    if (!m_sleeping || !m_wake)
+    if (!m_isReaderWaiting || !m_wake)
         return;
-    m_sleeping = false;
+    m_isReaderWaiting = false;
     m_wake();
 }
 
-bool Exchange::readableLocked() const
+bool Exchange::isReadableLocked() const
 {
-    if (m_refusal || m_finished)
+    if (m_refusal || m_isFinished)
         return true;
-    return m_head && m_inParts && m_bufferRead < m_buffer.size();
+    return m_head && m_isChunked && m_bufferRead < m_buffer.size();
 }
 
 std::string refusalBody(const Verdict &verdict)
--- a/src/adapters/http/exchange.hpp
+++ b/src/adapters/http/exchange.hpp
@@ -26,7 +26,7 @@
     Headers headers;
     std::string body;
     std::string weightVersion; // that the headers and the salt in the body speak of; empty: none
-    std::size_t saltBegin = 0; // of the salt in the body
+    std::size_t saltOffset = 0; // of the salt in the body
     std::size_t saltLength = 0;
 };
 
@@ -35,14 +35,14 @@
 {
     int status = 200;
     Headers headers;
-    bool stream = false; // server-sent events: passed on as they come
+    bool isStream = false; // server-sent events: passed on as they come
 };
 
 // What the caller's thread finds when it looks for an answer.
-struct TakenAnswer
+struct AvailableAnswer
 {
-    enum class Kind { Nothing, Refusal, Whole, Parts };
-    Kind kind = Kind::Nothing;
+    enum class Kind { None, Refusal, Complete, Chunked };
+    Kind kind = Kind::None;
     Verdict verdict; // of a refusal
     AnswerHead head; // of an answer
     std::string body; // of a whole answer; one in parts is read with read()
@@ -54,8 +54,8 @@
 class Exchange
 {
 public:
-    enum class Append { Taken, Full, Gone };
-    enum class Read { Data, Wait, End, Broken };
+    enum class AppendResult { Accepted, Full, Closed };
+    enum class ReadResult { Data, Wait, End, Aborted };
 
     // `bufferBytes`: how much of an answer is held before its upstream is held back.
     Exchange(CallId id, UpstreamRequest request, std::size_t bufferBytes);
@@ -73,10 +73,10 @@
 
     // Lets another attempt go on with an answer that the caller has a part of. False when there is
     // none to go on with.
-    bool goOn(unsigned attempt);
+    bool continueAnswer(unsigned attempt);
 
     // Adds bytes of the answer. Full: nothing was taken, try again after `onSpace` was called.
-    Append append(unsigned attempt, std::string_view bytes);
+    AppendResult append(unsigned attempt, std::string_view bytes);
 
     // The answer is whole.
     void finish(unsigned attempt);
@@ -100,17 +100,17 @@
     void setWake(std::function<void()> wake);
 
     // Takes the answer or the refusal. With Nothing the thread must wait to be woken.
-    TakenAnswer takeAnswer();
+    AvailableAnswer takeAnswer();
 
     // Reads bytes of an answer in parts. With Wait the thread must wait to be woken.
-    Read read(char *target, std::size_t size, std::size_t &taken);
+    ReadResult read(char *target, std::size_t size, std::size_t &count);
 
     // The caller is gone, or has its answer: nothing is read any more.
     void abandon();
 
 private:
     void wakeLocked();
-    bool readableLocked() const;
+    bool isReadableLocked() const;
 
     const CallId m_id;
     UpstreamRequest m_request;
@@ -122,12 +122,12 @@
     unsigned m_attempt = 0; // that answers
     std::string m_buffer;
     std::size_t m_bufferRead = 0;
-    bool m_inParts = false; // passed on as it comes
-    bool m_started = false; // the caller's thread has taken the head
-    bool m_finished = false;
-    bool m_abandoned = false;
-    bool m_sleeping = false;
-    bool m_full = false;
+    bool m_isChunked = false; // passed on as it comes
+    bool m_isStarted = false; // the caller's thread has taken the head
+    bool m_isFinished = false;
+    bool m_isAbandoned = false;
+    bool m_isReaderWaiting = false;
+    bool m_isFull = false;
     std::function<void()> m_wake;
     std::function<void()> m_onSpace;
 };
--- a/src/adapters/http/http_get.cpp
+++ b/src/adapters/http/http_get.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-std::size_t append(char *data, std::size_t size, std::size_t n, void *target)
+std::size_t appendBody(char *data, std::size_t size, std::size_t n, void *target)
 {
     static_cast<std::string *>(target)->append(data, size * n);
     return size * n;
 }
 
-std::size_t takeTag(char *data, std::size_t size, std::size_t n, void *target)
+std::size_t storeEtag(char *data, std::size_t size, std::size_t n, void *target)
 {
     constexpr std::string_view kName = "etag: ";
     std::string_view line(data, size * n);
@@ -50,7 +50,7 @@
     curl_easy_setopt(easy.get(), CURLOPT_PROXY, "");
     curl_easy_setopt(easy.get(), CURLOPT_TIMEOUT_MS, std::max<long>(1, ms));
     curl_easy_setopt(easy.get(), CURLOPT_FAILONERROR, 1L);
-    curl_easy_setopt(easy.get(), CURLOPT_WRITEFUNCTION, append);
+    curl_easy_setopt(easy.get(), CURLOPT_WRITEFUNCTION, appendBody);
     curl_easy_setopt(easy.get(), CURLOPT_WRITEDATA, &body);
     return easy;
 }
@@ -73,21 +73,21 @@
 }
 
 tl::expected<HttpDocument, std::string> httpGet(const std::string &url, Duration timeout,
-                                                const std::string &tag)
+                                                const std::string &etag)
 {
     constexpr long kNotModified = 304;
     HttpDocument document;
     const Handle easy = openHandle(url, timeout, document.body);
-    const HeaderList headers = headerList(tag.empty() ? "" : "If-None-Match: " + tag);
+    const HeaderList headers = headerList(etag.empty() ? "" : "If-None-Match: " + etag);
     curl_easy_setopt(easy.get(), CURLOPT_HTTPHEADER, headers.get());
-    curl_easy_setopt(easy.get(), CURLOPT_HEADERFUNCTION, takeTag);
-    curl_easy_setopt(easy.get(), CURLOPT_HEADERDATA, &document.tag);
+    curl_easy_setopt(easy.get(), CURLOPT_HEADERFUNCTION, storeEtag);
+    curl_easy_setopt(easy.get(), CURLOPT_HEADERDATA, &document.etag);
     const CURLcode ec = curl_easy_perform(easy.get());
     if (ec != CURLE_OK)
         return tl::make_unexpected(url + ": " + curl_easy_strerror(ec));
     long status = 0;
     curl_easy_getinfo(easy.get(), CURLINFO_RESPONSE_CODE, &status);
-    document.unchanged = status == kNotModified;
+    document.isUnchanged = status == kNotModified;
     return document;
 }
 
--- a/src/adapters/http/http_get.hpp
+++ b/src/adapters/http/http_get.hpp
@@ -14,8 +14,8 @@
 struct HttpDocument
 {
     std::string body;
-    std::string tag; // the server's ETag; empty when it gave none
-    bool unchanged = false; // it is still the one of the tag that was sent
+    std::string etag; // the server's ETag; empty when it gave none
+    bool isUnchanged = false; // it is still the one of the tag that was sent
 };
 
 // Sends a JSON document by POST; blocks for `timeout` at most. Gives the answer's body, or as error
@@ -26,7 +26,7 @@
 // Fetches a document; blocks for `timeout` at most. With the tag of an earlier fetch the server may
 // answer that nothing has changed. The error is a text.
 tl::expected<HttpDocument, std::string> httpGet(const std::string &url, Duration timeout,
-                                                const std::string &tag = {});
+                                                const std::string &etag = {});
 
 } // namespace fordwood::adapters
 
--- a/src/adapters/http/socket_address.hpp
+++ b/src/adapters/http/socket_address.hpp
@@ -14,7 +14,7 @@
 {
     sockaddr_storage storage{};
 
-    bool isSix() const { return storage.ss_family == AF_INET6; }
+    bool isIpv6() const { return storage.ss_family == AF_INET6; }
     const sockaddr *get() const { return reinterpret_cast<const sockaddr *>(&storage); }
 };
 
--- a/src/adapters/http/upstream_client.cpp
+++ b/src/adapters/http/upstream_client.cpp
@@ -15,21 +15,21 @@
 
 namespace {
 
-constexpr int kLongestWaitMs = 1000;
-constexpr int kEventsAtOnce = 64;
+constexpr int kMaxWaitMs = 1000;
+constexpr int kMaxEventsPerWait = 64;
 constexpr long kConnectTimeoutMs = 1000;
 constexpr long kIdleConnections = 1024;
-constexpr std::string_view kStreamEnd = "data: [DONE]";
-constexpr std::string_view kData = "data:";
+constexpr std::string_view kStreamEndEvent = "data: [DONE]";
+constexpr std::string_view kDataField = "data:";
 constexpr std::array<std::string_view, 2> kEventEnds{"\n\n", "\r\n\r\n"};
-constexpr std::size_t kMostEventBytes = 1 << 20;
+constexpr std::size_t kMaxEventBytes = 1 << 20;
 constexpr long kOk = 200;
-constexpr long kFirstFailure = 400;
+constexpr long kFirstErrorStatus = 400;
 constexpr long kUnavailable = 503;
 constexpr std::size_t kTailBytes = 64;
-constexpr std::size_t kMostKeptBytes = 16'384;
+constexpr std::size_t kMaxStoredBytes = 16'384;
 
-std::string lower(std::string_view text)
+std::string toLower(std::string_view text)
 {
     std::string result(text);
     std::transform(result.begin(), result.end(), result.begin(),
@@ -74,7 +74,7 @@
     {
         const UpstreamRequest &request = m_attempt.exchange->request();
         const std::string url = "http://" + m_attempt.send.address + request.path;
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+        const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
             m_attempt.send.deadline - m_client.m_clock.now());
         curl_easy_setopt(m_easy, CURLOPT_URL, url.c_str());
         curl_easy_setopt(m_easy, CURLOPT_PATH_AS_IS, 1L);
@@ -83,7 +83,7 @@
         curl_easy_setopt(m_easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
         curl_easy_setopt(m_easy, CURLOPT_TCP_NODELAY, 1L);
         curl_easy_setopt(m_easy, CURLOPT_CONNECTTIMEOUT_MS, kConnectTimeoutMs);
-        curl_easy_setopt(m_easy, CURLOPT_TIMEOUT_MS, std::max<long>(1, left.count()));
+        curl_easy_setopt(m_easy, CURLOPT_TIMEOUT_MS, std::max<long>(1, remaining.count()));
         curl_easy_setopt(m_easy, CURLOPT_CUSTOMREQUEST, request.method.c_str());
         if (request.method != "GET" || !request.body.empty()) {
             curl_easy_setopt(m_easy, CURLOPT_POSTFIELDS, request.body.data());
@@ -105,7 +105,7 @@
 
     void resume()
     {
-        if (std::exchange(m_paused, false))
+        if (std::exchange(m_isPaused, false))
             curl_easy_pause(m_easy, CURLPAUSE_CONT);
     }
 
@@ -114,15 +114,15 @@
     {
         const auto [call, attempt] = key();
         Exchange &exchange = *m_attempt.exchange;
-        if (ec == CURLE_OK && !m_failure && beginAnswer() && passRest() && wholeStream()) {
+        if (ec == CURLE_OK && !m_failure && beginAnswer() && forwardRest() && isStreamComplete()) {
             exchange.finish(attempt);
-            return m_client.m_listener.attemptFinished(call, attempt, m_cost, keptAnswer());
+            return m_client.m_listener.attemptFinished(call, attempt, m_cost, storedAnswer());
         }
         AttemptFailure failure = m_failure ? *m_failure : failureOf(ec);
         failure.answerBegun = !exchange.discard(attempt);
         const auto resumed = m_attempt.send.resumeFrom;
-        if (failure.answerBegun && m_inEvents && (m_head.stream || resumed))
-            failure.passedEvents = resumed.value_or(0) + m_passedEvents;
+        if (failure.answerBegun && m_forwardsWholeEvents && (m_head.isStream || resumed))
+            failure.passedEvents = resumed.value_or(0) + m_forwardedEvents;
         m_client.m_listener.attemptFailed(call, attempt, failure);
     }
 
@@ -151,17 +151,17 @@
 
     static std::size_t onHeader(char *data, std::size_t size, std::size_t n, void *self)
     {
-        static_cast<Transfer *>(self)->takeHeader(std::string_view(data, size * n));
+        static_cast<Transfer *>(self)->parseHeader(std::string_view(data, size * n));
         return size * n;
     }
 
-    void takeHeader(std::string_view line)
+    void parseHeader(std::string_view line)
     {
         while (!line.empty() && (line.back() == '\r' || line.back() == '\n'))
             line.remove_suffix(1);
         if (line.rfind("HTTP/", 0) == 0) {
             m_head = AnswerHead{}; // a new head, after an interim one
-            m_notRun = false;
+            m_isNotRun = false;
             m_limit = ParsedLimit{};
             m_isDraining = false;
             m_backoff = ParsedBackoff{};
@@ -170,14 +170,14 @@
         const std::size_t colon = line.find(':');
         if (colon == std::string_view::npos)
             return;
-        const std::string name = lower(line.substr(0, colon));
+        const std::string name = toLower(line.substr(0, colon));
         std::string_view value = line.substr(colon + 1);
         while (!value.empty() && value.front() == ' ')
             value.remove_prefix(1);
         if (name == "x-request-not-run")
-            m_notRun = value == "true";
+            m_isNotRun = value == "true";
         else if (name == "x-version-mismatch")
-            m_versionMismatch = value == "true";
+            m_isVersionMismatch = value == "true";
         else if (name == "x-requests-per-second")
             addLimitField(value, m_limit);
         else if (name == "x-draining")
@@ -189,33 +189,34 @@
         else if (name.rfind("fordwood-", 0) != 0 && !isHopByHop(name))
             m_head.headers.emplace_back(line.substr(0, colon), value);
         if (name == "content-type")
-            m_head.stream = lower(value).rfind("text/event-stream", 0) == 0;
+            m_head.isStream = toLower(value).rfind("text/event-stream", 0) == 0;
     }
 
     static std::size_t onBody(char *data, std::size_t size, std::size_t n, void *self)
     {
-        return static_cast<Transfer *>(self)->takeBody(std::string_view(data, size * n));
+        return static_cast<Transfer *>(self)->handleBody(std::string_view(data, size * n));
     }
 
-    std::size_t takeBody(std::string_view bytes)
+    std::size_t handleBody(std::string_view bytes)
     {
         constexpr std::size_t kAbort = 0;
         if (!beginAnswer())
             return m_failure && m_failure->reason != Reason::CallerLeft ? bytes.size() : kAbort;
         // Of a stream only whole events are passed on, so that another engine can go on after them.
-        const std::string joined = m_partEvent.empty() ? "" : m_partEvent + std::string(bytes);
+        const std::string joined
+            = m_partialEvent.empty() ? "" : m_partialEvent + std::string(bytes);
         const std::string_view all = joined.empty() ? bytes : std::string_view(joined);
-        m_inEvents = m_inEvents && all.size() <= kMostEventBytes;
-        const bool byEvents = m_head.stream && m_inEvents;
-        const std::string_view whole = byEvents ? all.substr(0, endOfEvents(all)) : all;
-        switch (pass(whole)) {
-        case Exchange::Append::Taken:
-            m_partEvent = std::string(all.substr(whole.size()));
+        m_forwardsWholeEvents = m_forwardsWholeEvents && all.size() <= kMaxEventBytes;
+        const bool byEvents = m_head.isStream && m_forwardsWholeEvents;
+        const std::string_view complete = byEvents ? all.substr(0, endOfEvents(all)) : all;
+        switch (forward(complete)) {
+        case Exchange::AppendResult::Accepted:
+            m_partialEvent = std::string(all.substr(complete.size()));
             return bytes.size();
-        case Exchange::Append::Full:
-            m_paused = true;
+        case Exchange::AppendResult::Full:
+            m_isPaused = true;
             return CURL_WRITEFUNC_PAUSE;
-        case Exchange::Append::Gone:
+        case Exchange::AppendResult::Closed:
             break;
         }
         return kAbort;
@@ -232,29 +233,31 @@
         return end;
     }
 
-    Exchange::Append pass(std::string_view bytes)
+    Exchange::AppendResult forward(std::string_view bytes)
     {
-        auto result = bytes.empty() || m_detached ? Exchange::Append::Taken
-                                                  : m_attempt.exchange->append(key().second, bytes);
-        if (result == Exchange::Append::Gone && m_attempt.send.keepAnswer) {
-            m_detached = true;
-            result = Exchange::Append::Taken;
+        auto result = bytes.empty() || m_isDetached
+                          ? Exchange::AppendResult::Accepted
+                          : m_attempt.exchange->append(key().second, bytes);
+        if (result == Exchange::AppendResult::Closed && m_attempt.send.keepAnswer) {
+            m_isDetached = true;
+            result = Exchange::AppendResult::Accepted;
         }
-        if (result != Exchange::Append::Taken)
+        if (result != Exchange::AppendResult::Accepted)
             return result;
-        if (m_head.stream)
+        if (m_head.isStream)
             countEvents(bytes);
-        keepTail(bytes);
-        if (m_attempt.send.keepAnswer && m_kept.size() <= kMostKeptBytes)
-            m_kept.append(bytes);
+        appendTail(bytes);
+        if (m_attempt.send.keepAnswer && m_storedBody.size() <= kMaxStoredBytes)
+            m_storedBody.append(bytes);
         return result;
     }
 
     void countEvents(std::string_view events)
     {
         while (!events.empty()) {
-            const bool isContent = events.rfind(kData, 0) == 0 && events.rfind(kStreamEnd, 0) != 0;
-            m_passedEvents += isContent ? 1 : 0;
+            const bool isContent
+                = events.rfind(kDataField, 0) == 0 && events.rfind(kStreamEndEvent, 0) != 0;
+            m_forwardedEvents += isContent ? 1 : 0;
             events.remove_prefix(endOfFirst(events));
         }
     }
@@ -271,22 +274,26 @@
     }
 
     // What came after the last whole event, at the end of an answer.
-    bool passRest() { return m_partEvent.empty() || pass(m_partEvent) == Exchange::Append::Taken; }
+    bool forwardRest()
+    {
+        return m_partialEvent.empty()
+               || forward(m_partialEvent) == Exchange::AppendResult::Accepted;
+    }
 
     // The answer, if it is to be kept and short enough.
-    StoredAnswer keptAnswer() const
+    StoredAnswer storedAnswer() const
     {
-        if (!m_attempt.send.keepAnswer || m_kept.size() > kMostKeptBytes)
+        if (!m_attempt.send.keepAnswer || m_storedBody.size() > kMaxStoredBytes)
             return {};
-        StoredAnswer answer{m_head.status, "", m_kept};
+        StoredAnswer answer{m_head.status, "", m_storedBody};
         for (const auto &[name, value] : m_head.headers) {
-            if (lower(name) == "content-type")
+            if (toLower(name) == "content-type")
                 answer.contentType = value;
         }
         return answer;
     }
 
-    void keepTail(std::string_view bytes)
+    void appendTail(std::string_view bytes)
     {
         m_tail.append(bytes.substr(bytes.size() - std::min(bytes.size(), kTailBytes)));
         if (m_tail.size() > kTailBytes)
@@ -296,62 +303,63 @@
     // Decides, once the head is whole, whether this is an answer to pass on.
     bool beginAnswer()
     {
-        if (m_begun || m_failure)
-            return m_begun;
+        if (m_isAnswerBegun || m_failure)
+            return m_isAnswerBegun;
         long status = 0;
         curl_easy_getinfo(m_easy, CURLINFO_RESPONSE_CODE, &status);
         m_head.status = static_cast<int>(status);
-        tellLimit(status);
-        tellNotice(status);
+        reportLimit(status);
+        reportNotice(status);
         const std::string detail = "The upstream answered " + std::to_string(status) + ".";
-        if (m_notRun && status >= 400) {
+        if (m_isNotRun && status >= 400) {
             const Reason reason
-                = m_versionMismatch ? Reason::VersionMismatch : Reason::UpstreamPushback;
+                = m_isVersionMismatch ? Reason::VersionMismatch : Reason::UpstreamPushback;
             m_failure = AttemptFailure{RunState::NotRun, reason, detail, false};
         } else if (isGatewayError(status)) {
             m_failure = AttemptFailure{RunState::MayHaveRun, Reason::UpstreamBroke, detail, false};
         } else if (m_attempt.send.resumeFrom) {
-            m_begun = status == kOk && m_head.stream && m_attempt.exchange->goOn(key().second);
-            if (!m_begun)
+            m_isAnswerBegun = status == kOk && m_head.isStream
+                              && m_attempt.exchange->continueAnswer(key().second);
+            if (!m_isAnswerBegun)
                 m_failure
                     = AttemptFailure{RunState::MayHaveRun, Reason::AnswerCut, detail, false, {}};
         } else if (m_attempt.exchange->begin(key().second, m_head)) {
-            m_begun = true;
+            m_isAnswerBegun = true;
         } else if (m_attempt.send.keepAnswer) {
-            m_begun = true;
-            m_detached = true;
+            m_isAnswerBegun = true;
+            m_isDetached = true;
         } else {
             m_failure = AttemptFailure{RunState::MayHaveRun, Reason::CallerLeft, "", false};
         }
-        return m_begun;
+        return m_isAnswerBegun;
     }
 
     // While no answer has named a limit there is none to be lifted: the dispatch thread need not
     // hear of each answer.
-    void tellLimit(long status)
+    void reportLimit(long status)
     {
         const bool isNamed = m_limit.perSecond || m_limit.isUnreadable;
         m_client.m_hasReadLimit = m_client.m_hasReadLimit || isNamed;
         // A failure that something on the way has made up names no limit, and lifts none.
-        if (m_client.m_hasReadLimit && (isNamed || status < kFirstFailure))
+        if (m_client.m_hasReadLimit && (isNamed || status < kFirstErrorStatus))
             m_client.m_listener.limitRead(key().first, key().second, m_limit);
     }
 
-    void tellNotice(long status)
+    void reportNotice(long status)
     {
         UpstreamNotice notice;
         notice.isDraining = m_isDraining;
-        if (status == kUnavailable && m_notRun)
+        if (status == kUnavailable && m_isNotRun)
             notice.backoff = m_backoff.length;
         if (notice.isDraining || notice.backoff)
             m_client.m_listener.noticeRead(key().first, key().second, notice);
     }
 
     // A stream of events is whole only with its closing event.
-    bool wholeStream() const
+    bool isStreamComplete() const
     {
-        return !m_head.stream || m_head.status >= 400
-               || m_tail.find(kStreamEnd) != std::string::npos;
+        return !m_head.isStream || m_head.status >= 400
+               || m_tail.find(kStreamEndEvent) != std::string::npos;
     }
 
     AttemptFailure failureOf(CURLcode ec) const
@@ -365,8 +373,8 @@
             return {RunState::NotRun, Reason::ConnectFailed, detail, false};
         if (ec == CURLE_OPERATION_TIMEDOUT)
             return {RunState::MayHaveRun, Reason::UpstreamTimeout, detail, false};
-        return {RunState::MayHaveRun, m_begun ? Reason::AnswerCut : Reason::UpstreamBroke, detail,
-                false};
+        return {RunState::MayHaveRun, m_isAnswerBegun ? Reason::AnswerCut : Reason::UpstreamBroke,
+                detail, false};
     }
 
     UpstreamClient &m_client;
@@ -374,26 +382,26 @@
     CURL *m_easy;
     curl_slist *m_headerList = nullptr;
     AnswerHead m_head;
-    std::string m_kept;
+    std::string m_storedBody;
     std::string m_tail; // last bytes of the answer
-    std::string m_partEvent; // of a stream, not passed on yet
-    std::uint64_t m_passedEvents = 0;
-    bool m_inEvents = true; // a stream has been passed on in whole events only
+    std::string m_partialEvent; // of a stream, not passed on yet
+    std::uint64_t m_forwardedEvents = 0;
+    bool m_forwardsWholeEvents = true; // a stream has been passed on in whole events only
     std::optional<AttemptFailure> m_failure;
     double m_cost = 0.0;
-    bool m_notRun = false;
+    bool m_isNotRun = false;
     ParsedLimit m_limit;
     bool m_isDraining = false;
     ParsedBackoff m_backoff;
-    bool m_versionMismatch = false;
-    bool m_begun = false;
-    bool m_detached = false; // the caller has left, the answer is taken to be kept
-    bool m_paused = false;
+    bool m_isVersionMismatch = false;
+    bool m_isAnswerBegun = false;
+    bool m_isDetached = false; // the caller has left, the answer is taken to be kept
+    bool m_isPaused = false;
 };
 
 UpstreamClient::UpstreamClient(const Clock &clock, UpstreamListener &listener, std::size_t ringSize)
     : m_clock(clock), m_listener(listener), m_sends(ringSize), m_cancels(ringSize),
-      m_spaces(ringSize), m_multi(curl_multi_init()), m_epoll(epoll_create1(EPOLL_CLOEXEC)),
+      m_freedSpaces(ringSize), m_multi(curl_multi_init()), m_epoll(epoll_create1(EPOLL_CLOEXEC)),
       m_wakeup(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))
 {
     curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, kIdleConnections);
@@ -411,7 +419,7 @@
 UpstreamClient::~UpstreamClient()
 {
     while (!m_transfers.empty())
-        drop(m_transfers.begin()->first);
+        removeTransfer(m_transfers.begin()->first);
     curl_multi_cleanup(m_multi);
     close(m_epoll);
     close(m_wakeup);
@@ -448,8 +456,8 @@
 
 void UpstreamClient::handleEvents(int timeoutMs)
 {
-    std::array<epoll_event, kEventsAtOnce> events{};
-    const int n = epoll_wait(m_epoll, events.data(), kEventsAtOnce, timeoutMs);
+    std::array<epoll_event, kMaxEventsPerWait> events{};
+    const int n = epoll_wait(m_epoll, events.data(), kMaxEventsPerWait, timeoutMs);
     int running = 0;
     for (int it = 0; it < n; ++it) {
         const epoll_event &event = events[static_cast<std::size_t>(it)];
@@ -472,9 +480,9 @@
 int UpstreamClient::timeoutMs() const
 {
     if (!m_timer)
-        return kLongestWaitMs;
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(*m_timer - m_clock.now());
-    return static_cast<int>(std::clamp<std::int64_t>(left.count(), 0, kLongestWaitMs));
+        return kMaxWaitMs;
+    const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(*m_timer - m_clock.now());
+    return static_cast<int>(std::clamp<std::int64_t>(remaining.count(), 0, kMaxWaitMs));
 }
 
 void UpstreamClient::wake() const
@@ -485,24 +493,24 @@
 
 bool UpstreamClient::send(UpstreamAttempt attempt)
 {
-    const bool taken = m_sends.tryPush(std::move(attempt));
+    const bool isQueued = m_sends.tryPush(std::move(attempt));
     wake();
-    return taken;
+    return isQueued;
 }
 
 bool UpstreamClient::cancel(const CancelAttempt &cancel)
 {
-    const bool taken = m_cancels.tryPush(cancel);
+    const bool isQueued = m_cancels.tryPush(cancel);
     wake();
-    return taken;
+    return isQueued;
 }
 
 void UpstreamClient::run()
 {
     while (!m_stopping) {
-        takeCommands();
+        processCommands();
         handleEvents(timeoutMs());
-        takeResults();
+        processResults();
     }
 }
 
@@ -512,13 +520,13 @@
     wake();
 }
 
-void UpstreamClient::takeCommands()
+void UpstreamClient::processCommands()
 {
     while (auto it = m_sends.tryPop())
         start(std::move(*it));
     while (const auto it = m_cancels.tryPop())
-        drop({it->call, it->attempt});
-    while (const auto it = m_spaces.tryPop()) {
+        removeTransfer({it->call, it->attempt});
+    while (const auto it = m_freedSpaces.tryPop()) {
         const auto transfer = m_transfers.find({it->call, it->attempt});
         if (transfer != m_transfers.end())
             transfer->second->resume();
@@ -527,21 +535,21 @@
 
 void UpstreamClient::start(UpstreamAttempt attempt)
 {
-    const bool late = m_clock.now() > attempt.send.sendBy;
-    const Space wakeup{attempt.send.call, attempt.send.attempt};
+    const bool isLate = m_clock.now() > attempt.send.sendBy;
+    const FreedSpace wakeup{attempt.send.call, attempt.send.attempt};
     attempt.exchange->setOnSpace([this, wakeup] {
-        m_spaces.tryPush(wakeup);
+        m_freedSpaces.tryPush(wakeup);
         wake();
     });
     auto transfer = std::make_unique<Transfer>(*this, std::move(attempt));
-    if (late)
+    if (isLate)
         return transfer->reportExpired();
     transfer->prepare();
     curl_multi_add_handle(m_multi, transfer->easy());
     m_transfers.emplace(transfer->key(), std::move(transfer));
 }
 
-void UpstreamClient::drop(const Key &key)
+void UpstreamClient::removeTransfer(const Key &key)
 {
     const auto it = m_transfers.find(key);
     if (it == m_transfers.end())
@@ -550,18 +558,18 @@
     m_transfers.erase(it);
 }
 
-void UpstreamClient::takeResults()
+void UpstreamClient::processResults()
 {
-    int left = 0;
-    while (const CURLMsg *message = curl_multi_info_read(m_multi, &left)) {
+    int remaining = 0;
+    while (const CURLMsg *message = curl_multi_info_read(m_multi, &remaining)) {
         if (message->msg != CURLMSG_DONE)
             continue;
         const CURLcode ec = message->data.result;
-        char *own = nullptr;
-        curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &own);
-        auto *transfer = reinterpret_cast<Transfer *>(own);
+        char *transferPointer = nullptr;
+        curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &transferPointer);
+        auto *transfer = reinterpret_cast<Transfer *>(transferPointer);
         transfer->report(ec);
-        drop(transfer->key());
+        removeTransfer(transfer->key());
     }
 }
 
--- a/src/adapters/http/upstream_client.hpp
+++ b/src/adapters/http/upstream_client.hpp
@@ -60,7 +60,7 @@
 
 private:
     class Transfer;
-    struct Space // a transfer whose answer has space again
+    struct FreedSpace // a transfer whose answer has space again
     {
         CallId call;
         unsigned attempt;
@@ -74,16 +74,16 @@
     int timeoutMs() const;
     void wake() const;
 
-    void takeCommands();
+    void processCommands();
     void start(UpstreamAttempt attempt);
-    void drop(const Key &key);
-    void takeResults();
+    void removeTransfer(const Key &key);
+    void processResults();
 
     const Clock &m_clock;
     UpstreamListener &m_listener;
     BoundedRing<UpstreamAttempt> m_sends;
     BoundedRing<CancelAttempt> m_cancels;
-    BoundedRing<Space> m_spaces;
+    BoundedRing<FreedSpace> m_freedSpaces;
     CURLM *m_multi;
     int m_epoll; // all sockets of the transfers, and the wake-up
     int m_wakeup; // an eventfd that other threads write
--- a/src/adapters/observe/event_log.cpp
+++ b/src/adapters/observe/event_log.cpp
@@ -36,7 +36,7 @@
 std::string programName; // NOLINT: set once at start, before any other thread
 bool jsonLines = false; // NOLINT: likewise
 
-const EventInfo &infoOf(Event event)
+const EventInfo &findInfo(Event event)
 {
     for (const EventInfo &it : kEvents) {
         if (it.event == event)
@@ -58,7 +58,7 @@
     return "error";
 }
 
-std::string asJson(const EventInfo &info, std::initializer_list<EventField> fields)
+std::string formatJson(const EventInfo &info, std::initializer_list<EventField> fields)
 {
     nlohmann::json line{{"event", static_cast<int>(info.event)},
                         {"name", info.name},
@@ -70,7 +70,7 @@
     return line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-std::string asText(const EventInfo &info, std::initializer_list<EventField> fields)
+std::string formatText(const EventInfo &info, std::initializer_list<EventField> fields)
 {
     std::ostringstream out;
     out << "event=" << static_cast<int>(info.event) << " name=" << info.name
@@ -83,9 +83,9 @@
     return out.str();
 }
 
-std::string lineOf(const EventInfo &info, std::initializer_list<EventField> fields)
+std::string formatLine(const EventInfo &info, std::initializer_list<EventField> fields)
 {
-    return jsonLines ? asJson(info, fields) : asText(info, fields);
+    return jsonLines ? formatJson(info, fields) : formatText(info, fields);
 }
 
 void writeLine(EventLevel level, const std::string &line)
@@ -107,7 +107,7 @@
 class LogThread
 {
 public:
-    LogThread() : m_lines(kMostWaiting), m_thread([this] { run(); }) { }
+    LogThread() : m_lines(kMaxPendingLines), m_thread([this] { run(); }) { }
     LogThread(const LogThread &) = delete;
     LogThread &operator=(const LogThread &) = delete;
     ~LogThread()
@@ -120,13 +120,13 @@
 
 private:
     // A busy node writes some hundred lines a second; more than this wait only in a storm.
-    static constexpr std::size_t kMostWaiting = 4'096;
-    static constexpr std::chrono::milliseconds kBatchEvery{50};
+    static constexpr std::size_t kMaxPendingLines = 4'096;
+    static constexpr std::chrono::milliseconds kBatchPeriod{50};
 
     void run()
     {
         while (!m_stopping.load()) {
-            std::this_thread::sleep_for(kBatchEvery);
+            std::this_thread::sleep_for(kBatchPeriod);
             writeAll();
         }
         writeAll();
@@ -137,8 +137,8 @@
         const std::uint64_t dropped
             = m_lines.drain([](const LogQueue::Line &it) { writeLine(it.level, it.text); });
         if (dropped > 0) {
-            const EventInfo &info = infoOf(Event::LogLinesDropped);
-            writeLine(info.level, lineOf(info, {{"lines", dropped}}));
+            const EventInfo &info = findInfo(Event::LogLinesDropped);
+            writeLine(info.level, formatLine(info, {{"lines", dropped}}));
         }
     }
 
@@ -191,8 +191,8 @@
 
 void logEvent(Event event, std::initializer_list<EventField> fields)
 {
-    const EventInfo &info = infoOf(event);
-    std::string line = lineOf(info, fields);
+    const EventInfo &info = findInfo(event);
+    std::string line = formatLine(info, fields);
     if (logThread)
         logThread->push(info.level, std::move(line));
     else
--- a/src/adapters/observe/limit_log.cpp
+++ b/src/adapters/observe/limit_log.cpp
@@ -18,20 +18,20 @@
 
 } // namespace
 
-void LimitLog::changed(const LimitChange &change, std::string_view source,
-                       std::optional<double> ownPart)
+void LimitLog::logChange(const LimitChange &change, std::string_view source,
+                         std::optional<double> ownRate)
 {
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(change.age);
     logEvent(eventOf(change), {{"upstream", change.instanceId},
                                {"per_second", change.now.value_or(0.0)},
                                {"before", change.before.value_or(0.0)},
                                {"belief", change.version},
-                               {"own_part", ownPart.value_or(0.0)},
+                               {"own_part", ownRate.value_or(0.0)},
                                {"source", std::string(source)},
                                {"age_ms", age.count()}});
 }
 
-void LimitLog::unreadable(const std::string &instanceId, const std::string &requestId)
+void LimitLog::logUnreadable(const std::string &instanceId, const std::string &requestId)
 {
     m_metrics.count("fordwood_unreadable_limits_total");
     if (m_unreadable.insert(instanceId).second)
--- a/src/adapters/observe/limit_log.hpp
+++ b/src/adapters/observe/limit_log.hpp
@@ -18,12 +18,13 @@
 public:
     explicit LimitLog(Metrics &metrics) : m_metrics(metrics) { }
 
-    // `source`: the request whose answer said so, or the peer that told it. `ownPart`: what this
+    // `source`: the request whose answer said so, or the peer that told it. `ownRate`: what this
     // node may send now, in requests a second.
-    void changed(const LimitChange &change, std::string_view source, std::optional<double> ownPart);
+    void logChange(const LimitChange &change, std::string_view source,
+                   std::optional<double> ownRate);
 
     // An answer names a limit that is no number. Counted each time, logged once for each life.
-    void unreadable(const std::string &instanceId, const std::string &requestId);
+    void logUnreadable(const std::string &instanceId, const std::string &requestId);
 
     void forget(const std::string &instanceId) { m_unreadable.erase(instanceId); }
 
--- a/src/adapters/observe/metrics.cpp
+++ b/src/adapters/observe/metrics.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-const prometheus::Histogram::BucketBoundaries kSeconds{0.0001, 0.00025, 0.0005, 0.001, 0.0025,
-                                                       0.005,  0.01,    0.025,  0.05,  0.1,
-                                                       0.25,   0.5,     1.0,    2.5,   10.0};
+const prometheus::Histogram::BucketBoundaries kTimeBuckets{0.0001, 0.00025, 0.0005, 0.001, 0.0025,
+                                                           0.005,  0.01,    0.025,  0.05,  0.1,
+                                                           0.25,   0.5,     1.0,    2.5,   10.0};
 
 } // namespace
 
@@ -55,7 +55,7 @@
     prometheus::BuildHistogram()
         .Name(name)
         .Register(*m_registry)
-        .Add({}, kSeconds)
+        .Add({}, kTimeBuckets)
         .Observe(std::chrono::duration<double>(time).count());
 }
 
--- a/src/adapters/platform/etcd_store.cpp
+++ b/src/adapters/platform/etcd_store.cpp
@@ -9,8 +9,8 @@
 
 constexpr int kKeepAliveMs = 10'000;
 constexpr int kKeepAliveTimeoutMs = 3'000;
-constexpr int kReconnectMs = 500;
-constexpr int kMostReceivedBytes = 16 << 20;
+constexpr int kReconnectBackoffMs = 500;
+constexpr int kMaxReceiveBytes = 16 << 20;
 
 void setDeadline(grpc::ClientContext &context, Duration timeout)
 {
@@ -33,7 +33,7 @@
     }
 }
 
-std::string textOf(const grpc::Status &status)
+std::string errorText(const grpc::Status &status)
 {
     return "key-value service: " + status.error_message() + " (code "
            + std::to_string(static_cast<int>(status.error_code())) + ")";
@@ -78,7 +78,7 @@
         const auto &event = response.events(response.events_size() - 1);
         return StoredValue{event.kv().value(), event.kv().mod_revision()};
     }
-    return tl::make_unexpected(StoreError{RunState::NotRun, textOf(m_stream->Finish())});
+    return tl::make_unexpected(StoreError{RunState::NotRun, errorText(m_stream->Finish())});
 }
 
 EtcdStore::EtcdStore(const std::string &address)
@@ -86,9 +86,9 @@
     grpc::ChannelArguments arguments;
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, kKeepAliveMs);
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, kKeepAliveTimeoutMs);
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectMs);
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectMs);
-    arguments.SetMaxReceiveMessageSize(kMostReceivedBytes);
+    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectBackoffMs);
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectBackoffMs);
+    arguments.SetMaxReceiveMessageSize(kMaxReceiveBytes);
     // Retries of the library itself would hide whether a write has run.
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
     m_channel = grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments);
@@ -105,7 +105,7 @@
     etcdserverpb::RangeResponse response;
     const grpc::Status status = m_keyValue->Range(&context, request, &response);
     if (!status.ok())
-        return tl::make_unexpected(StoreError{RunState::NotRun, textOf(status)});
+        return tl::make_unexpected(StoreError{RunState::NotRun, errorText(status)});
     return firstValue(response);
 }
 
@@ -147,9 +147,9 @@
 {
     etcdserverpb::TxnRequest request;
     for (const ConditionalWrite &it : writes) {
-        etcdserverpb::TxnRequest *one = request.add_success()->mutable_request_txn();
-        requireRevision(*one->add_compare(), {it.key, 0, {}});
-        auto *put = one->add_success()->mutable_request_put();
+        etcdserverpb::TxnRequest *transaction = request.add_success()->mutable_request_txn();
+        requireRevision(*transaction->add_compare(), {it.key, 0, {}});
+        auto *put = transaction->add_success()->mutable_request_put();
         put->set_key(it.key);
         put->set_value(it.value);
     }
@@ -172,7 +172,7 @@
     etcdserverpb::TxnResponse response;
     const grpc::Status status = m_keyValue->Txn(&context, request, &response);
     if (!status.ok())
-        return tl::make_unexpected(StoreError{writeState(status), textOf(status)});
+        return tl::make_unexpected(StoreError{writeState(status), errorText(status)});
     return response;
 }
 
--- a/src/apps/controld/control_node.cpp
+++ b/src/apps/controld/control_node.cpp
@@ -83,7 +83,7 @@
     m_replicator.start();
     m_thread = std::thread([this] { run(); });
     // Until the VM list is known, the seeds are the only peers that can be asked.
-    m_links.dial(m_settings.control.seeds);
+    m_links.setOutgoing(m_settings.control.seeds);
     return true;
 }
 
@@ -130,7 +130,7 @@
             nextTick = now + kReplicatorTick;
         }
         if (now >= nextReopen) {
-            m_links.reopen();
+            m_links.reopenBroken();
             nextReopen = now + kReopenLinks;
         }
         for (const ReplicatorAction &it : m_replicator.takeActions())
@@ -213,7 +213,7 @@
         std::vector<std::string> addresses;
         for (const Member &it : keep->peers)
             addresses.push_back(it.controlAddress);
-        m_links.dial(addresses);
+        m_links.setOutgoing(addresses);
     } else if (const auto *reading = std::get_if<SetPlatformReading>(&action)) {
         m_platform.setReading(reading->enabled);
     } else if (const auto *fetch = std::get_if<FetchBlobs>(&action)) {
--- a/src/apps/controld/permit_desk.cpp
+++ b/src/apps/controld/permit_desk.cpp
@@ -78,7 +78,7 @@
     const ClaimAnswer answer = m_keys.claim(holder, adapters::keyOf(command));
     if (answer.decision == ClaimAnswer::Decision::Refuse)
         m_metrics.countRefusal(answer.reason);
-    m_service.sendClaim(holder, command.claim_id(), answer);
+    m_service.sendClaimAnswer(holder, command.claim_id(), answer);
 }
 
 } // namespace fordwood::apps
--- a/src/apps/controld/platform_duty.cpp
+++ b/src/apps/controld/platform_duty.cpp
@@ -130,7 +130,7 @@
         m_metrics.count("fordwood_vm_list_reads_total");
         const auto document
             = adapters::httpGet("http://" + m_settings.vmList + "/vms", kCallTimeout, tag);
-        const bool unchanged = document && document->unchanged;
+        const bool unchanged = document && document->isUnchanged;
         const auto list
             = document && !unchanged ? adapters::parseVmList(document->body) : std::nullopt;
         const bool sound = unchanged || list;
@@ -143,7 +143,7 @@
             m_metrics.count("fordwood_vm_list_bytes_total",
                             static_cast<double>(document->body.size()));
             m_listener.listRead(*list);
-            tag = document->tag;
+            tag = document->etag;
         }
         pause(m_settings.vmListPeriod);
     }
--- a/src/apps/ctl/commands.cpp
+++ b/src/apps/ctl/commands.cpp
@@ -292,7 +292,7 @@
     std::map<std::uint64_t, int> versions;
     Json list = Json::array();
     for (const std::string &node : options.nodes) {
-        const auto reply = adapters::askStatus(node, options.timeout);
+        const auto reply = adapters::requestStatus(node, options.timeout);
         if (!reply) {
             allAnswered = false;
             list.push_back({{"address", node}, {"error", reply.error()}});
--- a/src/apps/entryd/api.cpp
+++ b/src/apps/entryd/api.cpp
@@ -43,7 +43,7 @@
            || std::find(kNames.begin(), kNames.end(), lower) != kNames.end();
 }
 
-const TeamConfig *teamOf(const ServingState &state, const adapters::CallerMessage &message)
+const TeamConfig *teamOf(const ServingState &state, const adapters::CallerRequest &message)
 {
     constexpr std::string_view kBearer = "Bearer ";
     const std::string header = message.header("Authorization");
@@ -54,7 +54,7 @@
 
 // Reads what any request may say in headers: deadline, priority, repeatable.
 tl::expected<CallRequest, Verdict> commonFields(const ServingState &state, const TeamConfig &team,
-                                                const adapters::CallerMessage &message,
+                                                const adapters::CallerRequest &message,
                                                 TimePoint now)
 {
     const LimitsConfig &limits = state.view->configuration().limits;
@@ -168,14 +168,14 @@
     // came.
     const std::string field = "\"cache_salt\":" + Json(salt).dump() + ",";
     if (request.weightVersion.empty())
-        request.saltBegin = request.body.find('{') + 1;
-    request.body.replace(request.saltBegin, request.saltLength, field);
+        request.saltOffset = request.body.find('{') + 1;
+    request.body.replace(request.saltOffset, request.saltLength, field);
     request.saltLength = field.size();
     request.weightVersion = version;
 }
 
 Understood interpretCompletion(const ServingState &state, const TeamConfig &team,
-                               adapters::CallerMessage message, TimePoint now, bool chat)
+                               adapters::CallerRequest message, TimePoint now, bool chat)
 {
     if (message.method != "POST")
         return refuse(Reason::MethodNotAllowed);
@@ -249,7 +249,7 @@
 }
 
 Understood interpretService(const ServingState &state, const TeamConfig &team,
-                            adapters::CallerMessage message, TimePoint now)
+                            adapters::CallerRequest message, TimePoint now)
 {
     const RouteConfig *route = routeOf(state.view->configuration(), message.path);
     if (route == nullptr)
@@ -284,7 +284,7 @@
 }
 
 tl::expected<std::variant<Interpreted, adapters::DirectAnswer>, Verdict>
-interpret(const ServingState &state, adapters::CallerMessage message, TimePoint now)
+interpret(const ServingState &state, adapters::CallerRequest message, TimePoint now)
 {
     const TeamConfig *team = teamOf(state, message);
     if (team == nullptr)
--- a/src/apps/entryd/api.hpp
+++ b/src/apps/entryd/api.hpp
@@ -41,7 +41,7 @@
 // Understands a caller's request: who asks, for what, until when, and what is sent upstream.
 // Gives an answer at once where no upstream is needed, and a verdict where it is refused.
 tl::expected<std::variant<Interpreted, adapters::DirectAnswer>, Verdict>
-interpret(const ServingState &state, adapters::CallerMessage message, TimePoint now);
+interpret(const ServingState &state, adapters::CallerRequest message, TimePoint now);
 
 } // namespace fordwood::apps
 
--- a/src/apps/entryd/entry_node.cpp
+++ b/src/apps/entryd/entry_node.cpp
@@ -94,7 +94,7 @@
 }
 
 std::variant<adapters::DirectAnswer, std::shared_ptr<adapters::Exchange>>
-EntryNode::handle(adapters::CallerMessage message)
+EntryNode::handle(adapters::CallerRequest message)
 {
     if (message.path == "/healthz" || message.path == "/readyz" || message.path == "/metrics")
         return operatorAnswer(message.path);
@@ -203,7 +203,8 @@
 {
     if (path == "/metrics") {
         m_metrics.setGauge("fordwood_in_flight", static_cast<double>(m_inFlight));
-        m_metrics.setGauge("fordwood_connections", static_cast<double>(m_callers.connections()));
+        m_metrics.setGauge("fordwood_connections",
+                           static_cast<double>(m_callers.connectionCount()));
         return {200, "text/plain; version=0.0.4", m_metrics.text(), {}};
     }
     if (path == "/healthz")
@@ -300,7 +301,7 @@
 
 void EntryNode::on(const StreamLostEvent &event)
 {
-    if (!m_permits.forget(event.owner, event.stream))
+    if (!m_permits.removeStream(event.owner, event.stream))
         return;
     logEvent(Event::OwnerLost, {{"owner", event.owner}});
     m_metrics.count("fordwood_owner_streams_lost_total");
@@ -323,9 +324,9 @@
 {
     const auto heard = m_dispatcher.limitRead(event.call, event.attempt, event.limit);
     if (event.limit.isUnreadable && !heard.upstream.empty())
-        m_limitLog.unreadable(heard.upstream, std::to_string(event.call));
+        m_limitLog.logUnreadable(heard.upstream, std::to_string(event.call));
     if (heard.change)
-        m_limitLog.changed(*heard.change, std::to_string(event.call), heard.ownRate);
+        m_limitLog.logChange(*heard.change, std::to_string(event.call), heard.ownRate);
     m_metrics.setGauge("fordwood_limited_upstreams",
                        static_cast<double>(m_dispatcher.limitedUpstreams()));
 }
@@ -360,20 +361,20 @@
 void EntryNode::carryOut(const Action &action)
 {
     if (const auto *ask = std::get_if<RequestPermit>(&action)) {
-        m_permits.ask(*ask);
+        m_permits.requestPermit(*ask);
     } else if (const auto *withdrawal = std::get_if<WithdrawPermitRequest>(&action)) {
-        m_permits.withdraw(*withdrawal);
+        m_permits.withdrawRequest(*withdrawal);
     } else if (const auto *release = std::get_if<ReleasePermit>(&action)) {
         m_permits.release(*release);
     } else if (const auto *hold = std::get_if<AdoptPermit>(&action)) {
-        m_permits.hold(*hold);
+        m_permits.adoptPermit(*hold);
     } else if (const auto *cancel = std::get_if<CancelAttempt>(&action)) {
         m_upstreams.cancel(*cancel);
     } else if (const auto *retry = std::get_if<CountRetry>(&action)) {
         m_metrics.countRetry(retry->reason);
     } else if (const auto *allowance = std::get_if<RequestAllowance>(&action)) {
         m_metrics.count("fordwood_allowance_asks_total");
-        m_permits.askAllowance(*allowance);
+        m_permits.requestAllowance(*allowance);
     } else if (const auto *claim = std::get_if<ClaimKey>(&action)) {
         m_permits.claim(*claim);
     } else if (const auto *finish = std::get_if<FinishClaim>(&action)) {
--- a/src/apps/entryd/entry_node.hpp
+++ b/src/apps/entryd/entry_node.hpp
@@ -108,7 +108,7 @@
 
     // CallerHandler, on the HTTP threads
     std::variant<adapters::DirectAnswer, std::shared_ptr<adapters::Exchange>>
-    handle(adapters::CallerMessage message) override;
+    handle(adapters::CallerRequest message) override;
     void submit(const std::shared_ptr<adapters::Exchange> &exchange) override;
     void callerLeft(CallId call) override;
     void exchangeEnded(CallId call) override;
--- a/src/apps/load/runner.cpp
+++ b/src/apps/load/runner.cpp
@@ -141,11 +141,11 @@
 
     static std::size_t onHeader(char *data, std::size_t size, std::size_t n, void *self)
     {
-        static_cast<Sending *>(self)->takeHeader(std::string(data, size * n));
+        static_cast<Sending *>(self)->parseHeader(std::string(data, size * n));
         return size * n;
     }
 
-    void takeHeader(const std::string &line)
+    void parseHeader(const std::string &line)
     {
         const auto value = [&](std::string_view name) {
             std::string text = line.substr(name.size());
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -267,7 +267,7 @@
     if (head.wrongInstance || m_upstreams.find(id) == nullptr)
         return;
     if (head.limit.isUnreadable)
-        m_limitLog.unreadable(id, requestId);
+        m_limitLog.logUnreadable(id, requestId);
     // An answer that an intermediary generated neither sets nor lifts a limit.
     const bool isAuthoritative
         = head.limit.perSecond || (head.isSealed && !head.limit.isUnreadable);
@@ -397,7 +397,7 @@
 
 void NodeState::logLimit(const LimitChange &change, const std::string &source)
 {
-    m_limitLog.changed(change, source, m_gate.limitGate().ownRate(change.instanceId));
+    m_limitLog.logChange(change, source, m_gate.limitGate().ownRate(change.instanceId));
 }
 
 // Spreads the retry times so that this node's callers return at the rate of its share of the limits
--- a/tests/system/suspended_clock_test.cpp
+++ b/tests/system/suspended_clock_test.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-std::chrono::seconds suspended{0};
+std::chrono::seconds suspendedTime{0};
 
 } // namespace
 
@@ -29,7 +29,7 @@
 {
     const auto result = static_cast<int>(syscall(SYS_clock_gettime, clock, time));
     if (clock == CLOCK_BOOTTIME || clock == CLOCK_REALTIME)
-        time->tv_sec += suspended.count();
+        time->tv_sec += suspendedTime.count();
     return result;
 }
 
@@ -37,7 +37,7 @@
 {
     const adapters::SystemClock clock;
     const TimePoint before = clock.now();
-    suspended += 5s;
+    suspendedTime += 5s;
     CHECK(clock.now() - before >= 5s);
     const TimePoint after = clock.now();
     CHECK(clock.now() >= after);
@@ -55,7 +55,7 @@
     REQUIRE(lock.tick().size() == 1);
     lock.acquireAnswered(WriteResult::Done, 9);
     REQUIRE(lock.holding());
-    suspended += 2h;
+    suspendedTime += 2h;
     CHECK_FALSE(lock.holding());
 }
 
@@ -67,7 +67,7 @@
     node::DeadlineTimer deadline(context);
     deadline.expires_at(clock.now() + 1h);
     deadline.async_wait([&](const boost::system::error_code &ec) { hasPassed = !ec; });
-    suspended += 2h;
+    suspendedTime += 2h;
     // A thread's regular work wakes it.
     boost::asio::steady_timer work(context);
     work.expires_after(1ms);
--- a/tests/unit/isolation_test.cpp
+++ b/tests/unit/isolation_test.cpp
@@ -32,9 +32,9 @@
     return std::make_shared<const apps::ServingState>(view);
 }
 
-adapters::CallerMessage messageOf(const std::string &key, const std::string &model)
+adapters::CallerRequest messageOf(const std::string &key, const std::string &model)
 {
-    adapters::CallerMessage message;
+    adapters::CallerRequest message;
     message.method = "POST";
     message.path = "/v1/completions";
     message.headers = {
--- a/tests/unit/log_queue_test.cpp
+++ b/tests/unit/log_queue_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::vector<std::string> drained(LogQueue &queue, std::uint64_t &dropped)
+std::vector<std::string> drain(LogQueue &queue, std::uint64_t &dropped)
 {
     std::vector<std::string> lines;
     dropped = queue.drain([&](const LogQueue::Line &it) { lines.push_back(it.text); });
@@ -24,7 +24,7 @@
     for (const char *it : {"one", "two", "three", "four", "five"})
         queue.push({EventLevel::Info, it});
     std::uint64_t dropped = 0;
-    CHECK(drained(queue, dropped) == std::vector<std::string>{"one", "two"});
+    CHECK(drain(queue, dropped) == std::vector<std::string>{"one", "two"});
     CHECK(dropped == 3);
 }
 
@@ -34,9 +34,9 @@
     queue.push({EventLevel::Info, "one"});
     queue.push({EventLevel::Error, "two"});
     std::uint64_t dropped = 0;
-    CHECK(drained(queue, dropped).size() == 1);
+    CHECK(drain(queue, dropped).size() == 1);
     CHECK(dropped == 1);
     queue.push({EventLevel::Info, "three"});
-    CHECK(drained(queue, dropped) == std::vector<std::string>{"three"});
+    CHECK(drain(queue, dropped) == std::vector<std::string>{"three"});
     CHECK(dropped == 0);
 }
