--- a/src/adapters/grpc/control_client.hpp
+++ b/src/adapters/grpc/control_client.hpp
@@ -15,18 +15,18 @@
 
 namespace fordwood::adapters {
 
-// Reads the snapshots of the controld on the same VM, and connects again when it was restarted.
+// Receives snapshots from the controld on the same VM and reconnects after it was restarted.
 class ControlClient
 {
 public:
     ControlClient(const std::string &address, std::string node);
 
-    // Runs until stop(): calls `onSnapshot` for each snapshot, and `onLost` when the
-    // connection breaks.
+    // Runs until stop(). Calls `onSnapshot` for each snapshot and `onLost` with an error message
+    // when the connection is lost.
     void run(const std::function<void(const wire::Snapshot &)> &onSnapshot,
              const std::function<void(const std::string &message)> &onLost);
 
-    // Ends run(); may be called from another thread.
+    // Makes run() return. May be called from another thread.
     void stop();
 
 private:
@@ -37,7 +37,7 @@
     std::atomic<bool> m_stopping{false};
 };
 
-// Asks one controld for its status. The error is a text.
+// Requests the status of one controld. On failure returns an error message.
 tl::expected<wire::StatusReply, std::string> requestStatus(const std::string &address,
                                                            Duration timeout);
 
--- a/src/adapters/grpc/control_service.cpp
+++ b/src/adapters/grpc/control_service.cpp
@@ -6,7 +6,8 @@
 
 namespace fordwood::adapters {
 
-// One subscriber. Only the newest state matters, so a slow subscriber skips those in between.
+// The stream to one subscriber. Only the latest snapshot matters, so a slow subscriber skips
+// intermediate ones.
 class ControlService::Stream : public grpc::ServerWriteReactor<wire::Snapshot>
 {
 public:
@@ -74,7 +75,7 @@
     std::mutex m_mutex;
     std::shared_ptr<const wire::Snapshot> m_pending;
     wire::Snapshot m_current;
-    std::set<std::string> m_sent; // digests of the pieces that the subscriber holds
+    std::set<std::string> m_sent; // digests of the pieces that the subscriber has
     bool m_writing = false;
     bool m_finished = false;
 };
--- a/src/adapters/grpc/control_service.hpp
+++ b/src/adapters/grpc/control_service.hpp
@@ -13,20 +13,20 @@
 
 namespace fordwood::adapters {
 
-// controld's side of the snapshot streams, and its status. Thread-safe.
+// The gRPC service of controld that streams snapshots and reports its status. Thread-safe.
 class ControlService : public wire::Control::CallbackService
 {
 public:
     ControlService();
     ~ControlService() override;
 
-    // Replaces the state that is sent to every stream. `full` carries every piece; each stream is
-    // sent only those that it has not got yet.
+    // Sets the snapshot that all streams send. `full` contains every piece; each stream sends only
+    // those that its subscriber does not have yet.
     void publish(const std::shared_ptr<const wire::Snapshot> &full);
 
     void setStatus(const wire::StatusReply &status);
 
-    // Ends all streams, so that the server can stop.
+    // Finishes all streams so that the server can shut down.
     void closeAll();
 
     grpc::ServerWriteReactor<wire::Snapshot> *
--- a/src/adapters/grpc/key_codec.hpp
+++ b/src/adapters/grpc/key_codec.hpp
@@ -11,7 +11,7 @@
 
 namespace fordwood::adapters {
 
-// Between the types of the key registry and the messages.
+// Converts between the types of the key registry and the wire messages.
 wire::KeptReply toWire(const StoredAnswer &answer);
 StoredAnswer fromWire(const wire::KeptReply &message);
 ClaimAnswer fromWire(const wire::ClaimReply &message);
--- a/src/adapters/grpc/peer_codec.hpp
+++ b/src/adapters/grpc/peer_codec.hpp
@@ -7,7 +7,7 @@
 
 namespace fordwood::adapters {
 
-// Between the replicator's updates and the messages on the links.
+// Converts between the replicator's types and the wire messages.
 wire::PeerMessage toWire(const PeerUpdate &update);
 PeerUpdate fromWire(const wire::PeerMessage &message);
 
--- a/src/adapters/grpc/peer_links.cpp
+++ b/src/adapters/grpc/peer_links.cpp
@@ -23,17 +23,18 @@
     arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectBackoffMs);
     arguments.SetMaxReceiveMessageSize(-1);
-    // Streams to one address must not share a connection that another object has given up.
+    // Otherwise channels to the same address would share a connection, even one that another object
+    // has abandoned.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     return grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments);
 }
 
 } // namespace
 
-// Merging two updates would mix their fields, so they wait one after the other.
+// Updates are queued one by one, since merging two of them would mix their fields.
 using PeerWriter = StreamWriter<wire::PeerMessage, QueuedMessages>;
 
-// A stream that a peer opened.
+// A stream opened by a peer.
 class PeerLinks::IncomingStream
     : public grpc::ServerBidiReactor<wire::PeerMessage, wire::PeerMessage>,
       public PeerStream
@@ -82,13 +83,13 @@
 
 private:
     PeerLinks &m_links;
-    std::string m_peer; // known after the first message
+    std::string m_peer; // set by the first message
     std::shared_ptr<PeerStream> m_self;
     wire::PeerMessage m_incoming;
     PeerWriter m_writer;
 };
 
-// A stream that this node opened.
+// A stream opened by this node.
 class PeerLinks::OutgoingStream
     : public grpc::ClientBidiReactor<wire::PeerMessage, wire::PeerMessage>,
       public PeerStream
@@ -104,7 +105,7 @@
         m_self = self;
         m_stub = wire::Peers::NewStub(channel);
         m_stub->async()->Link(&m_context, this);
-        AddHold(); // for writes from the control thread
+        AddHold(); // writes come from the control thread, outside gRPC's callbacks
         StartRead(&m_incoming);
         StartCall();
         send(m_links.hello());
@@ -146,7 +147,7 @@
     }
 
     PeerLinks &m_links;
-    std::string m_peer; // known after the first message
+    std::string m_peer; // set by the first message
     std::shared_ptr<PeerStream> m_self;
     std::unique_ptr<wire::Peers::Stub> m_stub;
     grpc::ClientContext m_context;
@@ -255,7 +256,7 @@
 {
     if (peer.empty()) {
         if (message.node().empty() || message.node() == m_self)
-            return stream->close(); // not a peer: a seed may be this node itself
+            return stream->close(); // not a peer: a seed address may be this node's own
         peer = message.node();
         bool first = false;
         {
@@ -291,7 +292,8 @@
     }
     if (last)
         m_listener.linkDown(peer);
-    // Only after the listener heard of it: closeAll() may let go of everything now.
+    // Must follow the call of the listener: after this, closeAll() may return and the objects may
+    // be destroyed.
     if (dynamic_cast<const OutgoingStream *>(stream) != nullptr) {
         const std::lock_guard lock(m_mutex);
         --m_openOutgoing;
--- a/src/adapters/grpc/peer_links.hpp
+++ b/src/adapters/grpc/peer_links.hpp
@@ -16,7 +16,7 @@
 
 namespace fordwood::adapters {
 
-// What the control duty hears of its links. Called from gRPC's threads.
+// Receives the events of the peer links. Called from gRPC's threads.
 class PeerListener
 {
 public:
@@ -26,7 +26,7 @@
     virtual void updateArrived(const std::string &peer, PeerUpdate update) = 0;
 };
 
-// One stream to a peer, whichever side opened it.
+// A stream to a peer, opened by either side.
 class PeerStream
 {
 public:
@@ -35,26 +35,27 @@
     virtual void close() = 0;
 };
 
-// The links of one controld: serves those that other nodes open, and opens and reopens its own.
-// A peer counts as linked while at least one stream to it is up. Thread-safe.
+// The links of one controld: accepts streams from other nodes, and opens and reopens its own.
+// A peer is linked while at least one stream to it is open. Thread-safe.
 class PeerLinks : public wire::Peers::CallbackService
 {
 public:
     PeerLinks(std::string self, PeerListener &listener);
     ~PeerLinks() override;
 
-    // Sets the addresses to hold a stream to; others that this node opened are closed.
+    // Sets the addresses to keep a stream open to. Closes the streams that this node opened to
+    // other addresses.
     void setOutgoing(const std::vector<std::string> &addresses);
 
-    // Opens again what broke; call it about once a second.
+    // Reopens outgoing streams that were lost. Call it about once per second.
     void reopenBroken();
 
     void send(const std::string &peer, const PeerUpdate &update);
 
-    // Bytes sent so far, as encoded messages.
+    // Total size of the encoded messages sent so far.
     std::uint64_t bytesSent() const { return m_bytesSent; }
 
-    // Ends all streams and waits until gRPC is done with those that this node opened.
+    // Closes all streams and waits until gRPC has finished those that this node opened.
     void closeAll();
 
     grpc::ServerBidiReactor<wire::PeerMessage, wire::PeerMessage> *
@@ -64,7 +65,7 @@
     class IncomingStream;
     class OutgoingStream;
 
-    // Called by the streams.
+    // Callbacks of the streams.
     void onMessage(const std::shared_ptr<PeerStream> &stream, std::string &peer,
                    const wire::PeerMessage &message);
     void onStreamEnd(const PeerStream *stream, const std::string &peer);
@@ -80,7 +81,7 @@
     struct OutgoingLink
     {
         std::shared_ptr<grpc::Channel> channel;
-        std::shared_ptr<OutgoingStream> stream; // null while broken
+        std::shared_ptr<OutgoingStream> stream; // null while not open
     };
     std::map<std::string, OutgoingLink> m_outgoingLinks; // by address
     int m_openOutgoing = 0;
--- a/src/adapters/grpc/permit_client.cpp
+++ b/src/adapters/grpc/permit_client.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-// Counts the streams that gRPC still works on.
+// Counts the streams that gRPC has not finished yet.
 struct PermitClient::OpenStreams
 {
     std::mutex mutex;
@@ -57,7 +57,7 @@
     int streams = 0;
 };
 
-// One stream to one owner. Kept alive by itself until gRPC is done with it.
+// A stream to one owner. Holds a reference to itself until gRPC has finished it.
 class PermitClient::Stream
     : public grpc::ClientBidiReactor<wire::PermitCommands, wire::PermitEvents>
 {
@@ -80,7 +80,8 @@
         }
         m_stub = wire::Permits::NewStub(channel);
         m_stub->async()->Exchange(&m_context, this);
-        // Writes come from the dispatch thread; the hold keeps the stream open for them.
+        // Writes come from the dispatch thread, outside gRPC's callbacks; the hold keeps the stream
+        // open for them.
         AddHold();
         StartRead(&m_incoming);
         StartCall();
@@ -270,7 +271,7 @@
         const auto old = m_streams.find(owner);
         if (old != m_streams.end())
             old->second->close();
-        // The old stream's end is reported as any other; until then it keeps its place.
+        // The end of the old stream is reported like any other; until then it stays in m_streams.
     }
     const auto known = m_streams.find(owner);
     if (known != m_streams.end())
--- a/src/adapters/grpc/permit_client.hpp
+++ b/src/adapters/grpc/permit_client.hpp
@@ -12,29 +12,29 @@
 
 namespace fordwood::adapters {
 
-// What an entry node hears from the owners.
+// Receives the answers of the owners. Called from gRPC's threads.
 class PermitClientListener
 {
 public:
     virtual ~PermitClientListener() = default;
 
-    // An owner has answered. False when the answer cannot be taken now.
+    // An owner answered a permit request. Returns false if the answer cannot be accepted now.
     virtual bool replyArrived(const std::string &owner, const PermitReply &reply) = 0;
 
-    // The holder of a key has answered a claim.
+    // The holder of a key answered a claim.
     virtual void claimAnswered(std::uint64_t claimId, const ClaimAnswer &answer) = 0;
 
-    // The owner of a team has answered an ask for a part of its ceiling.
+    // The owner of a team answered a request for a share of the team's ceiling.
     virtual void allowanceAnswered(const std::string &team, std::uint64_t requestId,
                                    const Allowance &allowance)
         = 0;
 
-    // The stream to an owner is gone, with its open asks and its permits.
+    // The stream to an owner was lost, and with it its pending requests and its permits.
     virtual void streamLost(const std::string &owner, std::uint64_t stream) = 0;
 };
 
-// The entry node's side of the permit streams: one stream to each owner it asks, opened at the
-// first ask. All calls come from one thread; the listener is called from gRPC's threads.
+// The entry node's side of the permit streams: one stream to each owner, opened when first needed.
+// All calls must come from one thread; the listener is called from gRPC's threads.
 class PermitClient
 {
 public:
@@ -49,10 +49,10 @@
     void finishClaim(const FinishClaim &finish);
     void requestAllowance(const RequestAllowance &request);
 
-    // Forgets a stream that was reported lost. True when it was the owner's present stream.
+    // Removes a stream that was reported lost. Returns true if it was the owner's current stream.
     bool removeStream(const std::string &owner, std::uint64_t stream);
 
-    // Ends all streams and waits until gRPC is done with them.
+    // Closes all streams and waits until gRPC has finished them.
     void close();
 
 private:
--- a/src/adapters/grpc/permit_service.cpp
+++ b/src/adapters/grpc/permit_service.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-// One entry node's stream. Kept alive by itself until gRPC is done with it.
+// A stream from one entry node. Holds a reference to itself until gRPC has finished it.
 class PermitService::Stream
     : public grpc::ServerBidiReactor<wire::PermitCommands, wire::PermitEvents>
 {
@@ -83,7 +83,7 @@
     }
 
 private:
-    // The owner's ring is full: every ask is denied at once, none is left without an answer.
+    // The owner's queue is full: denies every request at once, so that none stays unanswered.
     void rejectCommands()
     {
         wire::PermitEvents events;
--- a/src/adapters/grpc/permit_service.hpp
+++ b/src/adapters/grpc/permit_service.hpp
@@ -14,36 +14,36 @@
 
 namespace fordwood::adapters {
 
-// What the owner's duty hears from its entry nodes.
+// Receives the commands of the entry nodes. Called from gRPC's threads.
 class PermitListener
 {
 public:
     virtual ~PermitListener() = default;
 
-    // Commands from one holder. False when they cannot be taken now.
+    // A holder sent commands. Returns false if they cannot be accepted now.
     virtual bool commandsArrived(HolderId holder, wire::PermitCommands commands) = 0;
 
-    // A holder's connection is gone.
+    // A holder's stream has ended.
     virtual void holderGone(HolderId holder) = 0;
 };
 
-// The owner's side of the permit streams. Every stream is one holder.
+// The owner's side of the permit streams. Each stream belongs to one holder.
 class PermitService : public wire::Permits::CallbackService
 {
 public:
     explicit PermitService(PermitListener &listener);
     ~PermitService() override;
 
-    // Sends answers to their holders; those of holders that are gone are dropped.
+    // Sends answers to their holders. Answers to disconnected holders are dropped.
     void send(const std::vector<PermitAnswer> &answers);
 
-    // Sends the answer to a claim of a key.
+    // Sends the answer to a holder's claim of a key.
     void sendClaimAnswer(HolderId holder, std::uint64_t claimId, const ClaimAnswer &answer);
 
-    // Sends a part of a team's ceiling.
+    // Answers a request for a share of a team's ceiling.
     void sendAllowance(const AllowanceRequest &request, const Allowance &allowance);
 
-    // Ends all streams, so that the server can stop.
+    // Finishes all streams so that the server can shut down.
     void closeAll();
 
     grpc::ServerBidiReactor<wire::PermitCommands, wire::PermitEvents> *
--- a/src/adapters/grpc/stream_writer.hpp
+++ b/src/adapters/grpc/stream_writer.hpp
@@ -9,7 +9,7 @@
 
 namespace fordwood::adapters {
 
-// What waits to be written: all of it merged into one message.
+// Pending messages, merged into one.
 template <typename Message>
 class MergedMessages
 {
@@ -32,7 +32,7 @@
     bool m_isEmpty = true;
 };
 
-// What waits to be written: one message after the other.
+// Pending messages, kept separate and in order.
 template <typename Message>
 class QueuedMessages
 {
@@ -49,13 +49,13 @@
     std::deque<Message> m_pending;
 };
 
-// The writing side of a gRPC stream, which takes one message at a time: holds back the others, and
-// begins no write after the stream was closed. Thread-safe.
+// Serializes writes to a gRPC stream, which allows one write at a time: further messages wait, and
+// no write starts after the stream was closed. Thread-safe.
 template <typename Message, template <typename> typename Pending>
 class StreamWriter
 {
 public:
-    // `start` begins a write; it is called with the writer locked.
+    // `start` starts a write. It is called while the writer is locked.
     explicit StreamWriter(std::function<void(const Message *)> start)
         : m_start(std::move(start)) { }
 
@@ -69,7 +69,7 @@
             startNext();
     }
 
-    // The message under way is written.
+    // The current write has completed.
     void onWritten()
     {
         const std::lock_guard lock(m_mutex);
@@ -78,7 +78,7 @@
             startNext();
     }
 
-    // Closes the writer. The first call runs `last`, with the writer locked.
+    // Closes the writer. The first call runs `onClose` while the writer is locked.
     void close(const std::function<void()> &onClose)
     {
         const std::lock_guard lock(m_mutex);
--- a/src/adapters/http/admin_server.hpp
+++ b/src/adapters/http/admin_server.hpp
@@ -12,11 +12,11 @@
 
 namespace fordwood::adapters {
 
-// A small HTTP server with one thread, for metrics and health.
+// A single-threaded HTTP server for metrics and health checks.
 class AdminServer
 {
 public:
-    // Answers GET of a path; status 404 for those it does not know.
+    // Answers a GET request for a path, with status 404 for an unknown one.
     using Handler = std::function<DirectAnswer(const std::string &path)>;
 
     explicit AdminServer(Handler handler);
@@ -24,7 +24,7 @@
     AdminServer(const AdminServer &) = delete;
     AdminServer &operator=(const AdminServer &) = delete;
 
-    // False when the address cannot be listened on.
+    // Returns false if it cannot listen on the address.
     bool start(const std::string &address);
 
     const Handler &handler() const { return m_handler; }
--- a/src/adapters/http/caller_server.cpp
+++ b/src/adapters/http/caller_server.cpp
@@ -18,9 +18,10 @@
 constexpr unsigned kIdleTimeoutSeconds = 300;
 constexpr unsigned kSpareConnections = 64;
 constexpr std::size_t kReadBlockBytes = 16'384;
-constexpr std::size_t kMaxDiscardFactor = 8; // times the largest body
+constexpr std::size_t kMaxDiscardFactor
+    = 8; // larger bodies, in multiples of maxBodyBytes, are not read
 
-// One request as it arrives.
+// A request while it is received and answered.
 struct IncomingRequest
 {
     CallerRequest request;
@@ -96,8 +97,8 @@
     return MHD_YES;
 }
 
-// A body with two lengths can be read in two ways: a balancer in front of us may take the other
-// one.
+// A request with more than one length is ambiguous: a load balancer in front of this server may
+// use another of them (request smuggling).
 bool hasSeveralLengths(const Headers &headers)
 {
     int lengths = 0;
@@ -111,12 +112,12 @@
 
 } // namespace
 
-// The functions that the HTTP library calls.
+// The callbacks of the HTTP library.
 struct CallerServerCallbacks
 {
     static void *onUri(void *cls, const char *uri, MHD_Connection *connection)
     {
-        // A request begins: its time to arrive whole starts here.
+        // A request begins: the time limit for receiving it starts here.
         static_cast<CallerServer *>(cls)->m_watch.markIdle(connection);
         auto *incoming = new IncomingRequest;
         incoming->request.path = uri;
@@ -180,7 +181,7 @@
                              IncomingRequest &incoming)
     {
         auto handled = server.m_handler.handle(std::move(incoming.request));
-        incoming.request.method = "-"; // marks the request as begun
+        incoming.request.method = "-"; // not empty: the request was started
         if (const auto *answer = std::get_if<DirectAnswer>(&handled))
             return queueAnswer(connection, *answer);
         incoming.exchange = std::get<std::shared_ptr<Exchange>>(handled);
@@ -188,7 +189,8 @@
         incoming.exchange->setWake([connection] { MHD_resume_connection(connection); });
         server.m_watch.markServing(connection,
                                    [&server, call] { server.m_handler.callerLeft(call); });
-        incoming.exchange->takeAnswer(); // nothing yet; from now on the answer wakes us
+        incoming.exchange
+            ->takeAnswer(); // none yet; from now on the exchange resumes the connection
         MHD_suspend_connection(connection);
         server.m_handler.submit(incoming.exchange);
         return MHD_YES;
@@ -230,7 +232,7 @@
 
     static void onLog(void *cls, const char *, va_list)
     {
-        // The library answers malformed requests by itself and only tells its log.
+        // The library answers malformed requests itself and reports them only to its log.
         static_cast<CallerServer *>(cls)->m_handler.refused(Reason::MalformedRequest);
     }
 };
--- a/src/adapters/http/caller_server.hpp
+++ b/src/adapters/http/caller_server.hpp
@@ -17,41 +17,41 @@
 
 namespace fordwood::adapters {
 
-// A caller's request, whole.
+// A complete request of a caller.
 struct CallerRequest
 {
     std::string method;
-    std::string path; // with the query, as sent
+    std::string path; // including the query, as sent
     Headers headers;
     std::string body;
 
-    // The value of a header, whatever the case of its name; empty when absent.
+    // Returns the value of a header, ignoring the case of its name; empty if absent.
     std::string header(std::string_view name) const;
 };
 
-// What the caller's server asks of the process behind it. Called from the HTTP threads.
+// Handles the requests that CallerServer receives. Called from the HTTP threads.
 class CallerHandler
 {
 public:
     virtual ~CallerHandler() = default;
 
-    // Answers at once, or gives the exchange that will hold the answer.
+    // Returns an immediate answer, or the exchange that will receive the answer.
     virtual std::variant<DirectAnswer, std::shared_ptr<Exchange>> handle(CallerRequest request) = 0;
 
-    // Begins the work of an exchange that handle() gave.
+    // Starts processing an exchange that handle() returned.
     virtual void submit(const std::shared_ptr<Exchange> &exchange) = 0;
 
-    // The caller of an exchange is gone.
+    // The caller of an exchange disconnected.
     virtual void callerLeft(CallId call) = 0;
 
-    // An exchange needs no more attention: its answer was sent, or its caller is gone.
+    // An exchange has ended: its answer was sent, or its caller disconnected.
     virtual void exchangeEnded(CallId call) = 0;
 
-    // A request was refused before it reached handle().
+    // A request was rejected before it reached handle().
     virtual void refused(Reason reason) = 0;
 };
 
-// The HTTP server for callers: a pool of threads that never wait for an upstream.
+// The HTTP server for callers. The threads of its pool never block on an upstream.
 class CallerServer
 {
 public:
@@ -60,13 +60,13 @@
     CallerServer(const CallerServer &) = delete;
     CallerServer &operator=(const CallerServer &) = delete;
 
-    // False when the address cannot be listened on.
+    // Returns false if it cannot listen on the address.
     bool start();
 
-    // Takes no new connections; those that are open go on.
+    // Stops accepting connections; open ones continue.
     void stopListening();
 
-    // Ends all connections.
+    // Closes all connections.
     void stop();
 
     std::size_t connectionCount() const { return m_watch.connectionCount(); }
--- a/src/adapters/http/caller_watch.cpp
+++ b/src/adapters/http/caller_watch.cpp
@@ -94,7 +94,8 @@
     const TimePoint oldest = m_clock.now() - m_readTimeout;
     int timedOut = 0;
     {
-        // The lock keeps the sockets open: closed() must be called before a socket is closed.
+        // No socket can be closed while the lock is held, since removeConnection() is called before
+        // a socket is closed.
         const std::lock_guard lock(m_mutex);
         for (auto &[key, it] : m_connections) {
             if (it.isServing || it.idleSince > oldest || it.socket < 0)
--- a/src/adapters/http/caller_watch.hpp
+++ b/src/adapters/http/caller_watch.hpp
@@ -12,27 +12,28 @@
 
 namespace fordwood::adapters {
 
-// Watches the callers' connections for what the HTTP library does not see: a caller that leaves
-// while its request is being served, and one that sends its request too slowly. check() is called
-// by a thread of its own. Thread-safe.
+// Detects what the HTTP library does not report: a caller that disconnects while its request is
+// being served, and one that sends its request too slowly. check() is called periodically by a
+// separate thread. Thread-safe.
 class CallerWatch
 {
 public:
     using Key = const void *; // the connection
 
-    // `onTimeout` is called for each connection closed for being slow.
+    // `onTimeout` is called for each connection that is closed because of the read timeout.
     CallerWatch(const Clock &clock, Duration readTimeout, std::function<void()> onTimeout);
 
     void addConnection(Key key, int socket);
     void removeConnection(Key key);
 
-    // A request is whole and being served; `onDisconnect` is called once if its caller leaves.
+    // A request was received and is being served. `onDisconnect` is called once if the caller
+    // disconnects.
     void markServing(Key key, std::function<void()> onDisconnect);
 
-    // The answer has been sent: the next request may begin.
+    // The answer was sent, or a new request begins: restarts the read timeout.
     void markIdle(Key key);
 
-    // Looks at every connection once.
+    // Checks every connection once.
     void check();
 
     std::size_t connectionCount() const;
@@ -42,7 +43,7 @@
     {
         int socket = -1;
         bool isServing = false;
-        TimePoint idleSince{}; // opened, or last answered
+        TimePoint idleSince{}; // start of the read timeout
         std::function<void()> onDisconnect;
     };
 
--- a/src/adapters/http/exchange.cpp
+++ b/src/adapters/http/exchange.cpp
@@ -44,7 +44,7 @@
     }
     const std::size_t buffered = m_buffer.size() - m_bufferRead;
     if (buffered > 0 && buffered + bytes.size() > m_bufferBytes) {
-        // An answer too large to be held whole goes out in parts.
+        // The answer is too large to buffer it completely, so it is sent in chunks.
         m_isFull = true;
         m_isChunked = true;
         wakeLocked();
--- a/src/adapters/http/exchange.hpp
+++ b/src/adapters/http/exchange.hpp
@@ -18,15 +18,15 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-// What is sent to an upstream for one call.
+// The request sent to an upstream for one call.
 struct UpstreamRequest
 {
     std::string method = "POST";
     std::string path;
     Headers headers;
     std::string body;
-    std::string weightVersion; // that the headers and the salt in the body speak of; empty: none
-    std::size_t saltOffset = 0; // of the salt in the body
+    std::string weightVersion; // named by the headers and by the salt in the body; empty: none
+    std::size_t saltOffset = 0; // where the salt begins in the body
     std::size_t saltLength = 0;
 };
 
@@ -35,77 +35,80 @@
 {
     int status = 200;
     Headers headers;
-    bool isStream = false; // server-sent events: passed on as they come
+    bool isStream = false; // server-sent events, forwarded as they arrive
 };
 
-// What the caller's thread finds when it looks for an answer.
+// What is available to the thread that serves the caller: no answer yet, a refusal, a complete
+// answer or the start of one that is sent in chunks.
 struct AvailableAnswer
 {
     enum class Kind { None, Refusal, Complete, Chunked };
     Kind kind = Kind::None;
     Verdict verdict; // of a refusal
     AnswerHead head; // of an answer
-    std::string body; // of a whole answer; one in parts is read with read()
+    std::string body; // of a complete answer; a chunked one is read with read()
 };
 
-// One caller's request and its answer, shared by the thread that serves the caller, the dispatch
-// thread and the thread that talks to upstreams. The answer is held here until the caller takes it;
-// a slow caller holds back its upstream, never a thread. Thread-safe.
+// A caller's request and its answer, shared by the thread that serves the caller, the dispatch
+// thread and the upstream client's thread. The answer is buffered here until the caller reads it. A
+// slow caller slows down its upstream but never blocks a thread. Thread-safe.
 class Exchange
 {
 public:
     enum class AppendResult { Accepted, Full, Closed };
     enum class ReadResult { Data, Wait, End, Aborted };
 
-    // `bufferBytes`: how much of an answer is held before its upstream is held back.
+    // `bufferBytes`: how much of an answer is buffered before reading from the upstream pauses.
     Exchange(CallId id, UpstreamRequest request, std::size_t bufferBytes);
 
     CallId id() const { return m_id; }
     const UpstreamRequest &request() const { return m_request; }
-    // Only for the dispatch thread, and only while no attempt is under way.
+    // Only for the dispatch thread, and only while no attempt is in progress.
     UpstreamRequest &editRequest() { return m_request; }
 
-    // --- for the thread that talks to upstreams ---
+    // --- for the upstream client's thread ---
 
-    // Begins the answer of one attempt. False when the exchange has ended or another attempt has
-    // begun to answer: nothing of this one may then be passed on.
+    // Starts the answer of an attempt. Returns false if the exchange has ended or another attempt
+    // has started its answer; then nothing of this attempt's answer may be forwarded.
     bool begin(unsigned attempt, AnswerHead head);
 
-    // Lets another attempt go on with an answer that the caller has a part of. False when there is
-    // none to go on with.
+    // Lets another attempt continue an answer that the caller has received in part. Returns false
+    // if there is no such answer.
     bool continueAnswer(unsigned attempt);
 
-    // Adds bytes of the answer. Full: nothing was taken, try again after `onSpace` was called.
+    // Appends bytes to the answer. Full: no bytes were accepted; retry after `onSpace` was called.
+    // Closed: the answer of this attempt is no longer wanted.
     AppendResult append(unsigned attempt, std::string_view bytes);
 
-    // The answer is whole.
+    // The answer is complete.
     void finish(unsigned attempt);
 
-    // Drops what an attempt has answered so far. False when the caller has got a part of it, so
-    // that no other attempt may answer any more.
+    // Discards what an attempt has answered so far. Returns false if the caller has already
+    // received a part of it, so that no other attempt may start an answer.
     bool discard(unsigned attempt);
 
-    // Sets what is called when a full buffer has space again.
+    // Sets the callback for when a full buffer has space again.
     void setOnSpace(std::function<void()> onSpace);
 
     // --- for the dispatch thread ---
 
-    // Ends the exchange with a verdict. If a part of the answer was passed on, it is cut off so
-    // that the caller cannot take it for whole; else the caller gets the verdict alone.
+    // Ends the exchange with a verdict. If a part of the answer was already sent, the answer is
+    // aborted so that the caller cannot mistake it for complete; otherwise the caller receives only
+    // the verdict.
     void refuse(const Verdict &verdict);
 
     // --- for the thread that serves the caller ---
 
-    // Sets how the caller's thread is woken; it is called with the exchange locked.
+    // Sets the callback that wakes the caller's thread. It is called while the exchange is locked.
     void setWake(std::function<void()> wake);
 
-    // Takes the answer or the refusal. With Nothing the thread must wait to be woken.
+    // Takes the answer or the refusal. After None the thread must wait until it is woken.
     AvailableAnswer takeAnswer();
 
-    // Reads bytes of an answer in parts. With Wait the thread must wait to be woken.
+    // Reads bytes of a chunked answer. After Wait the thread must wait until it is woken.
     ReadResult read(char *target, std::size_t size, std::size_t &count);
 
-    // The caller is gone, or has its answer: nothing is read any more.
+    // The caller disconnected or has received its answer: nothing more will be read.
     void abandon();
 
 private:
@@ -119,11 +122,11 @@
     std::mutex m_mutex;
     std::optional<AnswerHead> m_head;
     std::optional<Verdict> m_refusal;
-    unsigned m_attempt = 0; // that answers
+    unsigned m_attempt = 0; // the attempt whose answer is buffered
     std::string m_buffer;
     std::size_t m_bufferRead = 0;
-    bool m_isChunked = false; // passed on as it comes
-    bool m_isStarted = false; // the caller's thread has taken the head
+    bool m_isChunked = false; // forwarded as it arrives
+    bool m_isStarted = false; // the caller's thread has taken the head of the answer
     bool m_isFinished = false;
     bool m_isAbandoned = false;
     bool m_isReaderWaiting = false;
@@ -132,7 +135,7 @@
     std::function<void()> m_onSpace;
 };
 
-// The JSON body of a refusal.
+// Returns the JSON body of a refusal.
 std::string refusalBody(const Verdict &verdict);
 
 } // namespace fordwood::adapters
--- a/src/adapters/http/http_get.cpp
+++ b/src/adapters/http/http_get.cpp
@@ -40,7 +40,7 @@
             curl_slist_free_all};
 }
 
-// A handle for one blocking call, whose answer goes to `body`.
+// Creates a handle for one blocking call that stores the body of the answer in `body`.
 Handle openHandle(const std::string &url, Duration timeout, std::string &body)
 {
     Handle easy(curl_easy_init(), curl_easy_cleanup);
--- a/src/adapters/http/http_get.hpp
+++ b/src/adapters/http/http_get.hpp
@@ -10,21 +10,21 @@
 
 namespace fordwood::adapters {
 
-// A small document fetched by HTTP.
+// A small document fetched over HTTP.
 struct HttpDocument
 {
     std::string body;
-    std::string etag; // the server's ETag; empty when it gave none
-    bool isUnchanged = false; // it is still the one of the tag that was sent
+    std::string etag; // the server's ETag; empty if it sent none
+    bool isUnchanged = false; // the document still matches the ETag that was sent
 };
 
-// Sends a JSON document by POST; blocks for `timeout` at most. Gives the answer's body, or as error
-// a text when there was none or its status was an error.
+// Sends a JSON document by POST, blocking for at most `timeout`. Returns the body of the answer, or
+// an error message if there was no answer or its status was an error.
 tl::expected<std::string, std::string> httpPost(const std::string &url, const std::string &json,
                                                 Duration timeout);
 
-// Fetches a document; blocks for `timeout` at most. With the tag of an earlier fetch the server may
-// answer that nothing has changed. The error is a text.
+// Fetches a document, blocking for at most `timeout`. If given the ETag of an earlier fetch, the
+// server may answer that the document is unchanged. On failure returns an error message.
 tl::expected<HttpDocument, std::string> httpGet(const std::string &url, Duration timeout,
                                                 const std::string &etag = {});
 
--- a/src/adapters/http/mhd_response.cpp
+++ b/src/adapters/http/mhd_response.cpp
@@ -25,7 +25,7 @@
 
 MHD_Result queueAnswer(MHD_Connection *connection, const DirectAnswer &answer)
 {
-    // The library's interface is not const-correct; with MUST_COPY it only reads.
+    // The library's interface is not const-correct; with MUST_COPY it only reads the buffer.
     MHD_Response *response = MHD_create_response_from_buffer(
         answer.body.size(), const_cast<char *>(answer.body.data()), MHD_RESPMEM_MUST_COPY);
     if (!answer.contentType.empty())
--- a/src/adapters/http/mhd_response.hpp
+++ b/src/adapters/http/mhd_response.hpp
@@ -11,7 +11,7 @@
 // Adds headers to a response of the HTTP library.
 void addHeaders(MHD_Response *response, const Headers &headers);
 
-// Queues a whole answer on a connection.
+// Queues a complete answer on a connection.
 MHD_Result queueAnswer(MHD_Connection *connection, const DirectAnswer &answer);
 
 } // namespace fordwood::adapters
--- a/src/adapters/http/socket_address.hpp
+++ b/src/adapters/http/socket_address.hpp
@@ -9,7 +9,7 @@
 
 namespace fordwood::adapters {
 
-// A socket address made of "IPv4:port" or "[IPv6]:port".
+// A socket address parsed from "IPv4:port" or "[IPv6]:port".
 struct SocketAddress
 {
     sockaddr_storage storage{};
@@ -18,7 +18,7 @@
     const sockaddr *get() const { return reinterpret_cast<const sockaddr *>(&storage); }
 };
 
-// Empty when the text is no such address.
+// Returns nothing if the text is not such an address.
 std::optional<SocketAddress> parseSocketAddress(const std::string &text);
 
 } // namespace fordwood::adapters
--- a/src/adapters/http/upstream_client.cpp
+++ b/src/adapters/http/upstream_client.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-// One attempt under way: a transfer of the HTTP library and what was learned from it.
+// An attempt in progress: a libcurl transfer and what was learned from its answer so far.
 class UpstreamClient::Transfer
 {
 public:
@@ -91,8 +91,8 @@
                              static_cast<curl_off_t>(request.body.size()));
         }
         if (!m_attempt.send.repeatable) {
-            // On a reused connection that turns out to be dead the library would send again by
-            // itself, also after the upstream has read the request.
+            // On a reused connection that turns out to be dead, libcurl would resend the request on
+            // its own, even if the upstream has already read it.
             curl_easy_setopt(m_easy, CURLOPT_FRESH_CONNECT, 1L);
         }
         addHeaders(request);
@@ -109,7 +109,7 @@
             curl_easy_pause(m_easy, CURLPAUSE_CONT);
     }
 
-    // Tells the listener how the transfer ended.
+    // Reports the result of the transfer to the listener.
     void report(CURLcode ec)
     {
         const auto [call, attempt] = key();
@@ -160,7 +160,7 @@
         while (!line.empty() && (line.back() == '\r' || line.back() == '\n'))
             line.remove_suffix(1);
         if (line.rfind("HTTP/", 0) == 0) {
-            m_head = AnswerHead{}; // a new head, after an interim one
+            m_head = AnswerHead{}; // the head of another response, after an interim one
             m_isNotRun = false;
             m_limit = ParsedLimit{};
             m_isDraining = false;
@@ -202,7 +202,7 @@
         constexpr std::size_t kAbort = 0;
         if (!beginAnswer())
             return m_failure && m_failure->reason != Reason::CallerLeft ? bytes.size() : kAbort;
-        // Of a stream only whole events are passed on, so that another engine can go on after them.
+        // Of a stream only complete events are forwarded, so that another engine can continue it.
         const std::string joined
             = m_partialEvent.empty() ? "" : m_partialEvent + std::string(bytes);
         const std::string_view all = joined.empty() ? bytes : std::string_view(joined);
@@ -273,14 +273,14 @@
         return end;
     }
 
-    // What came after the last whole event, at the end of an answer.
+    // At the end of an answer, forwards the bytes after the last complete event.
     bool forwardRest()
     {
         return m_partialEvent.empty()
                || forward(m_partialEvent) == Exchange::AppendResult::Accepted;
     }
 
-    // The answer, if it is to be kept and short enough.
+    // Returns the answer if it is to be stored and short enough; otherwise an empty one.
     StoredAnswer storedAnswer() const
     {
         if (!m_attempt.send.keepAnswer || m_storedBody.size() > kMaxStoredBytes)
@@ -300,7 +300,7 @@
             m_tail.erase(0, m_tail.size() - kTailBytes);
     }
 
-    // Decides, once the head is whole, whether this is an answer to pass on.
+    // Decides, once the head is complete, whether to forward the answer.
     bool beginAnswer()
     {
         if (m_isAnswerBegun || m_failure)
@@ -334,13 +334,13 @@
         return m_isAnswerBegun;
     }
 
-    // While no answer has named a limit there is none to be lifted: the dispatch thread need not
-    // hear of each answer.
+    // As long as no answer has named a limit, none can be lifted, so answers without one need not
+    // be reported to the dispatch thread.
     void reportLimit(long status)
     {
         const bool isNamed = m_limit.perSecond || m_limit.isUnreadable;
         m_client.m_hasReadLimit = m_client.m_hasReadLimit || isNamed;
-        // A failure that something on the way has made up names no limit, and lifts none.
+        // An error answer without a limit may come from an intermediary; it does not lift a limit.
         if (m_client.m_hasReadLimit && (isNamed || status < kFirstErrorStatus))
             m_client.m_listener.limitRead(key().first, key().second, m_limit);
     }
@@ -355,7 +355,7 @@
             m_client.m_listener.noticeRead(key().first, key().second, notice);
     }
 
-    // A stream of events is whole only with its closing event.
+    // An event stream is complete only if it ended with the closing event.
     bool isStreamComplete() const
     {
         return !m_head.isStream || m_head.status >= 400
@@ -383,10 +383,10 @@
     curl_slist *m_headerList = nullptr;
     AnswerHead m_head;
     std::string m_storedBody;
-    std::string m_tail; // last bytes of the answer
-    std::string m_partialEvent; // of a stream, not passed on yet
+    std::string m_tail; // the last bytes of the answer
+    std::string m_partialEvent; // incomplete event of a stream, not forwarded yet
     std::uint64_t m_forwardedEvents = 0;
-    bool m_forwardsWholeEvents = true; // a stream has been passed on in whole events only
+    bool m_forwardsWholeEvents = true; // so far, only complete events of the stream were forwarded
     std::optional<AttemptFailure> m_failure;
     double m_cost = 0.0;
     bool m_isNotRun = false;
@@ -395,7 +395,7 @@
     ParsedBackoff m_backoff;
     bool m_isVersionMismatch = false;
     bool m_isAnswerBegun = false;
-    bool m_isDetached = false; // the caller has left, the answer is taken to be kept
+    bool m_isDetached = false; // the caller disconnected; the answer is read only to be stored
     bool m_isPaused = false;
 };
 
--- a/src/adapters/http/upstream_client.hpp
+++ b/src/adapters/http/upstream_client.hpp
@@ -19,7 +19,7 @@
 
 namespace fordwood::adapters {
 
-// What the dispatch thread hears of its attempts. Called from the client's thread.
+// Receives the results of attempts. Called from the client's thread.
 class UpstreamListener
 {
 public:
@@ -27,30 +27,29 @@
     virtual void attemptFinished(CallId call, unsigned attempt, double cost, StoredAnswer answer)
         = 0;
     virtual void attemptFailed(CallId call, unsigned attempt, const AttemptFailure &failure) = 0;
-    // The head of an answer is there, and says this of the upstream's limit.
+    // The head of an answer was received, with this information on the upstream's limit.
     virtual void limitRead(CallId call, unsigned attempt, const ParsedLimit &limit) = 0;
-    // The head of an answer says this of the upstream. Comes before the end of the attempt.
+    // The head of an answer contains a notice of the upstream. Called before the attempt ends.
     virtual void noticeRead(CallId call, unsigned attempt, const UpstreamNotice &notice) = 0;
 };
 
-// One attempt to have a call answered by an upstream.
+// One attempt to send a call to an upstream.
 struct UpstreamAttempt
 {
     SendCall send;
     std::shared_ptr<Exchange> exchange;
 };
 
-// Talks HTTP to upstreams, all attempts on one thread, which wakes only for the sockets that have
-// something to do. For every attempt it tells whether the
-// request may have run: "not run" only if no byte of it was handed to a socket, or if the upstream
-// says so itself with the header `X-Request-Not-Run: true`.
+// HTTP client for upstreams. Runs all attempts on one thread, which waits for socket events. For
+// each attempt it reports whether the request may have run: "not run" only if no byte of it was
+// passed to a socket, or if the upstream states so with the header `X-Request-Not-Run: true`.
 class UpstreamClient
 {
 public:
     UpstreamClient(const Clock &clock, UpstreamListener &listener, std::size_t ringSize);
     ~UpstreamClient();
 
-    // False when the ring to the client's thread is full.
+    // Both return false if the queue to the client's thread is full.
     bool send(UpstreamAttempt attempt);
     bool cancel(const CancelAttempt &cancel);
 
@@ -60,7 +59,7 @@
 
 private:
     class Transfer;
-    struct FreedSpace // a transfer whose answer has space again
+    struct FreedSpace // identifies a transfer whose answer buffer has space again
     {
         CallId call;
         unsigned attempt;
@@ -85,11 +84,11 @@
     BoundedRing<CancelAttempt> m_cancels;
     BoundedRing<FreedSpace> m_freedSpaces;
     CURLM *m_multi;
-    int m_epoll; // all sockets of the transfers, and the wake-up
-    int m_wakeup; // an eventfd that other threads write
-    std::optional<TimePoint> m_timer; // when the library wants to be called
+    int m_epoll; // watches all sockets of the transfers, and m_wakeup
+    int m_wakeup; // an eventfd that other threads write to
+    std::optional<TimePoint> m_timer; // when libcurl is to be called next
     std::map<Key, std::unique_ptr<Transfer>> m_transfers;
-    bool m_hasReadLimit = false; // in any answer so far
+    bool m_hasReadLimit = false; // true once any answer has named a limit
     std::atomic<bool> m_stopping{false};
 };
 
--- a/src/adapters/observe/easylogging_unit.cpp
+++ b/src/adapters/observe/easylogging_unit.cpp
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: MIT
-// easylogging++ comes as a source file that every program compiles once.
+// easylogging++ is distributed as a source file that each program compiles once.
 #include <easylogging++.cc>
--- a/src/adapters/observe/event_log.cpp
+++ b/src/adapters/observe/event_log.cpp
@@ -33,7 +33,7 @@
 #undef FORDWOOD_EVENT
 };
 
-std::string programName; // NOLINT: set once at start, before any other thread
+std::string programName; // NOLINT: set once at startup, before other threads start
 bool jsonLines = false; // NOLINT: likewise
 
 const EventInfo &findInfo(Event event)
@@ -103,7 +103,7 @@
     }
 }
 
-// Writes the lines of all threads, a batch at a time so that it wakes seldom.
+// Writes the lines of all threads in batches, so that the thread rarely wakes up.
 class LogThread
 {
 public:
@@ -119,7 +119,7 @@
     void push(EventLevel level, std::string line) { m_lines.push({level, std::move(line)}); }
 
 private:
-    // A busy node writes some hundred lines a second; more than this wait only in a storm.
+    // A busy node writes a few hundred lines per second; the limit is reached only in a burst.
     static constexpr std::size_t kMaxPendingLines = 4'096;
     static constexpr std::chrono::milliseconds kBatchPeriod{50};
 
--- a/src/adapters/observe/event_log.hpp
+++ b/src/adapters/observe/event_log.hpp
@@ -33,20 +33,20 @@
     std::string value;
 };
 
-// Sets the form of the log (key=value or JSON lines on standard error) and the program's name.
+// Sets the log format (key=value text or JSON lines) and the program's name.
 void openEventLog(const std::string &program, bool json);
 
-// From here on a thread of its own writes the log: logEvent() never waits, and drops its line when
-// more than a few thousand wait to be written. Call once, and stopLogThread() before the end.
+// Starts a thread that writes the log. From then on logEvent() never blocks, and drops its line if
+// a few thousand lines are pending. Call once, and call stopLogThread() before the process ends.
 void startLogThread();
 
-// Writes what is left and ends the thread.
+// Writes the pending lines and stops the thread.
 void stopLogThread();
 
-// The catalogue of events, in Markdown.
+// Returns the list of all events as a Markdown page.
 std::string eventsPage();
 
-// Writes one event.
+// Logs an event.
 void logEvent(Event event, std::initializer_list<EventField> fields = {});
 
 } // namespace fordwood::adapters
--- a/src/adapters/observe/limit_log.hpp
+++ b/src/adapters/observe/limit_log.hpp
@@ -12,18 +12,18 @@
 
 namespace fordwood::adapters {
 
-// Logs and counts what a node learns of limits that upstreams name.
+// Logs changes of the limits that upstreams announce, and counts unreadable ones.
 class LimitLog
 {
 public:
     explicit LimitLog(Metrics &metrics) : m_metrics(metrics) { }
 
-    // `source`: the request whose answer said so, or the peer that told it. `ownRate`: what this
-    // node may send now, in requests a second.
+    // `source`: the request whose answer named the limit, or the peer that reported it. `ownRate`:
+    // the rate at which this node may send now, in requests per second.
     void logChange(const LimitChange &change, std::string_view source,
                    std::optional<double> ownRate);
 
-    // An answer names a limit that is no number. Counted each time, logged once for each life.
+    // An answer named a limit that is not a number. Counted each time, logged once per instance.
     void logUnreadable(const std::string &instanceId, const std::string &requestId);
 
     void forget(const std::string &instanceId) { m_unreadable.erase(instanceId); }
--- a/src/adapters/observe/log_queue.hpp
+++ b/src/adapters/observe/log_queue.hpp
@@ -12,8 +12,8 @@
 
 namespace fordwood::adapters {
 
-// Log lines on their way to the thread that writes them. Bounded: when it is full a line is dropped
-// and counted, and its writer goes on at once.
+// A bounded queue of log lines for the thread that writes them. If the queue is full, push() drops
+// and counts the line instead of blocking.
 class LogQueue
 {
 public:
@@ -25,15 +25,15 @@
 
     explicit LogQueue(std::size_t capacity) : m_lines(capacity) { }
 
-    // From any thread; never waits.
+    // May be called from any thread; never blocks.
     void push(Line line)
     {
         if (!m_lines.tryPush(std::move(line)))
             m_dropped.fetch_add(1);
     }
 
-    // Hands all lines that wait to `write`, in order. The number of lines that were dropped since
-    // the last call. For one thread.
+    // Passes all pending lines to `write`, in order. Returns the number of lines dropped since the
+    // last call. To be called from one thread only.
     template <typename Write>
     std::uint64_t drain(Write write)
     {
--- a/src/adapters/observe/metrics.hpp
+++ b/src/adapters/observe/metrics.hpp
@@ -16,20 +16,20 @@
 
 namespace fordwood::adapters {
 
-// The counters, gauges and histograms of one process. Every reason has its counters from the start,
-// so that a zero is seen as a zero. Thread-safe.
+// The counters, gauges and histograms of one process. The counters of every reason are registered
+// at startup, so that they are exported as zero before their first increment. Thread-safe.
 class Metrics
 {
 public:
     Metrics();
 
-    // Counts a request that ended without a whole answer of an upstream.
+    // Counts a request that ended without a complete answer from an upstream.
     void countRefusal(Reason reason);
 
-    // Counts a call that was sent, or asked for, again.
+    // Counts a call that was sent again or whose permit was requested again.
     void countRetry(Reason reason);
 
-    // Counts anything else, by name.
+    // Increments a counter by name.
     void count(const std::string &name, double by = 1.0);
 
     void setGauge(const std::string &name, double value);
@@ -37,7 +37,7 @@
     // Adds a time to a histogram.
     void observe(const std::string &name, Duration time);
 
-    // Everything in Prometheus text form.
+    // Returns all metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/src/adapters/platform/etcd_store.cpp
+++ b/src/adapters/platform/etcd_store.cpp
@@ -18,8 +18,9 @@
                          + std::chrono::duration_cast<std::chrono::milliseconds>(timeout));
 }
 
-// What a failed write may have done. Only answers that the service gives before it does anything
-// count as "not run"; "unavailable" does not, since the connection may break after the effect.
+// Whether a failed write may have been executed. Only errors that the service returns before it
+// executes anything count as "not run"; "unavailable" does not, since the connection may be lost
+// after the write was executed.
 RunState writeState(const grpc::Status &status)
 {
     switch (status.error_code()) {
@@ -89,7 +90,7 @@
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectBackoffMs);
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectBackoffMs);
     arguments.SetMaxReceiveMessageSize(kMaxReceiveBytes);
-    // Retries of the library itself would hide whether a write has run.
+    // Retries by the library would hide whether a write was executed.
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
     m_channel = grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments);
     m_keyValue = etcdserverpb::KV::NewStub(m_channel);
--- a/src/adapters/platform/etcd_store.hpp
+++ b/src/adapters/platform/etcd_store.hpp
@@ -10,7 +10,7 @@
 
 namespace fordwood::adapters {
 
-// One change of a watched key, or why the watch ended.
+// A change of a watched key, or the reason why the watch ended.
 using WatchResult = StoreResult<StoredValue>;
 
 // A running watch on one key.
@@ -32,7 +32,7 @@
         m_stream;
 };
 
-// The key-value service spoken to by the etcd v3 protocol.
+// A client for the key-value service, using the etcd v3 protocol.
 class EtcdStore : public KeyValueStore
 {
 public:
@@ -45,7 +45,7 @@
     StoreResult<bool> writeMissing(const std::vector<ConditionalWrite> &writes,
                                    Duration timeout) override;
 
-    // Watches a key for writes after a revision.
+    // Watches a key for writes that follow a revision.
     std::shared_ptr<KeyWatch> watch(const std::string &key, std::int64_t afterRevision);
 
 private:
--- a/src/adapters/platform/load_table_codec.hpp
+++ b/src/adapters/platform/load_table_codec.hpp
@@ -9,10 +9,10 @@
 
 namespace fordwood::adapters {
 
-// The table of load slots as it is stored.
+// Encodes the table of load slots for storage.
 std::string encodeLoadTable(const LoadTable &table);
 
-// Empty when the bytes are no table.
+// Returns nothing if the bytes are not an encoded table.
 std::optional<LoadTable> decodeLoadTable(const std::string &bytes);
 
 } // namespace fordwood::adapters
--- a/src/adapters/platform/proto_head_codec.hpp
+++ b/src/adapters/platform/proto_head_codec.hpp
@@ -7,7 +7,7 @@
 
 namespace fordwood::adapters {
 
-// Heads and manifests as Protocol Buffers messages.
+// Encodes heads and manifests as Protocol Buffers messages.
 class ProtoHeadCodec : public HeadCodec
 {
 public:
@@ -18,7 +18,7 @@
     std::string digest(const std::string &bytes) const override;
 };
 
-// Between the coordination library's types and the messages.
+// Converts between the core types and the wire messages.
 wire::Head toWire(const ConfigHead &head);
 ConfigHead fromWire(const wire::Head &message);
 
--- a/src/adapters/platform/vm_list.hpp
+++ b/src/adapters/platform/vm_list.hpp
@@ -9,11 +9,11 @@
 
 namespace fordwood::adapters {
 
-// Reads the JSON of the platform's VM list:
+// Parses the JSON of the platform's VM list:
 // {"revision": n, "vms": [{"name", "role": "entry" | "upstream" | "store", "failure_domain",
 // "region",
 //           "control_address", "state": "live" | "leaving"}]}
-// Empty when the text has another shape.
+// Returns nothing if the text has another structure.
 std::optional<VmList> parseVmList(const std::string &json);
 
 } // namespace fordwood::adapters
--- a/src/adapters/system_clock.hpp
+++ b/src/adapters/system_clock.hpp
@@ -8,9 +8,9 @@
 
 namespace fordwood::adapters {
 
-// Monotonic time that goes on while the VM is suspended, in the form that timers need. On the
-// steady clock a node that was suspended for longer than its lease still holds its lock on waking,
-// beside the holder after it.
+// Monotonic clock that includes the time while the VM is suspended, for use with timers. The steady
+// clock stops while suspended: a node suspended for longer than its lease would believe after
+// resuming that it still holds its lock, although another node has acquired it.
 struct BootClock
 {
     using duration = Duration;
--- a/src/adapters/threads/bounded_ring.hpp
+++ b/src/adapters/threads/bounded_ring.hpp
@@ -15,8 +15,8 @@
 
 namespace fordwood::adapters {
 
-// A bounded ring between threads: any number of producers, one consumer. A full ring refuses at
-// once and never blocks its producer.
+// A bounded queue between threads, with any number of producers and one consumer. If the queue is
+// full, tryPush() fails at once; producers never block.
 template <typename T>
 class BoundedRing
 {
@@ -29,7 +29,7 @@
         while (tryPop()) { }
     }
 
-    // False when the ring is full; the value is then dropped.
+    // Returns false if the queue is full; the value is then dropped.
     bool tryPush(T value)
     {
         auto node = std::make_unique<T>(std::move(value));
@@ -52,7 +52,7 @@
         return std::move(*node);
     }
 
-    // Waits for a value, for `timeout` at most.
+    // Waits for a value for at most `timeout`.
     std::optional<T> pop(Duration timeout)
     {
         if (auto value = tryPop())
--- a/tests/system/suspended_clock_test.cpp
+++ b/tests/system/suspended_clock_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// A VM may be suspended for seconds. The steady clock does not count that time, so a node that took
-// its time from there would believe on waking that a lease is still its own which others hold by
-// now, and would give an upstream more time than a caller has left. This program puts its own
-// clock_gettime before that of the C library, to suspend itself.
+// A VM may be suspended for seconds, and the steady clock does not count that time. A node that
+// used it would, after resuming, treat an expired lease as still valid while another node holds it,
+// and allow an upstream more time than the caller has left. This program overrides clock_gettime of
+// the C library to simulate a suspension.
 #include <doctest/doctest.h>
 
 #include <ctime>
@@ -33,7 +33,7 @@
     return result;
 }
 
-TEST_CASE("system clock: the time in which the VM was suspended counts")
+TEST_CASE("system clock: includes the time while the VM was suspended")
 {
     const adapters::SystemClock clock;
     const TimePoint before = clock.now();
@@ -43,7 +43,7 @@
     CHECK(clock.now() >= after);
 }
 
-TEST_CASE("system clock: a lock whose lease ran out while its holder was suspended is not held")
+TEST_CASE("system clock: a lock is not held if its lease expired while the holder was suspended")
 {
     const adapters::SystemClock clock;
     FencedLock::Limits limits;
@@ -59,7 +59,8 @@
     CHECK_FALSE(lock.holding());
 }
 
-TEST_CASE("system clock: a deadline that passed while the VM was suspended is noticed on waking")
+TEST_CASE(
+    "system clock: a deadline that passed while the VM was suspended is detected after resuming")
 {
     boost::asio::io_context context;
     const adapters::SystemClock clock;
@@ -68,7 +69,7 @@
     deadline.expires_at(clock.now() + 1h);
     deadline.async_wait([&](const boost::system::error_code &ec) { hasPassed = !ec; });
     suspendedTime += 2h;
-    // A thread's regular work wakes it.
+    // Stands for the regular work of a thread, which wakes it up.
     boost::asio::steady_timer work(context);
     work.expires_after(1ms);
     work.async_wait([](const boost::system::error_code &) {});
--- a/tests/unit/log_queue_test.cpp
+++ b/tests/unit/log_queue_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("log: a full queue drops lines, counts them, and keeps the older ones [log]")
+TEST_CASE("log: a full queue drops and counts new lines and keeps the older ones [log]")
 {
     LogQueue queue(2);
     for (const char *it : {"one", "two", "three", "four", "five"})
@@ -28,7 +28,7 @@
     CHECK(dropped == 3);
 }
 
-TEST_CASE("log: each dropped line is counted once, and the queue takes lines again [log]")
+TEST_CASE("log: each dropped line is counted once, and a drained queue accepts lines again [log]")
 {
     LogQueue queue(1);
     queue.push({EventLevel::Info, "one"});
