--- a/src/adapters/grpc/control_service.cpp
+++ b/src/adapters/grpc/control_service.cpp
@@ -25,7 +25,7 @@
     void finish()
     {
         const std::lock_guard lock(m_mutex);
-        if (!std::exchange(m_finished, true))
+        if (!std::exchange(m_isFinished, true))
             Finish(grpc::Status::OK);
     }
 
@@ -34,7 +34,7 @@
         if (!ok)
             return finish();
         const std::lock_guard lock(m_mutex);
-        m_writing = false;
+        m_isWriting = false;
         writeNext();
     }
 
@@ -49,7 +49,7 @@
 private:
     void writeNext()
     {
-        if (m_writing || m_finished || !m_pending)
+        if (m_isWriting || m_isFinished || !m_pending)
             return;
         const auto full = std::move(m_pending);
         m_pending = nullptr;
@@ -65,7 +65,7 @@
                 *m_current.add_new_pieces() = it;
         }
         m_sent = std::move(present);
-        m_writing = true;
+        m_isWriting = true;
         StartWrite(&m_current);
     }
 
@@ -76,8 +76,8 @@
     std::shared_ptr<const wire::Snapshot> m_pending;
     wire::Snapshot m_current;
     std::set<std::string> m_sent; // digests of the pieces that the subscriber has
-    bool m_writing = false;
-    bool m_finished = false;
+    bool m_isWriting = false;
+    bool m_isFinished = false;
 };
 
 ControlService::ControlService() = default;
@@ -107,7 +107,7 @@
     std::vector<std::shared_ptr<Stream>> streams;
     {
         const std::lock_guard lock(m_mutex);
-        m_closing = true;
+        m_isClosing = true;
         for (const auto &[id, it] : m_streams)
             streams.push_back(it);
     }
@@ -120,7 +120,7 @@
 {
     std::shared_ptr<Stream> stream;
     std::shared_ptr<const wire::Snapshot> full;
-    bool closing = false;
+    bool isClosing = false;
     {
         const std::lock_guard lock(m_mutex);
         const std::uint64_t id = m_nextId++;
@@ -128,11 +128,11 @@
         stream->setSelf(stream);
         m_streams.emplace(id, stream);
         full = m_fullSnapshot;
-        closing = m_closing;
+        isClosing = m_isClosing;
     }
     if (full)
         stream->offer(full);
-    if (closing)
+    if (isClosing)
         stream->finish();
     return stream.get();
 }
--- a/src/adapters/grpc/control_service.hpp
+++ b/src/adapters/grpc/control_service.hpp
@@ -46,7 +46,7 @@
     wire::StatusReply m_status;
     std::map<std::uint64_t, std::shared_ptr<Stream>> m_streams;
     std::uint64_t m_nextId = 1;
-    bool m_closing = false;
+    bool m_isClosing = false;
 };
 
 } // namespace fordwood::adapters
--- a/src/adapters/grpc/peer_links.cpp
+++ b/src/adapters/grpc/peer_links.cpp
@@ -167,11 +167,11 @@
     {
         const std::lock_guard lock(m_mutex);
         for (auto it = m_outgoingLinks.begin(); it != m_outgoingLinks.end();) {
-            const bool wanted
+            const bool isWanted
                 = std::find(addresses.begin(), addresses.end(), it->first) != addresses.end();
-            if (!wanted && it->second.stream)
+            if (!isWanted && it->second.stream)
                 unwanted.push_back(it->second.stream);
-            it = wanted ? std::next(it) : m_outgoingLinks.erase(it);
+            it = isWanted ? std::next(it) : m_outgoingLinks.erase(it);
         }
         for (const std::string &it : addresses)
             m_outgoingLinks.try_emplace(it, OutgoingLink{openChannel(it), nullptr});
@@ -186,7 +186,7 @@
     std::vector<std::pair<std::shared_ptr<OutgoingStream>, std::shared_ptr<grpc::Channel>>> opened;
     {
         const std::lock_guard lock(m_mutex);
-        if (m_closing)
+        if (m_isClosing)
             return;
         for (auto &[address, link] : m_outgoingLinks) {
             if (link.stream)
@@ -221,7 +221,7 @@
     std::vector<std::shared_ptr<PeerStream>> all;
     {
         const std::lock_guard lock(m_mutex);
-        m_closing = true;
+        m_isClosing = true;
         all = m_incomingStreams;
         for (const auto &[address, link] : m_outgoingLinks) {
             if (link.stream)
@@ -258,14 +258,14 @@
         if (message.node().empty() || message.node() == m_self)
             return stream->close(); // not a peer: a seed address may be this node's own
         peer = message.node();
-        bool first = false;
+        bool isFirstStream = false;
         {
             const std::lock_guard lock(m_mutex);
             auto &streams = m_streams[peer];
-            first = streams.empty();
+            isFirstStream = streams.empty();
             streams.push_back(stream);
         }
-        if (first)
+        if (isFirstStream)
             m_listener.linkUp(peer);
         return;
     }
@@ -274,23 +274,24 @@
 
 void PeerLinks::onStreamEnd(const PeerStream *stream, const std::string &peer)
 {
-    bool last = false;
+    bool isLastStream = false;
     {
         const std::lock_guard lock(m_mutex);
-        const auto same = [&](const auto &it) { return it.get() == stream; };
-        std::erase_if(m_incomingStreams, same);
+        const auto isThisStream = [&](const auto &it) { return it.get() == stream; };
+        std::erase_if(m_incomingStreams, isThisStream);
         for (auto &[address, link] : m_outgoingLinks) {
             if (link.stream && static_cast<PeerStream *>(link.stream.get()) == stream)
                 link.stream = nullptr;
         }
-        const auto known = m_streams.find(peer);
-        if (known != m_streams.end()) {
-            last = std::erase_if(known->second, same) > 0 && known->second.empty();
-            if (last)
-                m_streams.erase(known);
+        const auto peerStreams = m_streams.find(peer);
+        if (peerStreams != m_streams.end()) {
+            isLastStream = std::erase_if(peerStreams->second, isThisStream) > 0
+                           && peerStreams->second.empty();
+            if (isLastStream)
+                m_streams.erase(peerStreams);
         }
     }
-    if (last)
+    if (isLastStream)
         m_listener.linkDown(peer);
     // Must follow the call of the listener: after this, closeAll() may return and the objects may
     // be destroyed.
--- a/src/adapters/grpc/peer_links.hpp
+++ b/src/adapters/grpc/peer_links.hpp
@@ -86,7 +86,7 @@
     std::map<std::string, OutgoingLink> m_outgoingLinks; // by address
     int m_openOutgoing = 0;
     std::atomic<std::uint64_t> m_bytesSent{0};
-    bool m_closing = false;
+    bool m_isClosing = false;
 };
 
 } // namespace fordwood::adapters
--- a/src/adapters/grpc/permit_client.cpp
+++ b/src/adapters/grpc/permit_client.cpp
@@ -273,9 +273,9 @@
             old->second->close();
         // The end of the old stream is reported like any other; until then it stays in m_streams.
     }
-    const auto known = m_streams.find(owner);
-    if (known != m_streams.end())
-        return known->second;
+    const auto existing = m_streams.find(owner);
+    if (existing != m_streams.end())
+        return existing->second;
     auto stream = std::make_shared<Stream>(owner, m_nextStream++, m_listener, m_openStreams);
     m_streams.emplace(owner, stream);
     stream->start(stream, channel.channel);
--- a/src/adapters/grpc/permit_service.cpp
+++ b/src/adapters/grpc/permit_service.cpp
@@ -171,7 +171,7 @@
     std::vector<std::shared_ptr<Stream>> streams;
     {
         const std::lock_guard lock(m_mutex);
-        m_closing = true;
+        m_isClosing = true;
         for (const auto &[holder, it] : m_streams)
             streams.push_back(it);
     }
@@ -183,16 +183,16 @@
 PermitService::Exchange(grpc::CallbackServerContext *)
 {
     std::shared_ptr<Stream> stream;
-    bool closing = false;
+    bool isClosing = false;
     {
         const std::lock_guard lock(m_mutex);
         const HolderId holder = m_nextHolder++;
         stream = std::make_shared<Stream>(*this, holder);
         m_streams.emplace(holder, stream);
-        closing = m_closing;
+        isClosing = m_isClosing;
     }
     stream->start(stream);
-    if (closing)
+    if (isClosing)
         stream->finish();
     return stream.get();
 }
--- a/src/adapters/grpc/permit_service.hpp
+++ b/src/adapters/grpc/permit_service.hpp
@@ -59,7 +59,7 @@
     std::mutex m_mutex;
     std::unordered_map<HolderId, std::shared_ptr<Stream>> m_streams;
     HolderId m_nextHolder = 1;
-    bool m_closing = false;
+    bool m_isClosing = false;
 };
 
 } // namespace fordwood::adapters
--- a/src/adapters/http/caller_server.cpp
+++ b/src/adapters/http/caller_server.cpp
@@ -16,7 +16,7 @@
 
 constexpr auto kWatchPeriod = std::chrono::milliseconds(100);
 constexpr unsigned kIdleTimeoutSeconds = 300;
-constexpr unsigned kSpareConnections = 64;
+constexpr unsigned kExtraConnections = 64;
 constexpr std::size_t kReadBlockBytes = 16'384;
 constexpr std::size_t kMaxDiscardFactor
     = 8; // larger bodies, in multiples of maxBodyBytes, are not read
@@ -103,9 +103,9 @@
 {
     int lengths = 0;
     for (const auto &[name, value] : headers) {
-        const bool length = strcasecmp(name.c_str(), "Content-Length") == 0;
-        const bool coding = strcasecmp(name.c_str(), "Transfer-Encoding") == 0;
-        lengths += length || coding ? 1 : 0;
+        const bool isLength = strcasecmp(name.c_str(), "Content-Length") == 0;
+        const bool isCoding = strcasecmp(name.c_str(), "Transfer-Encoding") == 0;
+        lengths += isLength || isCoding ? 1 : 0;
     }
     return lengths > 1;
 }
@@ -131,7 +131,7 @@
         auto &server = *static_cast<CallerServer *>(cls);
         auto *incoming = static_cast<IncomingRequest *>(*state);
         if (incoming->request.method.empty())
-            return begin(server, connection, *incoming, method);
+            return beginRequest(server, connection, *incoming, method);
         if (*size > 0) {
             appendBody(server, *incoming, std::string_view(data, *size));
             *size = 0;
@@ -144,8 +144,8 @@
         return handle(server, connection, *incoming);
     }
 
-    static MHD_Result begin(CallerServer &server, MHD_Connection *connection,
-                            IncomingRequest &incoming, const char *method)
+    static MHD_Result beginRequest(CallerServer &server, MHD_Connection *connection,
+                                   IncomingRequest &incoming, const char *method)
     {
         incoming.request.method = method;
         MHD_get_connection_values(connection, MHD_HEADER_KIND, &addHeader,
@@ -271,7 +271,7 @@
         flags, 0, &Self::onAccept, this, &Self::onRequest, this, MHD_OPTION_EXTERNAL_LOGGER,
         &Self::onLog, this, MHD_OPTION_SOCK_ADDR, address->get(), MHD_OPTION_THREAD_POOL_SIZE,
         std::max(2U, m_settings.httpThreads), MHD_OPTION_CONNECTION_LIMIT,
-        m_settings.maxConnections + kSpareConnections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+        m_settings.maxConnections + kExtraConnections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
         m_settings.maxHeaderBytes + kReadBlockBytes, MHD_OPTION_CONNECTION_TIMEOUT,
         kIdleTimeoutSeconds, MHD_OPTION_URI_LOG_CALLBACK, &Self::onUri, this,
         MHD_OPTION_NOTIFY_COMPLETED, &Self::onRequestCompleted, this, MHD_OPTION_NOTIFY_CONNECTION,
--- a/src/adapters/http/caller_watch.cpp
+++ b/src/adapters/http/caller_watch.cpp
@@ -74,9 +74,9 @@
         for (std::size_t it = 0; it < sockets.size(); ++it) {
             if ((sockets[it].revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0)
                 continue;
-            const auto known = m_connections.find(keys[it]);
-            if (known != m_connections.end() && known->second.onDisconnect)
-                disconnected.push_back(std::exchange(known->second.onDisconnect, nullptr));
+            const auto found = m_connections.find(keys[it]);
+            if (found != m_connections.end() && found->second.onDisconnect)
+                disconnected.push_back(std::exchange(found->second.onDisconnect, nullptr));
         }
     }
     for (const auto &it : disconnected)
--- a/src/adapters/http/exchange.cpp
+++ b/src/adapters/http/exchange.cpp
@@ -188,14 +188,14 @@
 
 std::string refusalBody(const Verdict &verdict)
 {
-    const ReasonInfo &known = info(verdict.reason);
-    std::string message(known.text);
+    const ReasonInfo &reasonInfo = info(verdict.reason);
+    std::string message(reasonInfo.text);
     if (!verdict.detail.empty())
         message += " " + verdict.detail;
     const nlohmann::json body{{"error",
                                {{"message", message},
                                 {"type", "fordwood_refusal"},
-                                {"code", known.name},
+                                {"code", reasonInfo.name},
                                 {"verdict", headerValue(verdict.state)}}}};
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
--- a/src/adapters/http/upstream_client.cpp
+++ b/src/adapters/http/upstream_client.cpp
@@ -205,13 +205,14 @@
         // Of a stream only complete events are forwarded, so that another engine can continue it.
         const std::string joined
             = m_partialEvent.empty() ? "" : m_partialEvent + std::string(bytes);
-        const std::string_view all = joined.empty() ? bytes : std::string_view(joined);
-        m_forwardsWholeEvents = m_forwardsWholeEvents && all.size() <= kMaxEventBytes;
+        const std::string_view unforwarded = joined.empty() ? bytes : std::string_view(joined);
+        m_forwardsWholeEvents = m_forwardsWholeEvents && unforwarded.size() <= kMaxEventBytes;
         const bool byEvents = m_head.isStream && m_forwardsWholeEvents;
-        const std::string_view complete = byEvents ? all.substr(0, endOfEvents(all)) : all;
+        const std::string_view complete
+            = byEvents ? unforwarded.substr(0, endOfEvents(unforwarded)) : unforwarded;
         switch (forward(complete)) {
         case Exchange::AppendResult::Accepted:
-            m_partialEvent = std::string(all.substr(complete.size()));
+            m_partialEvent = std::string(unforwarded.substr(complete.size()));
             return bytes.size();
         case Exchange::AppendResult::Full:
             m_isPaused = true;
@@ -536,9 +537,9 @@
 void UpstreamClient::start(UpstreamAttempt attempt)
 {
     const bool isLate = m_clock.now() > attempt.send.sendBy;
-    const FreedSpace wakeup{attempt.send.call, attempt.send.attempt};
-    attempt.exchange->setOnSpace([this, wakeup] {
-        m_freedSpaces.tryPush(wakeup);
+    const FreedSpace freedSpace{attempt.send.call, attempt.send.attempt};
+    attempt.exchange->setOnSpace([this, freedSpace] {
+        m_freedSpaces.tryPush(freedSpace);
         wake();
     });
     auto transfer = std::make_unique<Transfer>(*this, std::move(attempt));
