--- a/src/adapters/grpc/control_service.cpp
+++ b/src/adapters/grpc/control_service.cpp
@@ -6,25 +6,26 @@
 
 namespace fordwood::adapters {
 
-// One subscriber. Only the newest state matters, so a slow subscriber skips those in between.
+// The stream to one subscriber. Only the latest snapshot matters, so a slow subscriber skips
+// intermediate ones.
 class ControlService::Stream : public grpc::ServerWriteReactor<wire::Snapshot>
 {
 public:
     Stream(ControlService &service, std::uint64_t id) : m_service(service), m_id(id) { }
 
-    void keep(std::shared_ptr<Stream> self) { m_self = std::move(self); }
+    void setSelf(std::shared_ptr<Stream> self) { m_self = std::move(self); }
 
     void offer(std::shared_ptr<const wire::Snapshot> full)
     {
         const std::lock_guard lock(m_mutex);
-        m_waiting = std::move(full);
+        m_pending = std::move(full);
         writeNext();
     }
 
     void finish()
     {
         const std::lock_guard lock(m_mutex);
-        if (!std::exchange(m_finished, true))
+        if (!std::exchange(m_isFinished, true))
             Finish(grpc::Status::OK);
     }
 
@@ -33,7 +34,7 @@
         if (!ok)
             return finish();
         const std::lock_guard lock(m_mutex);
-        m_writing = false;
+        m_isWriting = false;
         writeNext();
     }
 
@@ -48,10 +49,10 @@
 private:
     void writeNext()
     {
-        if (m_writing || m_finished || !m_waiting)
+        if (m_isWriting || m_isFinished || !m_pending)
             return;
-        const auto full = std::move(m_waiting);
-        m_waiting = nullptr;
+        const auto full = std::move(m_pending);
+        m_pending = nullptr;
         m_current.Clear();
         *m_current.mutable_head() = full->head();
         *m_current.mutable_manifest() = full->manifest();
@@ -64,7 +65,7 @@
                 *m_current.add_new_pieces() = it;
         }
         m_sent = std::move(present);
-        m_writing = true;
+        m_isWriting = true;
         StartWrite(&m_current);
     }
 
@@ -72,11 +73,11 @@
     std::uint64_t m_id;
     std::shared_ptr<Stream> m_self;
     std::mutex m_mutex;
-    std::shared_ptr<const wire::Snapshot> m_waiting;
+    std::shared_ptr<const wire::Snapshot> m_pending;
     wire::Snapshot m_current;
-    std::set<std::string> m_sent; // digests of the pieces that the subscriber holds
-    bool m_writing = false;
-    bool m_finished = false;
+    std::set<std::string> m_sent; // digests of the pieces that the subscriber has
+    bool m_isWriting = false;
+    bool m_isFinished = false;
 };
 
 ControlService::ControlService() = default;
@@ -87,7 +88,7 @@
     std::vector<std::shared_ptr<Stream>> streams;
     {
         const std::lock_guard lock(m_mutex);
-        m_full = full;
+        m_fullSnapshot = full;
         for (const auto &[id, it] : m_streams)
             streams.push_back(it);
     }
@@ -106,7 +107,7 @@
     std::vector<std::shared_ptr<Stream>> streams;
     {
         const std::lock_guard lock(m_mutex);
-        m_closing = true;
+        m_isClosing = true;
         for (const auto &[id, it] : m_streams)
             streams.push_back(it);
     }
@@ -119,19 +120,19 @@
 {
     std::shared_ptr<Stream> stream;
     std::shared_ptr<const wire::Snapshot> full;
-    bool closing = false;
+    bool isClosing = false;
     {
         const std::lock_guard lock(m_mutex);
         const std::uint64_t id = m_nextId++;
         stream = std::make_shared<Stream>(*this, id);
-        stream->keep(stream);
+        stream->setSelf(stream);
         m_streams.emplace(id, stream);
-        full = m_full;
-        closing = m_closing;
+        full = m_fullSnapshot;
+        isClosing = m_isClosing;
     }
     if (full)
         stream->offer(full);
-    if (closing)
+    if (isClosing)
         stream->finish();
     return stream.get();
 }
--- a/src/adapters/http/caller_watch.hpp
+++ b/src/adapters/http/caller_watch.hpp
@@ -12,41 +12,42 @@
 
 namespace fordwood::adapters {
 
-// Watches the callers' connections for what the HTTP library does not see: a caller that leaves
-// while its request is being served, and one that sends its request too slowly. check() is called
-// by a thread of its own. Thread-safe.
+// Detects what the HTTP library does not report: a caller that disconnects while its request is
+// being served, and one that sends its request too slowly. check() is called periodically by a
+// separate thread. Thread-safe.
 class CallerWatch
 {
 public:
     using Key = const void *; // the connection
 
-    // `onTimeout` is called for each connection closed for being slow.
+    // `onTimeout` is called for each connection that is closed because of the read timeout.
     CallerWatch(const Clock &clock, Duration readTimeout, std::function<void()> onTimeout);
 
-    void opened(Key key, int socket);
-    void closed(Key key);
+    void addConnection(Key key, int socket);
+    void removeConnection(Key key);
 
-    // A request is whole and being served; `onLeft` is called once if its caller leaves.
-    void serving(Key key, std::function<void()> onLeft);
+    // A request was received and is being served. `onDisconnect` is called once if the caller
+    // disconnects.
+    void markServing(Key key, std::function<void()> onDisconnect);
 
-    // The answer has been sent: the next request may begin.
-    void idle(Key key);
+    // The answer was sent, or a new request begins: restarts the read timeout.
+    void markIdle(Key key);
 
-    // Looks at every connection once.
+    // Checks every connection once.
     void check();
 
-    std::size_t connections() const;
+    std::size_t connectionCount() const;
 
 private:
     struct Connection
     {
         int socket = -1;
-        bool serving = false;
-        TimePoint since{}; // opened, or last answered
-        std::function<void()> onLeft;
+        bool isServing = false;
+        TimePoint idleSince{}; // start of the read timeout
+        std::function<void()> onDisconnect;
     };
 
-    void closeSlow();
+    void closeTimedOut();
 
     const Clock &m_clock;
     Duration m_readTimeout;
--- a/src/apps/controld/control_node.cpp
+++ b/src/apps/controld/control_node.cpp
@@ -84,7 +84,7 @@
     m_replicator.start();
     m_thread = std::thread([this] { run(); });
     // Until the VM list has been read, the seeds are the only known peers.
-    m_links.dial(m_settings.control.seeds);
+    m_links.setOutgoing(m_settings.control.seeds);
     return true;
 }
 
@@ -131,7 +131,7 @@
             nextTick = now + kReplicatorTick;
         }
         if (now >= nextReopen) {
-            m_links.reopen();
+            m_links.reopenBroken();
             nextReopen = now + kReopenLinks;
         }
         for (const ReplicatorAction &it : m_replicator.takeActions())
@@ -214,7 +214,7 @@
         std::vector<std::string> addresses;
         for (const Member &it : links->peers)
             addresses.push_back(it.controlAddress);
-        m_links.dial(addresses);
+        m_links.setOutgoing(addresses);
     } else if (const auto *platformReading = std::get_if<SetPlatformReading>(&action)) {
         m_platformReader.setReading(platformReading->enabled);
     } else if (const auto *fetch = std::get_if<FetchBlobs>(&action)) {
--- a/src/apps/entryd/api.cpp
+++ b/src/apps/entryd/api.cpp
@@ -43,7 +43,7 @@
            || std::find(kNames.begin(), kNames.end(), lower) != kNames.end();
 }
 
-const TeamConfig *findTeam(const ServingState &state, const adapters::CallerMessage &message)
+const TeamConfig *findTeam(const ServingState &state, const adapters::CallerRequest &message)
 {
     constexpr std::string_view kBearer = "Bearer ";
     const std::string header = message.header("Authorization");
@@ -55,7 +55,7 @@
 // Parses the headers that any request may have: deadline, priority, repeatable, idempotency key.
 tl::expected<CallRequest, Verdict> parseCommonFields(const ServingState &state,
                                                      const TeamConfig &team,
-                                                     const adapters::CallerMessage &message,
+                                                     const adapters::CallerRequest &message,
                                                      TimePoint now)
 {
     const LimitsConfig &limits = state.view->configuration().limits;
@@ -171,14 +171,14 @@
     // Insert the salt as text before the caller's fields, to leave the rest of the body unchanged.
     const std::string field = "\"cache_salt\":" + Json(salt).dump() + ",";
     if (request.weightVersion.empty())
-        request.saltBegin = request.body.find('{') + 1;
-    request.body.replace(request.saltBegin, request.saltLength, field);
+        request.saltOffset = request.body.find('{') + 1;
+    request.body.replace(request.saltOffset, request.saltLength, field);
     request.saltLength = field.size();
     request.weightVersion = version;
 }
 
 ParseResult parseCompletion(const ServingState &state, const TeamConfig &team,
-                            adapters::CallerMessage message, TimePoint now, bool chat)
+                            adapters::CallerRequest message, TimePoint now, bool chat)
 {
     if (message.method != "POST")
         return reject(Reason::MethodNotAllowed);
@@ -253,7 +253,7 @@
 }
 
 ParseResult parseServiceCall(const ServingState &state, const TeamConfig &team,
-                             adapters::CallerMessage message, TimePoint now)
+                             adapters::CallerRequest message, TimePoint now)
 {
     const RouteConfig *route = findRoute(state.view->configuration(), message.path);
     if (route == nullptr)
@@ -288,7 +288,7 @@
 }
 
 tl::expected<std::variant<ParsedRequest, adapters::DirectAnswer>, Verdict>
-parseRequest(const ServingState &state, adapters::CallerMessage message, TimePoint now)
+parseRequest(const ServingState &state, adapters::CallerRequest message, TimePoint now)
 {
     const TeamConfig *team = findTeam(state, message);
     if (team == nullptr)
--- a/src/apps/entryd/api.hpp
+++ b/src/apps/entryd/api.hpp
@@ -42,7 +42,7 @@
 // upstream. Returns a direct answer where no upstream is needed, and a verdict if the request is
 // rejected.
 tl::expected<std::variant<ParsedRequest, adapters::DirectAnswer>, Verdict>
-parseRequest(const ServingState &state, adapters::CallerMessage message, TimePoint now);
+parseRequest(const ServingState &state, adapters::CallerRequest message, TimePoint now);
 
 } // namespace fordwood::apps
 
--- a/tests/system/suspended_clock_test.cpp
+++ b/tests/system/suspended_clock_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// A VM may be suspended for seconds. The steady clock does not count that time, so a node that took
-// its time from there would believe on waking that a lease is still its own which others hold by
-// now, and would give an upstream more time than a caller has left. This program puts its own
-// clock_gettime before that of the C library, to suspend itself.
+// A VM may be suspended for seconds, and the steady clock does not count that time. A node that
+// used it would, after resuming, treat an expired lease as still valid while another node holds it,
+// and allow an upstream more time than the caller has left. This program overrides clock_gettime of
+// the C library to simulate a suspension.
 #include <doctest/doctest.h>
 
 #include <ctime>
@@ -21,7 +21,7 @@
 
 namespace {
 
-std::chrono::seconds suspended{0};
+std::chrono::seconds suspendedTime{0};
 
 } // namespace
 
@@ -29,21 +29,21 @@
 {
     const auto result = static_cast<int>(syscall(SYS_clock_gettime, clock, time));
     if (clock == CLOCK_BOOTTIME || clock == CLOCK_REALTIME)
-        time->tv_sec += suspended.count();
+        time->tv_sec += suspendedTime.count();
     return result;
 }
 
-TEST_CASE("system clock: the time in which the VM was suspended counts")
+TEST_CASE("system clock: includes the time while the VM was suspended")
 {
     const adapters::SystemClock clock;
     const TimePoint before = clock.now();
-    suspended += 5s;
+    suspendedTime += 5s;
     CHECK(clock.now() - before >= 5s);
     const TimePoint after = clock.now();
     CHECK(clock.now() >= after);
 }
 
-TEST_CASE("system clock: a lock whose lease ran out while its holder was suspended is not held")
+TEST_CASE("system clock: a lock is not held if its lease expired while the holder was suspended")
 {
     const adapters::SystemClock clock;
     FencedLock::Limits limits;
@@ -55,11 +55,12 @@
     REQUIRE(lock.tick().size() == 1);
     lock.acquireAnswered(WriteResult::Done, 9);
     REQUIRE(lock.holding());
-    suspended += 2h;
+    suspendedTime += 2h;
     CHECK_FALSE(lock.holding());
 }
 
-TEST_CASE("system clock: a deadline that passed while the VM was suspended is noticed on waking")
+TEST_CASE(
+    "system clock: a deadline that passed while the VM was suspended is detected after resuming")
 {
     boost::asio::io_context context;
     const adapters::SystemClock clock;
@@ -67,8 +68,8 @@
     node::DeadlineTimer deadline(context);
     deadline.expires_at(clock.now() + 1h);
     deadline.async_wait([&](const boost::system::error_code &ec) { hasPassed = !ec; });
-    suspended += 2h;
-    // A thread's regular work wakes it.
+    suspendedTime += 2h;
+    // Stands for the regular work of a thread, which wakes it up.
     boost::asio::steady_timer work(context);
     work.expires_after(1ms);
     work.async_wait([](const boost::system::error_code &) {});
