--- a/scripts/test_mixed_builds.sh
+++ b/scripts/test_mixed_builds.sh
@@ -9,11 +9,13 @@
 old=$(realpath "$1")
 new=$(realpath "${2:-build}")
 failed=0
+log=$(mktemp)
+trap 'rm -f "$log"' EXIT
 round() { # FOLDERS PROGRAM [OPTION...]
     local folders=$1
     shift
     echo "== $folders: ${1##*/} ${*:2}"
-    FORDWOOD_BUILDS=$folders "$@" | tail -n 3 || failed=1
+    FORDWOOD_BUILDS=$folders "$@" >"$log" 2>&1 && tail -n 3 "$log" || { cat "$log"; failed=1; }
 }
 for it in "$old/src:$new/src" "$new/src:$old/src"; do
     round "$it" "$new/tests/node-process-tests"
