--- a/src/apps/noded/main.cpp
+++ b/src/apps/noded/main.cpp
@@ -8,7 +8,7 @@
 #include "adapters/system_clock.hpp"
 #include "apps/common/daemon.hpp"
 #include "apps/common/options.hpp"
-#include "node/control_duty.hpp"
+#include "node/control_loop.hpp"
 #include "node/serving_loop.hpp"
 
 namespace {
@@ -35,7 +35,7 @@
 }
 
 // Waits for SIGTERM or SIGINT; a SIGHUP has the settings read again.
-int waitForStop(const sigset_t &signals, const std::string &path, node::ControlDuty &control)
+int waitForStop(const sigset_t &signals, const std::string &path, node::ControlLoop &control)
 {
     for (;;) {
         int signal = 0;
@@ -57,20 +57,20 @@
     adapters::Metrics metrics;
     // Each thread is told of the other only after both stand.
     node::ServingLoop *trafficDuty = nullptr;
-    node::ControlDuty *controlDuty = nullptr;
-    node::ControlDuty control(settings, clock, metrics, [&](node::FleetUpdate it) {
+    node::ControlLoop *controlLoop = nullptr;
+    node::ControlLoop control(settings, clock, metrics, [&](node::FleetUpdate it) {
         return trafficDuty->mailbox().push(std::move(it));
     });
     const auto tellLoads = [&](node::OwnLoads it) {
         // Loads are told again a moment later: one that does not fit is not missed.
-        std::ignore = controlDuty->loadsMailbox().push(std::move(it));
+        std::ignore = controlLoop->loadsMailbox().push(std::move(it));
     };
     const auto tellRequestNews = [&](std::vector<QuarantineUpdate> it) {
-        return controlDuty->requestNewsMailbox().push(std::move(it));
+        return controlLoop->quarantineUpdatesMailbox().push(std::move(it));
     };
     node::ServingLoop traffic(settings, clock, metrics, tellLoads, tellRequestNews);
     trafficDuty = &traffic;
-    controlDuty = &control;
+    controlLoop = &control;
     if (!control.open() || !traffic.open())
         return apps::ExitFailed;
     logEvent(Event::Started, {{"node", settings.node.name}, {"version", FORDWOOD_VERSION}});
--- a/src/node/control_limits.hpp
+++ b/src/node/control_limits.hpp
@@ -9,7 +9,7 @@
 #include "fordwood/relay_role.hpp"
 #include "fordwood/serving_config.hpp"
 
-// What ControlDuty takes from the node's settings and from the configuration.
+// What ControlLoop takes from the node's settings and from the configuration.
 namespace fordwood::node {
 
 // Names this life of the node as a holder of the lock.
--- a/src/node/control_duty.cpp
+++ b/src/node/control_loop.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "node/control_duty.hpp"
+#include "node/control_loop.hpp"
 
 #include <algorithm>
 
@@ -15,38 +15,38 @@
 using adapters::Event;
 using adapters::logEvent;
 
-constexpr Duration kTickEvery = std::chrono::milliseconds(20);
+constexpr Duration kTickInterval = std::chrono::milliseconds(20);
 
 // How often the node looks at who lives and what follows for its own duties.
-constexpr Duration kMembersEvery = std::chrono::milliseconds(100);
+constexpr Duration kMemberUpdateInterval = std::chrono::milliseconds(100);
 
 // A change is told to peers at once; this bounds how often when changes come in a row.
-constexpr Duration kGossipLeast = std::chrono::milliseconds(10);
+constexpr Duration kMinGossipInterval = std::chrono::milliseconds(10);
 
 // A node that is not named by its peers for a second sends nothing to an upstream with a limit: so
 // a few messages may be lost.
-constexpr Duration kLimitsEvery = std::chrono::milliseconds(200);
+constexpr Duration kLimitsInterval = std::chrono::milliseconds(200);
 
 // How often the store is asked beside the watch, and by how many nodes.
-constexpr Duration kPollEvery = std::chrono::milliseconds(1'000);
+constexpr Duration kPollInterval = std::chrono::milliseconds(1'000);
 constexpr std::size_t kPollingNodes = 2;
 
 // A removal that is seen so soon after the store answered again may be an expiry.
-constexpr Duration kExpiryDoubt = std::chrono::seconds(1);
+constexpr Duration kExpiryDoubtTime = std::chrono::seconds(1);
 
 // The name under which the load of all other nodes is kept where relays sum it up.
-constexpr std::string_view kOthers = "others";
+constexpr std::string_view kAllOtherNodes = "others";
 
 // In a large fleet relays take the lock. The others go for it only if no relay does for so long:
 // none of these may be answered by the store.
-constexpr Duration kLockPatienceOfOthers = std::chrono::seconds(2);
+constexpr Duration kNonRelayLockDelay = std::chrono::seconds(2);
 
 // Nodes that stand further down the order for the lock leave it to those before them.
-constexpr Duration kLockPatiencePerRank = std::chrono::milliseconds(150);
+constexpr Duration kLockDelayPerRank = std::chrono::milliseconds(150);
 
 // Nodes that stand further down the order for writing marks of namings leave it to those before
 // them.
-constexpr Duration kMarkPatiencePerRank = std::chrono::milliseconds(300);
+constexpr Duration kMarkDelayPerRank = std::chrono::milliseconds(300);
 
 // How long before the bound of old weights a mark ends. The word of the store on it may be two
 // seconds old, and a request that is chosen by it must still begin in time.
@@ -76,48 +76,53 @@
 
 } // namespace
 
-ControlDuty::ControlDuty(const config::OneProcessSettings &settings, const Clock &clock,
-                         adapters::Metrics &metrics, Tell tell)
-    : m_settings(settings), m_clock(clock), m_metrics(metrics), m_tell(std::move(tell)),
-      m_owner(makeNodeLife(settings.node.name)), m_context(1), m_caller(m_context, clock),
-      m_freshness(clock),
-      m_weights(clock, settings.node.name,
-                [this](const std::string &model, std::uint64_t version,
-                       const WeightHistory &history) { weightsLearnt(model, version, history); }),
-      m_store(m_context, m_caller, clock, settings.store.address, m_replica, *this),
-      m_ownKey(clock, m_store, DocumentReader::nodeKey(settings.node.name),
-               encodePeerAddress(ownAddress(settings))),
-      m_marks(clock, m_store, m_replica, m_weights, markLimits(settings)),
-      m_orders(clock, m_caller, m_store, settings.node.name, m_owner, lockLimits(settings)),
-      m_contexts(
-          m_context, m_caller, clock,
+ControlLoop::ControlLoop(const config::OneProcessSettings &settings, const Clock &clock,
+                         adapters::Metrics &metrics, Publish publish)
+    : m_settings(settings), m_clock(clock), m_metrics(metrics), m_publish(std::move(publish)),
+      m_owner(makeNodeLife(settings.node.name)), m_context(1), m_client(m_context, clock),
+      m_freshness(clock), m_weightNamings(clock, settings.node.name,
+                                          [this](const std::string &model, std::uint64_t version,
+                                                 const WeightHistory &history) {
+                                              onWeightNaming(model, version, history);
+                                          }),
+      m_store(m_context, m_client, clock, settings.store.address, m_replica, *this),
+      m_registration(clock, m_store, DocumentReader::nodeKey(settings.node.name),
+                     encodePeerAddress(ownAddress(settings))),
+      m_namingMarks(clock, m_store, m_replica, m_weightNamings, markLimits(settings)),
+      m_rolloutExecutor(clock, m_client, m_store, settings.node.name, m_owner,
+                        lockLimits(settings)),
+      m_contextStores(
+          m_context, m_client, clock,
           [this](const std::string &failed) { return m_peers.roster().contextFollower(failed); },
-          [this](FleetUpdate it) { this->tell(std::move(it)); }),
-      m_quarantine(
-          clock, m_store, m_replica,
-          [this](std::vector<QuarantineUpdate> it) { this->tell(RequestsHeard{std::move(it)}); }),
+          [this](FleetUpdate it) { this->publish(std::move(it)); }),
+      m_quarantine(clock, m_store, m_replica,
+                   [this](std::vector<QuarantineUpdate> it) {
+                       this->publish(RequestsHeard{std::move(it)});
+                   }),
       m_documents(metrics, *this),
-      m_fetcher(clock, m_caller, m_replica, metrics,
+      m_fetcher(clock, m_client, m_replica, metrics,
                 [this](const ReplicaPart &it) { merge(it.changes, it.mayBeExpiry); }),
       m_role(clock, {settings.node.name, vmStrength(settings.vm)}, roleLimits(settings)),
       m_peers(m_context, clock,
               {settings.node.name, settings.node.failureDomain, vmStrength(settings.vm)},
-              fleetOfEachTold(settings), [this](const Gossip &it) { heard(it); }),
+              fleetOfEachTold(settings), [this](const Gossip &it) { onGossip(it); }),
       m_exchange(clock, m_peers, exchangePace(settings),
-                 [this](LoadReport it) { noteOthersLoad(std::move(it)); }),
-      m_orderWords(clock),
+                 [this](LoadReport it) { setOthersLoad(std::move(it)); }),
+      m_orderReports(clock),
       m_readyServer(m_context, [this](std::string_view it) { return readyReply(it); }),
       m_peerServer(m_context, [this](std::string_view it) { return peerReply(it); }),
       m_metricsServer(m_context, [this](std::string_view it) { return metricsReply(it); }),
-      m_ownLoads(m_context, kMailboxCapacity, [this](OwnLoads it) { takeOwnLoads(std::move(it)); }),
-      m_ownRequestNews(m_context, kMailboxCapacity,
-                       [this](const std::vector<QuarantineUpdate> &it) { takeOwnRequestNews(it); }),
+      m_ownLoads(m_context, kMailboxCapacity,
+                 [this](OwnLoads it) { handleOwnLoads(std::move(it)); }),
+      m_ownQuarantineUpdates(
+          m_context, kMailboxCapacity,
+          [this](const std::vector<QuarantineUpdate> &it) { handleOwnQuarantineUpdates(it); }),
       m_tickTimer(m_context), m_upstreams(clock, {}),
-      m_drainReports(m_upstreams, [this](FleetUpdate it) { this->tell(std::move(it)); }),
+      m_drainReports(m_upstreams, [this](FleetUpdate it) { this->publish(std::move(it)); }),
       m_loads(clock)
 { }
 
-bool ControlDuty::open()
+bool ControlLoop::open()
 {
     m_fetcher.setSeeds(m_settings.peers.seeds, m_settings.peers.listen);
     ErrorCode ec;
@@ -138,30 +143,30 @@
     return true;
 }
 
-void ControlDuty::stop()
+void ControlLoop::stop()
 {
     m_context.stop();
 }
 
-void ControlDuty::beginStop()
+void ControlLoop::beginStop()
 {
     net::post(m_context, [this] {
         m_isStopping = true;
-        m_orders.release();
-        tell(StopBegins{});
+        m_rolloutExecutor.release();
+        publish(StopBegins{});
     });
 }
 
-void ControlDuty::finishStop()
+void ControlLoop::finishStop()
 {
     net::post(m_context, [this] {
         m_isLeaving = true;
-        m_ownKey.remove();
+        m_registration.remove();
         gossip();
     });
 }
 
-void ControlDuty::reload(const config::OneProcessSettings &settings)
+void ControlLoop::reload(const config::OneProcessSettings &settings)
 {
     // Addresses of a running process stay as they are; a changed one needs a restart.
     net::post(m_context, [this, settings] {
@@ -170,20 +175,20 @@
     });
 }
 
-HttpReply ControlDuty::readyReply(std::string_view) const
+HttpReply ControlLoop::readyReply(std::string_view) const
 {
     const bool ready = m_hasConfiguration && !m_isStopping && m_upstreams.size() > 0;
     return {ready ? 200U : 503U, ""};
 }
 
-HttpReply ControlDuty::metricsReply(std::string_view target) const
+HttpReply ControlLoop::metricsReply(std::string_view target) const
 {
     if (target != "/metrics")
         return {404, ""};
     return {200, m_metrics.text()};
 }
 
-HttpReply ControlDuty::peerReply(std::string_view target) const
+HttpReply ControlLoop::peerReply(std::string_view target) const
 {
     if (target.starts_with(ReplicaFetcher::kTarget))
         return replicaReply(target);
@@ -192,63 +197,63 @@
         return {404, ""};
     if (!m_role.followsContext())
         return {503, ""};
-    return {200, encodeContextUpdates(m_contexts.updatesSince(*positions))};
+    return {200, encodeContextUpdates(m_contextStores.updatesSince(*positions))};
 }
 
-HttpReply ControlDuty::replicaReply(std::string_view target) const
+HttpReply ControlLoop::replicaReply(std::string_view target) const
 {
-    const auto since = ReplicaFetcher::sinceOf(target);
+    const auto since = ReplicaFetcher::parseTarget(target);
     if (!since)
         return {400, ""};
     if (m_replica.isEmpty())
         return {503, ""};
-    return {200, encodeReplicaPart({m_replica.changesSince(*since), inDoubt()})};
+    return {200, encodeReplicaPart({m_replica.changesSince(*since), removalsMayBeExpiry()})};
 }
 
 // Whether a removal may be the expiry of a lease while the store was away.
-bool ControlDuty::inDoubt() const
+bool ControlLoop::removalsMayBeExpiry() const
 {
-    return !reachesStore() || m_clock.now() - m_storeBack < kExpiryDoubt;
+    return !reachesStore() || m_clock.now() - m_expiryDoubtSince < kExpiryDoubtTime;
 }
 
-void ControlDuty::storeTold(const StoreChanges &changes, const StoreAnswerTimes &times)
+void ControlLoop::onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes &times)
 {
     // Before the news are read, since it dates them.
     const StoreVersion since{changes.epoch, changes.since};
-    if (times.quietUntil && since == m_replica.version())
-        m_freshness.storeHadNoChanges(*times.quietUntil);
-    merge(changes, inDoubt());
-    if (holdsAllOf(changes.version()))
-        m_freshness.storeAnswered(times.asked);
+    if (times.noChangesUntil && since == m_replica.version())
+        m_freshness.storeHadNoChanges(*times.noChangesUntil);
+    merge(changes, removalsMayBeExpiry());
+    if (isUpToDateWith(changes.version()))
+        m_freshness.storeAnswered(times.sentAt);
 }
 
-void ControlDuty::storeReachable(bool reachable)
+void ControlLoop::onReachabilityChange(bool reachable)
 {
     if (reachable) {
-        m_storeBack = m_clock.now();
+        m_expiryDoubtSince = m_clock.now();
         logEvent(Event::PlatformBack, {{"revision", m_replica.version().revision}});
     } else {
         logEvent(Event::PlatformLost, {{"revision", m_replica.version().revision}});
     }
-    noteReachability();
+    updateReachability();
 }
 
-void ControlDuty::noteReachability()
+void ControlLoop::updateReachability()
 {
-    const bool informed = reachesStore() || !m_peers.roster().live().empty();
-    if (informed != m_toldInformed) {
-        m_toldInformed = informed;
-        tell(Informed{informed});
+    const bool receivesVersions = reachesStore() || !m_peers.roster().live().empty();
+    if (receivesVersions != m_publishedReceivesVersions) {
+        m_publishedReceivesVersions = receivesVersions;
+        publish(Informed{receivesVersions});
     }
     const bool reachable = reachesStore() || m_peers.roster().hearsStore();
-    if (reachable == m_toldReachable)
+    if (reachable == m_publishedReachable)
         return;
-    m_toldReachable = reachable;
+    m_publishedReachable = reachable;
     m_upstreams.setStoreReachable(reachable);
-    tell(StoreReachability{reachable});
+    publish(StoreReachability{reachable});
 }
 
-void ControlDuty::merge(const StoreChanges &changes, bool mayBeExpiry)
+void ControlLoop::merge(const StoreChanges &changes, bool mayBeExpiry)
 {
     const StoreVersion before = m_replica.version();
     const auto changed = m_replica.merge(changes);
@@ -260,186 +265,188 @@
     for (const StoredItem &it : *changed)
         m_documents.read(it, mayBeExpiry || isRestored);
     if (m_replica.version() != before)
-        m_gossipSoon = true;
-    noteEngines();
-    m_orders.lock().keyChanged(m_replica.find(OrderDuty::lockKey()), m_replica.version().epoch);
+        m_isGossipDue = true;
+    updateEngines();
+    m_rolloutExecutor.lock().keyChanged(m_replica.find(RolloutExecutor::lockKey()),
+                                        m_replica.version().epoch);
 }
 
 // The copy is that of a store that was restored from a snapshot. Upstreams that it lacks may not
 // have written themselves again yet.
-void ControlDuty::storeRestored(const StoreVersion &before)
+void ControlLoop::storeRestored(const StoreVersion &before)
 {
     logEvent(Event::StoreRestored, {{"epoch", m_replica.version().epoch},
                                     {"revision", m_replica.version().revision},
                                     {"held_revision", before.revision}});
-    m_settleAt = m_clock.now() + kRestoreTime;
-    m_storeBack = m_clock.now();
+    m_restoreDoneAt = m_clock.now() + kRestoreTime;
+    m_expiryDoubtSince = m_clock.now();
     m_freshness.storeRestored();
     m_upstreams.storeRestored();
-    tell(StoreRestored{});
+    publish(StoreRestored{});
 }
 
-void ControlDuty::settleRestored()
+void ControlLoop::finishRestore()
 {
-    if (!m_settleAt || m_clock.now() < *m_settleAt)
+    if (!m_restoreDoneAt || m_clock.now() < *m_restoreDoneAt)
         return;
-    m_settleAt.reset();
+    m_restoreDoneAt.reset();
     for (const StoredItem &it : m_replica.acceptDeferred())
         m_documents.read(it, false);
-    noteEngines();
+    updateEngines();
 }
 
-bool ControlDuty::holdsAllOf(const StoreVersion &version) const
+bool ControlLoop::isUpToDateWith(const StoreVersion &version) const
 {
     return version.epoch == m_replica.version().epoch && version <= m_replica.version();
 }
 
-void ControlDuty::configurationRead(ServingConfig config)
+void ControlLoop::onConfiguration(ServingConfig config)
 {
     m_hasConfiguration = true;
-    m_contexts.setStores(config.stores);
-    if (const std::size_t most = mostContextReaders(config); most > 0)
-        m_role.setMaxReaders(most);
-    tell(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
+    m_contextStores.setStores(config.stores);
+    if (const std::size_t maxReaders = mostContextReaders(config); maxReaders > 0)
+        m_role.setMaxReaders(maxReaders);
+    publish(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
 }
 
-void ControlDuty::weightsNamed(const std::string &model, std::uint64_t version)
+void ControlLoop::onWeightVersion(const std::string &model, std::uint64_t version)
 {
-    m_orders.rollout().setTarget(model, version);
-    m_weights.read(model, version, m_freshness.completeAsOf());
+    m_rolloutExecutor.rollout().setTarget(model, version);
+    m_weightNamings.read(model, version, m_freshness.completeAsOf());
 }
 
-void ControlDuty::weightsLearnt(const std::string &model, std::uint64_t version,
-                                const WeightHistory &history)
+void ControlLoop::onWeightNaming(const std::string &model, std::uint64_t version,
+                                 const WeightHistory &history)
 {
-    m_contexts.setWeights(model, history);
+    m_contextStores.setWeights(model, history);
     if (const auto naming = history.find(version))
-        tell(WeightsWanted{model, version, *naming});
+        publish(WeightsWanted{model, version, *naming});
 }
 
-void ControlDuty::upstreamWritten(UpstreamRecord record)
+void ControlLoop::onUpstreamRecord(UpstreamRecord record)
 {
     m_upstreams.put(record);
-    tell(UpstreamWritten{std::move(record)});
+    publish(UpstreamWritten{std::move(record)});
 }
 
-void ControlDuty::upstreamRemoved(const std::string &instanceId, bool mayBeExpiry)
+void ControlLoop::onUpstreamRemoved(const std::string &instanceId, bool mayBeExpiry)
 {
     m_upstreams.remove(instanceId, mayBeExpiry);
-    tell(UpstreamRemoved{instanceId, mayBeExpiry});
+    publish(UpstreamRemoved{instanceId, mayBeExpiry});
 }
 
 // Orders go on to the engines of the domain: they shall have the right weights when they come back.
-void ControlDuty::evacuationRead(const std::string &failureDomain, bool isEvacuated)
+void ControlLoop::onEvacuation(const std::string &failureDomain, bool isEvacuated)
 {
-    tell(DomainEvacuated{failureDomain, isEvacuated});
+    publish(DomainEvacuated{failureDomain, isEvacuated});
 }
 
-void ControlDuty::nodeWritten(const std::string &node, const PeerAddress &address)
+void ControlLoop::onNodeAddress(const std::string &node, const PeerAddress &address)
 {
     m_peers.setAddress(node, address);
     m_keysChanged = true;
 }
 
-void ControlDuty::nodeRemoved(const std::string &node)
+void ControlLoop::onNodeRemoved(const std::string &node)
 {
     m_peers.removeAddress(node);
     m_keysChanged = true;
 }
 
-void ControlDuty::heldRequestRead(const RequestFingerprint &request,
-                                  const std::vector<std::uint64_t> &lives)
+void ControlLoop::onQuarantinedRequest(const RequestFingerprint &request,
+                                       const std::vector<std::uint64_t> &instances)
 {
-    m_quarantine.takeStored(request, lives);
+    m_quarantine.addStored(request, instances);
 }
 
-void ControlDuty::takeOwnRequestNews(const std::vector<QuarantineUpdate> &news)
+void ControlLoop::handleOwnQuarantineUpdates(const std::vector<QuarantineUpdate> &updates)
 {
-    m_quarantine.takeOwn(news);
-    m_gossipSoon = m_gossipSoon || m_quarantine.hasNews();
-    if (m_gossipSoon && mayGossipAgain())
+    m_quarantine.addOwn(updates);
+    m_isGossipDue = m_isGossipDue || m_quarantine.hasUnsent();
+    if (m_isGossipDue && canGossipNow())
         gossip();
 }
 
-bool ControlDuty::usesSums() const
+bool ControlLoop::usesLoadSums() const
 {
     return m_settings.mechanisms.relays && m_settings.mechanisms.loadSums
            && m_peers.roster().size() >= kSmallFleet;
 }
 
-void ControlDuty::heard(const Gossip &message)
+void ControlLoop::onGossip(const Gossip &message)
 {
     m_exchange.take(message, m_role.isRelay());
     // In a large fleet nodes hear from the relays only.
-    m_quarantine.takeHeard(message.requestNews, usesSums() && m_role.isRelay());
+    m_quarantine.addFromPeer(message.requestNews, usesLoadSums() && m_role.isRelay());
     if (message.leaving) {
         m_loads.setPeerLoads(message.node, {});
-        tell(PeerLoads{message.node, {}, 0, {}});
-        tell(EnginesLoading{message.node, {}});
+        publish(PeerLoads{message.node, {}, 0, {}});
+        publish(EnginesLoading{message.node, {}});
         return;
     }
-    if (!usesSums() && message.scope == LoadScope::Node) {
+    if (!usesLoadSums() && message.scope == LoadScope::Node) {
         m_loads.setPeerLoads(message.node, message.load.loads);
-        tell(PeerLoads{message.node, message.load.loads, message.load.shortContextTokens,
-                       message.load.contextsSent});
+        publish(PeerLoads{message.node, message.load.loads, message.load.shortContextTokens,
+                          message.load.contextsSent});
     }
     if (!message.limits.empty())
-        tell(LimitsHeard{message.node, message.limits});
+        publish(LimitsHeard{message.node, message.limits});
     if (m_drainReports.takeFrom(message.node, message.draining))
-        noteEngines();
-    takeOrders(message.node, message.orders);
-    for (const auto &[node, word] : message.ordersHeard) {
+        updateEngines();
+    handleOrderReport(message.node, message.orders);
+    for (const auto &[node, report] : message.ordersHeard) {
         if (node != m_settings.node.name)
-            takeOrders(node, word);
+            handleOrderReport(node, report);
     }
-    m_weights.heard(message.node, message.weightsNamed);
-    if (message.wholeFor && holdsAllOf(message.version))
+    m_weightNamings.heard(message.node, message.weightsNamed);
+    if (message.wholeFor && isUpToDateWith(message.version))
         m_freshness.peerHadNoChanges(*message.wholeFor);
 }
 
-void ControlDuty::noteOthersLoad(LoadReport others)
+void ControlLoop::setOthersLoad(LoadReport others)
 {
-    m_loads.setPeerLoads(std::string(kOthers), others.loads);
-    tell(PeerLoads{std::string(kOthers), std::move(others.loads), others.shortContextTokens,
-                   std::move(others.contextsSent)});
+    m_loads.setPeerLoads(std::string(kAllOtherNodes), others.loads);
+    publish(PeerLoads{std::string(kAllOtherNodes), std::move(others.loads),
+                      others.shortContextTokens, std::move(others.contextsSent)});
 }
 
-void ControlDuty::takeOrders(const std::string &node, const OrderWord &word)
+void ControlLoop::handleOrderReport(const std::string &node, const OrderWord &report)
 {
-    if (!m_orderWords.note(node, word))
+    if (!m_orderReports.note(node, report))
         return;
-    tell(EnginesLoading{node, word.enginesLoading});
-    for (const auto &[id, models] : word.weightsShown) {
-        for (const auto &[model, shown] : models)
-            tellShown(id, model, {shown.version, m_clock.now() - word.age - shown.age});
+    publish(EnginesLoading{node, report.enginesLoading});
+    for (const auto &[id, models] : report.weightsShown) {
+        for (const auto &[model, observed] : models)
+            publishObservedVersion(id, model,
+                                   {observed.version, m_clock.now() - report.age - observed.age});
     }
 }
 
-void ControlDuty::tellShown(const std::string &instanceId, const std::string &model,
-                            const ObservedWeights &weights)
+void ControlLoop::publishObservedVersion(const std::string &instanceId, const std::string &model,
+                                         const ObservedWeights &weights)
 {
     if (m_upstreams.setWeightVersion(instanceId, model, weights))
-        tell(WeightsShown{instanceId, model, weights});
+        publish(WeightsShown{instanceId, model, weights});
 }
 
-void ControlDuty::takeOwnLoads(OwnLoads own)
+void ControlLoop::handleOwnLoads(OwnLoads own)
 {
     // A relay's sums go out often enough by themselves.
-    const bool isUrgent = own.isUrgent && !(usesSums() && m_role.isRelay());
-    m_gossipSoon = m_gossipSoon || isUrgent;
-    m_lastOwn = std::move(own);
-    if (m_drainReports.takeOwn(m_lastOwn.draining))
-        noteEngines();
-    if (m_gossipSoon && mayGossipAgain())
+    const bool isUrgent = own.isUrgent && !(usesLoadSums() && m_role.isRelay());
+    m_isGossipDue = m_isGossipDue || isUrgent;
+    m_lastOwnLoads = std::move(own);
+    if (m_drainReports.takeOwn(m_lastOwnLoads.draining))
+        updateEngines();
+    if (m_isGossipDue && canGossipNow())
         gossip();
 }
 
-bool ControlDuty::mayGossipAgain() const
+bool ControlLoop::canGossipNow() const
 {
-    return m_clock.now() >= m_lastGossip + kGossipLeast;
+    return m_clock.now() >= m_lastGossip + kMinGossipInterval;
 }
 
-Gossip ControlDuty::ownMessage() const
+Gossip ControlLoop::ownMessage() const
 {
     Gossip message;
     message.node = m_settings.node.name;
@@ -452,60 +459,60 @@
     message.isRelay = m_role.isRelay();
     message.followsContext = m_role.followsContext();
     message.leaving = m_isLeaving;
-    message.load
-        = {1, UpstreamLoads(m_lastOwn.loads), m_lastOwn.shortContextTokens, m_lastOwn.contextsSent};
-    message.orders = ownOrders();
-    message.weightsNamed = m_weights.forPeers();
+    message.load = {1, UpstreamLoads(m_lastOwnLoads.loads), m_lastOwnLoads.shortContextTokens,
+                    m_lastOwnLoads.contextsSent};
+    message.orders = ownOrderReport();
+    message.weightsNamed = m_weightNamings.forPeers();
     if (const auto age = m_freshness.ageFromStore())
         message.wholeFor = std::chrono::ceil<std::chrono::milliseconds>(*age);
     return message;
 }
 
-OrderWord ControlDuty::ownOrders() const
+OrderWord ControlLoop::ownOrderReport() const
 {
     const auto ageOf = [this](TimePoint when) {
         return std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.now() - when);
     };
-    OrderWord word;
-    if (m_orders.lastOrder())
-        word.lastOrder = ageOf(*m_orders.lastOrder());
-    word.enginesLoading = m_orders.rollout().loading();
-    for (const auto &[id, models] : m_orders.rollout().reportedVersions()) {
+    OrderWord report;
+    if (m_rolloutExecutor.lastOrder())
+        report.lastOrder = ageOf(*m_rolloutExecutor.lastOrder());
+    report.enginesLoading = m_rolloutExecutor.rollout().loading();
+    for (const auto &[id, models] : m_rolloutExecutor.rollout().reportedVersions()) {
         for (const auto &[model, weights] : models)
-            word.weightsShown[id][model] = {weights.version, ageOf(weights.seen)};
+            report.weightsShown[id][model] = {weights.version, ageOf(weights.seen)};
     }
-    return word;
+    return report;
 }
 
 // Those that have just changed are told at once, the others now and then, since messages go out
 // more often than a limit needs.
-std::vector<LimitGossip> ControlDuty::limitsForPeers()
+std::vector<LimitGossip> ControlLoop::limitsForPeers()
 {
     const TimePoint now = m_clock.now();
-    if (!m_lastOwn.isUrgent && now < m_nextLimits)
+    if (!m_lastOwnLoads.isUrgent && now < m_nextLimits)
         return {};
-    m_nextLimits = now + kLimitsEvery;
+    m_nextLimits = now + kLimitsInterval;
     // Where relays tell on what they hear, the other nodes speak of themselves only.
-    const bool tellsAll = !usesSums() || m_role.isRelay();
-    return m_limitRounds.next(tellsAll ? m_lastOwn.limits.all : m_lastOwn.limits.own);
+    const bool tellsAll = !usesLoadSums() || m_role.isRelay();
+    return m_limitBatches.next(tellsAll ? m_lastOwnLoads.limits.all : m_lastOwnLoads.limits.own);
 }
 
-void ControlDuty::gossip()
+void ControlLoop::gossip()
 {
     Gossip message = ownMessage();
-    message.requestNews = m_quarantine.newsForPeers();
+    message.requestNews = m_quarantine.nextBatch();
     message.limits = limitsForPeers();
     message.draining = m_drainReports.forPeers();
-    tell(EnginesLoading{message.node, message.orders.enginesLoading});
-    m_gossipSoon = false;
+    publish(EnginesLoading{message.node, message.orders.enginesLoading});
+    m_isGossipDue = false;
     m_lastGossip = m_clock.now();
     Duration pause = m_settings.peers.gossipEvery;
-    if (usesSums()) {
+    if (usesLoadSums()) {
         m_exchange.setOwn(message.load);
         if (m_role.isRelay()) {
             message.hearsStore
                 = message.storeReachable || !m_peers.roster().reachingStore().empty();
-            message.ordersHeard = m_orderWords.toPassOn();
+            message.ordersHeard = m_orderReports.toPassOn();
         }
         pause = m_exchange.send(std::move(message), m_role.isRelay());
     } else {
@@ -518,27 +525,27 @@
 }
 
 // A new holder of the lock need not wait for a predecessor that has sent nothing of late.
-void ControlDuty::shortenQuietTime()
+void ControlLoop::shortenQuietTime()
 {
-    const auto holding = m_orders.lock().holding();
-    const std::string &owner = m_orders.lock().predecessor();
+    const auto holding = m_rolloutExecutor.lock().holding();
+    const std::string &owner = m_rolloutExecutor.lock().predecessor();
     const std::string node = owner.substr(0, owner.find('/'));
-    const auto heard = std::max(m_peers.roster().lastHeard(node), m_orderWords.lastSaid(node));
+    const auto heard = std::max(m_peers.roster().lastHeard(node), m_orderReports.lastSaid(node));
     if (!holding || !heard)
         return;
-    const auto lastOrder = m_orderWords.lastOrder(node);
+    const auto lastOrder = m_orderReports.lastOrder(node);
     // Its word counts once its lease is over, since it sends no more orders then.
     if (lastOrder && *heard > holding->since)
-        m_orders.lock().setPredecessorLastActed(*lastOrder);
+        m_rolloutExecutor.lock().setPredecessorLastActed(*lastOrder);
     // One that fell silent may have gone on out of everyone's hearing; but then it is cut off, and
     // engines that check fences turn its orders away.
     else if (m_settings.bounds.fencesChecked)
-        m_orders.lock().setPredecessorLastActed(*heard + m_settings.peers.gossipEvery);
+        m_rolloutExecutor.lock().setPredecessorLastActed(*heard + m_settings.peers.gossipEvery);
 }
 
-void ControlDuty::tick()
+void ControlLoop::tick()
 {
-    m_tickTimer.expires_after(kTickEvery);
+    m_tickTimer.expires_after(kTickInterval);
     m_tickTimer.async_wait([this](const ErrorCode &ec) {
         if (!ec)
             tick();
@@ -546,65 +553,65 @@
     const TimePoint now = m_clock.now();
     flushUpdates();
     m_freshness.tick();
-    settleRestored();
+    finishRestore();
     if (!m_isStopping) {
-        m_ownKey.tick();
+        m_registration.tick();
         shortenQuietTime();
-        m_orders.tick(m_loads);
-        noteLoading();
-        m_contexts.tick(m_orders.lock().holding());
+        m_rolloutExecutor.tick(m_loads);
+        updateLoading();
+        m_contextStores.tick(m_rolloutExecutor.lock().holding());
         m_quarantine.tick();
     }
-    if (now >= m_nextMembers)
-        noteMembers();
+    if (now >= m_nextMemberUpdate)
+        updateMembers();
     pollStore();
     m_fetcher.tick(m_peers.roster(), reachesStore());
-    if ((m_gossipSoon && mayGossipAgain()) || now >= m_nextGossip)
+    if ((m_isGossipDue && canGossipNow()) || now >= m_nextGossip)
         gossip();
 }
 
-void ControlDuty::noteMembers()
+void ControlLoop::updateMembers()
 {
-    m_nextMembers = m_clock.now() + kMembersEvery;
-    noteReachability();
-    noteLiveNodes();
-    noteKnownNodes();
-    noteRole();
-    noteMarks();
+    m_nextMemberUpdate = m_clock.now() + kMemberUpdateInterval;
+    updateReachability();
+    updateLiveNodes();
+    updateKnownNodes();
+    updateRole();
+    updateNamingMarks();
     for (const std::string &it : m_upstreams.tick())
         logEvent(Event::UpstreamGone,
                  {{"upstream", it}, {"revision", m_replica.version().revision}});
     if (m_upstreams.takeWeightsChanged())
-        noteEngines();
+        updateEngines();
 }
 
-void ControlDuty::noteLoading()
+void ControlLoop::updateLoading()
 {
-    const auto loading = m_orders.rollout().loading();
-    if (!m_orders.rollout().takeNewReports() && loading == m_toldLoading)
+    const auto loading = m_rolloutExecutor.rollout().loading();
+    if (!m_rolloutExecutor.rollout().takeNewReports() && loading == m_publishedLoading)
         return;
-    m_toldLoading = loading;
-    m_gossipSoon = true;
-    noteShown();
+    m_publishedLoading = loading;
+    m_isGossipDue = true;
+    updateObservedVersions();
 }
 
 // What reports to this node have shown.
-void ControlDuty::noteShown()
+void ControlLoop::updateObservedVersions()
 {
-    for (const auto &[id, models] : m_orders.rollout().reportedVersions()) {
+    for (const auto &[id, models] : m_rolloutExecutor.rollout().reportedVersions()) {
         for (const auto &[model, weights] : models)
-            tellShown(id, model, weights);
+            publishObservedVersion(id, model, weights);
     }
 }
 
 // The rollout goes by what the directory believes. What a record has said since, or should have,
 // is not told to peers any more: they would believe it once the engine has gone back.
-void ControlDuty::noteEngines()
+void ControlLoop::updateEngines()
 {
-    noteShown();
-    WeightRollout &rollout = m_orders.rollout();
-    const WeightRollout::ReportedVersions shown = rollout.reportedVersions();
-    for (const auto &[id, models] : shown) {
+    updateObservedVersions();
+    WeightRollout &rollout = m_rolloutExecutor.rollout();
+    const WeightRollout::ReportedVersions observed = rollout.reportedVersions();
+    for (const auto &[id, models] : observed) {
         for (const auto &[model, weights] : models) {
             if (!m_upstreams.isAheadOfRecord(id, model, weights.version))
                 rollout.forgetReported(id, model);
@@ -613,51 +620,51 @@
     rollout.setEngines(m_upstreams.stayingEngines());
 }
 
-void ControlDuty::noteLiveNodes()
+void ControlLoop::updateLiveNodes()
 {
-    m_orders.lock().setAcquireDelay(lockPatience());
+    m_rolloutExecutor.lock().setAcquireDelay(lockAcquireDelay());
     std::size_t live = m_peers.roster().live().size() + 1;
-    if (usesSums())
+    if (usesLoadSums())
         live = m_exchange.liveNodes() > 0 ? m_exchange.liveNodes() : m_peers.roster().size() + 1;
     if (live == m_liveNodes)
         return;
     m_liveNodes = live;
     logEvent(Event::MembersChanged, {{"live", live}});
-    tell(LiveNodes{live});
+    publish(LiveNodes{live});
 }
 
-void ControlDuty::noteKnownNodes()
+void ControlLoop::updateKnownNodes()
 {
     if (!m_keysChanged || m_replica.isEmpty())
         return;
     m_keysChanged = false;
     std::vector<std::string> others = m_peers.roster().withKey();
-    if (others == m_toldNodes) // keys are written anew without a change of the nodes
+    if (others == m_publishedNodes) // keys are written anew without a change of the nodes
         return;
-    m_toldNodes = others;
-    tell(KnownNodes{std::move(others)});
+    m_publishedNodes = others;
+    publish(KnownNodes{std::move(others)});
 }
 
 // The strongest node takes the lock, since its holder has most to do; the others only when it does
 // not.
-Duration ControlDuty::lockPatience() const
+Duration ControlLoop::lockAcquireDelay() const
 {
     const PeerRoster &roster = m_peers.roster();
-    if (usesSums() && !m_role.isRelay())
-        return kLockPatienceOfOthers
-               + kLockPatiencePerRank * static_cast<std::int64_t>(roster.knownBefore());
-    const std::size_t before
-        = strengthRank(OrderDuty::lockKey(), {m_settings.node.name, vmStrength(m_settings.vm)},
-                       usesSums() ? roster.relays() : roster.liveCandidates());
-    return kLockPatiencePerRank * static_cast<std::int64_t>(before + 1);
+    if (usesLoadSums() && !m_role.isRelay())
+        return kNonRelayLockDelay
+               + kLockDelayPerRank * static_cast<std::int64_t>(roster.knownBefore());
+    const std::size_t before = strengthRank(
+        RolloutExecutor::lockKey(), {m_settings.node.name, vmStrength(m_settings.vm)},
+        usesLoadSums() ? roster.relays() : roster.liveCandidates());
+    return kLockDelayPerRank * static_cast<std::int64_t>(before + 1);
 }
 
-RelayRole::Peers ControlDuty::relayPeers() const
+RelayRole::Peers ControlLoop::relayPeers() const
 {
     const PeerRoster &roster = m_peers.roster();
     RelayRole::Peers peers;
     peers.relays = roster.relays();
-    if (!usesSums()) {
+    if (!usesLoadSums()) {
         peers.liveNodes = m_liveNodes;
         peers.relaysReachingStore = roster.reachingStoreNear();
         return peers;
@@ -678,60 +685,60 @@
 }
 
 // Whether this node follows the stores itself.
-void ControlDuty::noteRole()
+void ControlLoop::updateRole()
 {
     const bool wasRelay = m_role.isRelay();
     const bool followed = m_role.followsStore();
     m_role.update(relayPeers());
-    m_contexts.setReadsStores(m_role.followsContext());
+    m_contextStores.setReadsStores(m_role.followsContext());
     if (m_role.followsStore() != followed) {
         // What has run out while this node did not look is not told from what was removed.
         if (m_role.followsStore())
-            m_storeBack = m_clock.now();
+            m_expiryDoubtSince = m_clock.now();
         m_store.setFollowing(m_role.followsStore());
     }
     if (m_role.isRelay() == wasRelay)
         return;
     logEvent(Event::RelayRoleChanged, {{"relay", m_role.isRelay()}, {"live", m_liveNodes}});
-    m_gossipSoon = true;
+    m_isGossipDue = true;
 }
 
 // The ages of namings, for nodes that start when nobody is left who knows them.
-void ControlDuty::noteMarks()
+void ControlLoop::updateNamingMarks()
 {
-    m_marks.read(m_freshness.completeAsOf());
+    m_namingMarks.read(m_freshness.completeAsOf());
     if (!reachesStore())
         return;
     const std::size_t before = rendezvousRank(stableHash("marks namings"), m_settings.node.name,
                                               m_peers.roster().reachingStore());
-    m_marks.write(kMarkPatiencePerRank * static_cast<std::int64_t>(before));
+    m_namingMarks.write(kMarkDelayPerRank * static_cast<std::int64_t>(before));
 }
 
 // A watch may hear nothing for a while although things change. Two nodes ask beside it; the others
 // hear from them.
-void ControlDuty::pollStore()
+void ControlLoop::pollStore()
 {
     if (!reachesStore() || m_clock.now() < m_nextPoll)
         return;
-    m_nextPoll = m_clock.now() + kPollEvery;
+    m_nextPoll = m_clock.now() + kPollInterval;
     const std::size_t before = rendezvousRank(stableHash("polls the store"), m_settings.node.name,
                                               m_peers.roster().reachingStore());
     if (before < kPollingNodes)
         m_store.poll();
 }
 
-void ControlDuty::tell(FleetUpdate update)
+void ControlLoop::publish(FleetUpdate update)
 {
-    if (!m_waiting.isEmpty() || !m_tell(update))
-        m_waiting.push(std::move(update));
+    if (!m_pendingUpdates.isEmpty() || !m_publish(update))
+        m_pendingUpdates.push(std::move(update));
 }
 
-void ControlDuty::flushUpdates()
+void ControlLoop::flushUpdates()
 {
-    if (m_waiting.isEmpty())
+    if (m_pendingUpdates.isEmpty())
         return;
     m_metrics.count("fordwood_updates_waiting_total");
-    m_waiting.flush(m_tell);
+    m_pendingUpdates.flush(m_publish);
 }
 
 } // namespace fordwood::node
--- a/src/node/control_duty.hpp
+++ b/src/node/control_loop.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_NODE_CONTROL_DUTY_HPP_INCLUDED
-#define FORDWOOD_NODE_CONTROL_DUTY_HPP_INCLUDED
+#ifndef FORDWOOD_NODE_CONTROL_LOOP_HPP_INCLUDED
+#define FORDWOOD_NODE_CONTROL_LOOP_HPP_INCLUDED
 
 #include <atomic>
 #include <functional>
@@ -27,13 +27,13 @@
 #include "node/mailbox.hpp"
 #include "node/message_rounds.hpp"
 #include "node/naming_marks.hpp"
-#include "node/order_duty.hpp"
+#include "node/node_registration.hpp"
 #include "node/order_words.hpp"
-#include "node/own_key.hpp"
 #include "node/peer_links.hpp"
-#include "node/quarantine_duty.hpp"
+#include "node/quarantine_distributor.hpp"
 #include "node/replica_fetcher.hpp"
-#include "node/store_link.hpp"
+#include "node/rollout_executor.hpp"
+#include "node/store_client.hpp"
 #include "node/update_queue.hpp"
 #include "node/weight_news.hpp"
 #include "platform/document_order.hpp"
@@ -43,14 +43,14 @@
 // All that a node knows of the fleet and says to it: follows the platform's store, exchanges its
 // copy with peers, orders weights, watches the stores of kept context. Runs on a thread of its own,
 // and tells the thread that serves requests what has changed.
-class ControlDuty : private StoreListener, private DocumentListener
+class ControlLoop : private StoreListener, private DocumentListener
 {
 public:
     // False when the receiver is full for the moment.
-    using Tell = std::function<bool(FleetUpdate)>;
+    using Publish = std::function<bool(FleetUpdate)>;
 
-    ControlDuty(const config::OneProcessSettings &settings, const Clock &clock,
-                adapters::Metrics &metrics, Tell tell);
+    ControlLoop(const config::OneProcessSettings &settings, const Clock &clock,
+                adapters::Metrics &metrics, Publish publish);
 
     // Opens the node's sockets; false when one cannot be opened, which has been logged.
     bool open();
@@ -65,21 +65,24 @@
     void finishStop();
     void reload(const config::OneProcessSettings &settings);
     Mailbox<OwnLoads> &loadsMailbox() { return m_ownLoads; }
-    Mailbox<std::vector<QuarantineUpdate>> &requestNewsMailbox() { return m_ownRequestNews; }
+    Mailbox<std::vector<QuarantineUpdate>> &quarantineUpdatesMailbox()
+    {
+        return m_ownQuarantineUpdates;
+    }
 
 private:
-    void storeTold(const StoreChanges &changes, const StoreAnswerTimes &times) override;
-    void storeReachable(bool reachable) override;
-
-    void configurationRead(ServingConfig config) override;
-    void weightsNamed(const std::string &model, std::uint64_t version) override;
-    void upstreamWritten(UpstreamRecord record) override;
-    void upstreamRemoved(const std::string &instanceId, bool mayBeExpiry) override;
-    void evacuationRead(const std::string &failureDomain, bool isEvacuated) override;
-    void nodeWritten(const std::string &node, const PeerAddress &address) override;
-    void nodeRemoved(const std::string &node) override;
-    void heldRequestRead(const RequestFingerprint &request,
-                         const std::vector<std::uint64_t> &lives) override;
+    void onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes &times) override;
+    void onReachabilityChange(bool reachable) override;
+
+    void onConfiguration(ServingConfig config) override;
+    void onWeightVersion(const std::string &model, std::uint64_t version) override;
+    void onUpstreamRecord(UpstreamRecord record) override;
+    void onUpstreamRemoved(const std::string &instanceId, bool mayBeExpiry) override;
+    void onEvacuation(const std::string &failureDomain, bool isEvacuated) override;
+    void onNodeAddress(const std::string &node, const PeerAddress &address) override;
+    void onNodeRemoved(const std::string &node) override;
+    void onQuarantinedRequest(const RequestFingerprint &request,
+                              const std::vector<std::uint64_t> &instances) override;
 
     HttpReply readyReply(std::string_view target) const;
     HttpReply peerReply(std::string_view target) const;
@@ -88,99 +91,99 @@
 
     void merge(const StoreChanges &changes, bool mayBeExpiry);
     void storeRestored(const StoreVersion &before);
-    void settleRestored();
-    bool holdsAllOf(const StoreVersion &version) const;
+    void finishRestore();
+    bool isUpToDateWith(const StoreVersion &version) const;
 
-    void heard(const Gossip &message);
-    void takeOrders(const std::string &node, const OrderWord &word);
+    void onGossip(const Gossip &message);
+    void handleOrderReport(const std::string &node, const OrderWord &report);
     // Whether nodes hear of load by the sums of relays.
-    bool usesSums() const;
-    void noteOthersLoad(LoadReport others);
-    void takeOwnLoads(OwnLoads own);
-    void takeOwnRequestNews(const std::vector<QuarantineUpdate> &news);
-    bool mayGossipAgain() const;
+    bool usesLoadSums() const;
+    void setOthersLoad(LoadReport others);
+    void handleOwnLoads(OwnLoads own);
+    void handleOwnQuarantineUpdates(const std::vector<QuarantineUpdate> &updates);
+    bool canGossipNow() const;
     Gossip ownMessage() const;
     std::vector<LimitGossip> limitsForPeers();
     void gossip();
     RelayRole::Peers relayPeers() const;
     void tick();
     void pollStore();
-    void noteMarks();
-    void noteReachability();
-    void weightsLearnt(const std::string &model, std::uint64_t version,
-                       const WeightHistory &history);
-    void noteMembers();
-    void noteLiveNodes();
-    void noteKnownNodes();
-    Duration lockPatience() const;
-    void noteRole();
+    void updateNamingMarks();
+    void updateReachability();
+    void onWeightNaming(const std::string &model, std::uint64_t version,
+                        const WeightHistory &history);
+    void updateMembers();
+    void updateLiveNodes();
+    void updateKnownNodes();
+    Duration lockAcquireDelay() const;
+    void updateRole();
     // Whether this node follows the platform's store and is answered.
     bool reachesStore() const { return m_role.followsStore() && m_store.isReachable(); }
     void shortenQuietTime();
-    void noteLoading();
-    void noteShown();
-    void noteEngines();
-    void tellShown(const std::string &instanceId, const std::string &model,
-                   const ObservedWeights &weights);
-    OrderWord ownOrders() const;
-    bool inDoubt() const;
-    void tell(FleetUpdate update);
+    void updateLoading();
+    void updateObservedVersions();
+    void updateEngines();
+    void publishObservedVersion(const std::string &instanceId, const std::string &model,
+                                const ObservedWeights &weights);
+    OrderWord ownOrderReport() const;
+    bool removalsMayBeExpiry() const;
+    void publish(FleetUpdate update);
     void flushUpdates();
 
     config::OneProcessSettings m_settings;
     const Clock &m_clock;
     adapters::Metrics &m_metrics;
-    Tell m_tell;
+    Publish m_publish;
     const std::string m_owner; // this life of this node
     net::io_context m_context;
-    HttpClient m_caller;
+    HttpClient m_client;
     const platform::DocumentOrder m_documentOrder{DocumentReader::nodeKey("")};
     StoreReplica m_replica{m_documentOrder};
-    std::optional<TimePoint> m_settleAt; // after a restore of the store
+    std::optional<TimePoint> m_restoreDoneAt; // after a restore of the store
     ReplicaFreshness m_freshness; // of the replica
-    WeightNews m_weights;
-    StoreLink m_store;
-    OwnKey m_ownKey;
-    NamingMarks m_marks;
-    OrderDuty m_orders;
-    ContextStoreManager m_contexts;
-    QuarantineDuty m_quarantine;
+    WeightNews m_weightNamings;
+    StoreClient m_store;
+    NodeRegistration m_registration;
+    NamingMarks m_namingMarks;
+    RolloutExecutor m_rolloutExecutor;
+    ContextStoreManager m_contextStores;
+    QuarantineDistributor m_quarantine;
     DocumentReader m_documents;
     ReplicaFetcher m_fetcher;
     RelayRole m_role;
     PeerLinks m_peers;
     LoadExchange m_exchange;
-    OrderWords m_orderWords;
+    OrderWords m_orderReports;
     InternalServer m_readyServer;
     InternalServer m_peerServer;
     InternalServer m_metricsServer;
     Mailbox<OwnLoads> m_ownLoads;
-    Mailbox<std::vector<QuarantineUpdate>> m_ownRequestNews;
+    Mailbox<std::vector<QuarantineUpdate>> m_ownQuarantineUpdates;
     net::steady_timer m_tickTimer;
     UpstreamDirectory m_upstreams;
     DrainReports m_drainReports;
     UpstreamLoadTracker m_loads;
-    OwnLoads m_lastOwn;
-    MessageRounds<LimitGossip> m_limitRounds;
-    UpdateQueue m_waiting; // updates that did not fit
+    OwnLoads m_lastOwnLoads;
+    MessageRounds<LimitGossip> m_limitBatches;
+    UpdateQueue m_pendingUpdates; // updates that did not fit
     bool m_hasConfiguration = false;
     bool m_isStopping = false;
     bool m_isLeaving = false; // nothing runs any more
-    bool m_gossipSoon = false; // something changed that peers should hear at once
+    bool m_isGossipDue = false; // something changed that peers should hear at once
     std::size_t m_liveNodes = 0;
     bool m_keysChanged = true; // of nodes in the platform's store, since they were told of
-    bool m_toldReachable = true;
-    bool m_toldInformed = true;
-    std::set<std::string> m_toldLoading;
-    std::optional<std::vector<std::string>> m_toldNodes;
-    TimePoint m_storeBack{}; // when the store answered this node again
+    bool m_publishedReachable = true;
+    bool m_publishedReceivesVersions = true;
+    std::set<std::string> m_publishedLoading;
+    std::optional<std::vector<std::string>> m_publishedNodes;
+    TimePoint m_expiryDoubtSince{}; // when the store answered this node again
     TimePoint m_lastGossip{};
     TimePoint m_nextGossip{};
     TimePoint m_nextLimits{};
-    TimePoint m_nextMembers{};
+    TimePoint m_nextMemberUpdate{};
     TimePoint m_nextPoll{};
 };
 
 } // namespace fordwood::node
 
-#endif // FORDWOOD_NODE_CONTROL_DUTY_HPP_INCLUDED
+#endif // FORDWOOD_NODE_CONTROL_LOOP_HPP_INCLUDED
--- a/src/node/document_reader.cpp
+++ b/src/node/document_reader.cpp
@@ -2,7 +2,7 @@
 #include "node/document_reader.hpp"
 
 #include "adapters/observe/event_log.hpp"
-#include "node/quarantine_duty.hpp"
+#include "node/quarantine_distributor.hpp"
 #include "platform/documents.hpp"
 
 namespace fordwood::node {
@@ -39,13 +39,13 @@
     case platform::DocumentKind::Other:
         if (item.key.starts_with(kNodePrefix))
             readNode(item);
-        else if (const auto request = QuarantineDuty::requestOf(item.key))
+        else if (const auto request = QuarantineDistributor::parseKey(item.key))
             readHeldRequest(*request, item);
         break;
     }
 }
 
-void DocumentReader::refuse(const StoredItem &item, const std::string &problem)
+void DocumentReader::reject(const StoredItem &item, const std::string &problem)
 {
     logEvent(Event::StoredValueRefused,
              {{"key", item.key}, {"revision", item.revision}, {"error", problem}});
@@ -58,7 +58,7 @@
         return; // operators replace a configuration, they never take it away
     auto config = platform::readConfiguration(*item.value);
     if (!config) {
-        refuse(item, config.error().problem);
+        reject(item, config.error().problem);
         return;
     }
     if (config->version < m_configVersion) {
@@ -70,7 +70,7 @@
                                            {"revision", item.revision},
                                            {"routes", config->routes.size()},
                                            {"teams", config->teams.size()}});
-    m_listener.configurationRead(std::move(*config));
+    m_listener.onConfiguration(std::move(*config));
 }
 
 void DocumentReader::readWeights(const StoredItem &item)
@@ -79,12 +79,12 @@
         return;
     const auto named = platform::readWeightVersion(*item.value);
     if (!named) {
-        refuse(item, named.error().problem);
+        reject(item, named.error().problem);
         return;
     }
     logEvent(Event::WeightsNamed,
              {{"model", named->model}, {"weights", named->version}, {"revision", item.revision}});
-    m_listener.weightsNamed(named->model, named->version);
+    m_listener.onWeightVersion(named->model, named->version);
 }
 
 void DocumentReader::readUpstream(const StoredItem &item, bool mayBeExpiry)
@@ -93,58 +93,59 @@
     if (!item.value) {
         logEvent(mayBeExpiry ? Event::UpstreamExpired : Event::UpstreamGone,
                  {{"upstream", id}, {"revision", item.revision}});
-        endLife(id, mayBeExpiry);
+        endInstance(id, mayBeExpiry);
         return;
     }
     auto record = platform::readUpstream(item.key, *item.value);
     if (!record) {
-        refuse(item, record.error().problem);
-        endLife(id, false);
+        reject(item, record.error().problem);
+        endInstance(id, false);
         return;
     }
-    const auto known = m_lives.find(id);
-    if (known != m_lives.end() && !goesOn(known->second, *record, item))
+    const auto known = m_instances.find(id);
+    if (known != m_instances.end() && !acceptRecord(known->second, *record, item))
         return;
-    m_lives[id] = {record->instanceId, record->startedAt};
+    m_instances[id] = {record->instanceId, record->startedAt};
     logEvent(record->draining ? Event::UpstreamDraining : Event::UpstreamReady,
              {{"upstream", record->instanceId},
               {"service", record->service},
               {"address", record->address},
               {"cold_ms", record->coldFor.count()},
               {"revision", item.revision}});
-    m_listener.upstreamWritten(std::move(*record));
+    m_listener.onUpstreamRecord(std::move(*record));
 }
 
 // Whether the record takes the place of what is known under its id. A write of an earlier life may
 // reach the store after the first one of the next.
-bool DocumentReader::goesOn(const Life &known, const UpstreamRecord &record, const StoredItem &item)
+bool DocumentReader::acceptRecord(const KnownInstance &known, const UpstreamRecord &record,
+                                  const StoredItem &item)
 {
-    if (known.born && !record.startedAt) {
-        refuse(item, "does not tell when the upstream was born, as the one before did");
-        endLife(record.announcedId, false);
+    if (known.startedAt && !record.startedAt) {
+        reject(item, "does not tell when the upstream was born, as the one before did");
+        endInstance(record.announcedId, false);
         return false;
     }
-    if (record.startedAt < known.born) {
-        refuse(item, "is of an earlier life of the upstream");
+    if (record.startedAt < known.startedAt) {
+        reject(item, "is of an earlier life of the upstream");
         return false;
     }
     if (record.instanceId != known.instanceId) {
         logEvent(Event::UpstreamRestarted, {{"upstream", record.instanceId},
                                             {"before", known.instanceId},
                                             {"revision", item.revision}});
-        m_listener.upstreamRemoved(known.instanceId, false);
+        m_listener.onUpstreamRemoved(known.instanceId, false);
     }
     return true;
 }
 
-void DocumentReader::endLife(const std::string &announcedId, bool mayBeExpiry)
+void DocumentReader::endInstance(const std::string &announcedId, bool mayBeExpiry)
 {
-    const auto known = m_lives.find(announcedId);
-    if (known == m_lives.end())
+    const auto known = m_instances.find(announcedId);
+    if (known == m_instances.end())
         return;
-    m_listener.upstreamRemoved(known->second.instanceId, mayBeExpiry);
+    m_listener.onUpstreamRemoved(known->second.instanceId, mayBeExpiry);
     if (!mayBeExpiry)
-        m_lives.erase(known);
+        m_instances.erase(known);
 }
 
 void DocumentReader::readEvacuation(const StoredItem &item)
@@ -153,21 +154,21 @@
     const bool isEvacuated = item.value.has_value();
     logEvent(isEvacuated ? Event::EvacuationBegins : Event::EvacuationEnds,
              {{"failure_domain", domain}, {"revision", item.revision}});
-    m_listener.evacuationRead(domain, isEvacuated);
+    m_listener.onEvacuation(domain, isEvacuated);
 }
 
 void DocumentReader::readNode(const StoredItem &item)
 {
     const std::string node = item.key.substr(kNodePrefix.size());
     if (!item.value) {
-        m_listener.nodeRemoved(node);
+        m_listener.onNodeRemoved(node);
         return;
     }
     const auto address = decodePeerAddress(*item.value);
     if (address)
-        m_listener.nodeWritten(node, *address);
+        m_listener.onNodeAddress(node, *address);
     else
-        refuse(item, "is no address of a node");
+        reject(item, "is no address of a node");
 }
 
 // A key that is gone releases nothing: its lease may have run out while the store was away, and
@@ -176,10 +177,10 @@
 {
     if (!item.value)
         return;
-    if (const auto lives = QuarantineDuty::decodeLives(*item.value))
-        m_listener.heldRequestRead(request, *lives);
+    if (const auto instances = QuarantineDistributor::decodeInstances(*item.value))
+        m_listener.onQuarantinedRequest(request, *instances);
     else
-        refuse(item, "does not tell which upstreams have ended");
+        reject(item, "does not tell which upstreams have ended");
 }
 
 } // namespace fordwood::node
--- a/src/node/document_reader.hpp
+++ b/src/node/document_reader.hpp
@@ -23,16 +23,16 @@
 public:
     virtual ~DocumentListener() = default;
 
-    virtual void configurationRead(ServingConfig config) = 0;
-    virtual void weightsNamed(const std::string &model, std::uint64_t version) = 0;
-    virtual void upstreamWritten(UpstreamRecord record) = 0;
-    virtual void upstreamRemoved(const std::string &instanceId, bool mayBeExpiry) = 0;
-    virtual void evacuationRead(const std::string &failureDomain, bool isEvacuated) = 0;
-    virtual void nodeWritten(const std::string &node, const PeerAddress &address) = 0;
-    virtual void nodeRemoved(const std::string &node) = 0;
+    virtual void onConfiguration(ServingConfig config) = 0;
+    virtual void onWeightVersion(const std::string &model, std::uint64_t version) = 0;
+    virtual void onUpstreamRecord(UpstreamRecord record) = 0;
+    virtual void onUpstreamRemoved(const std::string &instanceId, bool mayBeExpiry) = 0;
+    virtual void onEvacuation(const std::string &failureDomain, bool isEvacuated) = 0;
+    virtual void onNodeAddress(const std::string &node, const PeerAddress &address) = 0;
+    virtual void onNodeRemoved(const std::string &node) = 0;
     // Upstreams have ended under the request, by their lives.
-    virtual void heldRequestRead(const RequestFingerprint &request,
-                                 const std::vector<std::uint64_t> &lives)
+    virtual void onQuarantinedRequest(const RequestFingerprint &request,
+                                      const std::vector<std::uint64_t> &instances)
         = 0;
 };
 
@@ -53,10 +53,10 @@
     static std::string nodeKey(const std::string &node);
 
 private:
-    struct Life
+    struct KnownInstance
     {
         std::string instanceId;
-        std::optional<WallTime> born;
+        std::optional<WallTime> startedAt;
     };
 
     void readConfiguration(const StoredItem &item);
@@ -65,15 +65,17 @@
     void readEvacuation(const StoredItem &item);
     void readNode(const StoredItem &item);
     void readHeldRequest(const RequestFingerprint &request, const StoredItem &item);
-    bool goesOn(const Life &known, const UpstreamRecord &record, const StoredItem &item);
+    bool acceptRecord(const KnownInstance &known, const UpstreamRecord &record,
+                      const StoredItem &item);
     // What was known under the announced id is no upstream to use.
-    void endLife(const std::string &announcedId, bool mayBeExpiry);
-    void refuse(const StoredItem &item, const std::string &problem);
+    void endInstance(const std::string &announcedId, bool mayBeExpiry);
+    void reject(const StoredItem &item, const std::string &problem);
 
     adapters::Metrics &m_metrics;
     DocumentListener &m_listener;
     std::uint64_t m_configVersion = 0;
-    std::map<std::string, Life> m_lives; // the last one of each upstream, by announced id
+    std::map<std::string, KnownInstance>
+        m_instances; // the last one of each upstream, by announced id
 };
 
 } // namespace fordwood::node
--- a/src/node/mailbox.hpp
+++ b/src/node/mailbox.hpp
@@ -17,8 +17,8 @@
 class Mailbox
 {
 public:
-    Mailbox(boost::asio::io_context &consumer, std::size_t capacity, std::function<void(T)> take)
-        : m_consumer(consumer), m_ring(capacity), m_take(std::move(take))
+    Mailbox(boost::asio::io_context &consumer, std::size_t capacity, std::function<void(T)> handler)
+        : m_consumer(consumer), m_ring(capacity), m_handler(std::move(handler))
     { }
 
     // From any thread; never waits. False when the ring is full: the value is then not taken.
@@ -27,23 +27,23 @@
         if (!m_ring.tryPush(std::move(value)))
             return false;
         // One wake-up at a time: the consumer takes all that is there.
-        if (!m_isWoken.exchange(true))
-            boost::asio::post(m_consumer, [this] { takeAll(); });
+        if (!m_isWakeupPosted.exchange(true))
+            boost::asio::post(m_consumer, [this] { handleAll(); });
         return true;
     }
 
 private:
-    void takeAll()
+    void handleAll()
     {
-        m_isWoken.store(false);
+        m_isWakeupPosted.store(false);
         while (auto value = m_ring.tryPop())
-            m_take(std::move(*value));
+            m_handler(std::move(*value));
     }
 
     boost::asio::io_context &m_consumer;
     adapters::BoundedRing<T> m_ring;
-    std::function<void(T)> m_take;
-    std::atomic<bool> m_isWoken{false};
+    std::function<void(T)> m_handler;
+    std::atomic<bool> m_isWakeupPosted{false};
 };
 
 } // namespace fordwood::node
--- a/src/node/naming_marks.hpp
+++ b/src/node/naming_marks.hpp
@@ -10,7 +10,7 @@
 
 #include "fordwood/clock.hpp"
 #include "fordwood/store_replica.hpp"
-#include "node/store_link.hpp"
+#include "node/store_client.hpp"
 #include "node/weight_news.hpp"
 
 namespace fordwood::node {
@@ -29,8 +29,8 @@
         Duration leastLease{}; // the shortest that the store grants
     };
 
-    NamingMarks(const Clock &clock, StoreLink &store, const StoreReplica &replica, WeightNews &news,
-                Limits limits)
+    NamingMarks(const Clock &clock, StoreClient &store, const StoreReplica &replica,
+                WeightNews &news, Limits limits)
         : m_clock(clock), m_store(store), m_replica(replica), m_news(news), m_limits(limits)
     { }
 
@@ -58,7 +58,7 @@
     void finished(const Naming &naming);
 
     const Clock &m_clock;
-    StoreLink &m_store;
+    StoreClient &m_store;
     const StoreReplica &m_replica;
     WeightNews &m_news;
     const Limits m_limits;
--- a/src/node/own_key.cpp
+++ b/src/node/node_registration.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "node/own_key.hpp"
+#include "node/node_registration.hpp"
 
 namespace fordwood::node {
 
@@ -7,82 +7,83 @@
 
 // Peers know each other by their messages within seconds, so the key may outlive its node a little;
 // three renewals may fail before it goes.
-constexpr Duration kLease = std::chrono::seconds(10);
-constexpr Duration kKeepEvery = std::chrono::seconds(3);
+constexpr Duration kLeaseTtl = std::chrono::seconds(10);
+constexpr Duration kRenewInterval = std::chrono::seconds(3);
 constexpr Duration kRetryPause = std::chrono::milliseconds(700);
 
 } // namespace
 
-OwnKey::OwnKey(const Clock &clock, StoreLink &store, std::string key, std::string value)
+NodeRegistration::NodeRegistration(const Clock &clock, StoreClient &store, std::string key,
+                                   std::string value)
     : m_clock(clock), m_store(store), m_key(std::move(key)), m_value(std::move(value))
 { }
 
-void OwnKey::tick()
+void NodeRegistration::tick()
 {
-    if (m_isBusy || m_isRemoved || m_clock.now() < m_next)
+    if (m_isPending || m_isRemoved || m_clock.now() < m_nextAttempt)
         return;
-    m_isBusy = true;
-    m_isPut = m_isPut && isLeased();
+    m_isPending = true;
+    m_isWritten = m_isWritten && isLeased();
     if (!isLeased())
-        grant();
-    else if (!m_isPut)
-        put();
+        grantLease();
+    else if (!m_isWritten)
+        putKey();
     else
-        keep();
+        renewLease();
 }
 
-void OwnKey::retry()
+void NodeRegistration::retryLater()
 {
-    m_isBusy = false;
-    m_next = m_clock.now() + kRetryPause;
+    m_isPending = false;
+    m_nextAttempt = m_clock.now() + kRetryPause;
 }
 
-void OwnKey::grant()
+void NodeRegistration::grantLease()
 {
-    m_store.send(platform::grantCall(kLease), [this](const HttpResult &result) {
+    m_store.send(platform::grantCall(kLeaseTtl), [this](const HttpResult &result) {
         const auto granted = platform::readGrant(result);
         if (!granted) {
-            retry();
+            retryLater();
             return;
         }
-        m_isBusy = false;
+        m_isPending = false;
         m_lease = granted->lease;
         tick();
     });
 }
 
-void OwnKey::put()
+void NodeRegistration::putKey()
 {
     // Whether the key was written before does not matter: only this node writes it.
     m_store.send(platform::putCall(m_key, m_value, m_lease.id, false),
                  [this](const HttpResult &result) {
                      const auto answer = platform::readPut(result);
-                     m_isPut = answer.result == WriteResult::Done;
+                     m_isWritten = answer.result == WriteResult::Done;
                      if (answer.result == WriteResult::LeaseExpired)
                          m_lease = {};
-                     retry();
-                     if (m_isPut)
-                         m_next = m_clock.now() + kKeepEvery;
+                     retryLater();
+                     if (m_isWritten)
+                         m_nextAttempt = m_clock.now() + kRenewInterval;
                  });
 }
 
-void OwnKey::keep()
+void NodeRegistration::renewLease()
 {
     m_store.send(platform::keepCall(m_lease.id), [this](const HttpResult &result) {
-        const auto kept = platform::readKeep(result);
-        retry();
-        if (!kept)
+        const auto renewed = platform::readKeep(result);
+        retryLater();
+        if (!renewed)
             return;
-        if (*kept) {
-            m_next = m_clock.now() + kKeepEvery;
+        if (*renewed) {
+            m_nextAttempt = m_clock.now() + kRenewInterval;
             return;
         }
         m_lease = {}; // it has run out, and the key with it
-        m_isPut = false;
+        m_isWritten = false;
     });
 }
 
-void OwnKey::remove()
+void NodeRegistration::remove()
 {
     m_isRemoved = true;
     if (isLeased())
--- a/src/node/replica_fetcher.cpp
+++ b/src/node/replica_fetcher.cpp
@@ -20,14 +20,14 @@
 // Between two reads of a peer's copy: a fleet that starts writes hundreds of keys one by one.
 constexpr Duration kFetchPause = std::chrono::milliseconds(200);
 
-constexpr Duration kFetchPatience = std::chrono::milliseconds(800);
+constexpr Duration kFetchTimeout = std::chrono::milliseconds(800);
 
 constexpr Duration kSeedPause = std::chrono::milliseconds(300);
 
-constexpr std::string_view kEpoch = "&epoch=";
+constexpr std::string_view kEpochParameter = "&epoch=";
 
 template <typename Number>
-bool readNumber(std::string_view text, Number &number)
+bool parseNumber(std::string_view text, Number &number)
 {
     const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
     return ec == std::errc() && end == text.data() + text.size();
@@ -39,21 +39,21 @@
 {
     std::string target = std::string(kTarget) + std::to_string(version.revision);
     if (version.epoch > 0)
-        target += std::string(kEpoch) + std::to_string(version.epoch);
+        target += std::string(kEpochParameter) + std::to_string(version.epoch);
     return target;
 }
 
-std::optional<StoreVersion> ReplicaFetcher::sinceOf(std::string_view target)
+std::optional<StoreVersion> ReplicaFetcher::parseTarget(std::string_view target)
 {
     if (!target.starts_with(kTarget))
         return std::nullopt;
     target.remove_prefix(kTarget.size());
-    const std::size_t epochAt = std::min(target.find(kEpoch), target.size());
+    const std::size_t epochAt = std::min(target.find(kEpochParameter), target.size());
     StoreVersion version;
-    if (!readNumber(target.substr(0, epochAt), version.revision) || version.revision < 0)
+    if (!parseNumber(target.substr(0, epochAt), version.revision) || version.revision < 0)
         return std::nullopt;
     target.remove_prefix(epochAt);
-    if (!target.empty() && !readNumber(target.substr(kEpoch.size()), version.epoch))
+    if (!target.empty() && !parseNumber(target.substr(kEpochParameter.size()), version.epoch))
         return std::nullopt;
     return version;
 }
@@ -62,16 +62,16 @@
 {
     m_seeds = std::move(seeds);
     m_self = std::move(self);
-    m_nextSeedAsk = m_clock.now() + kSeedPause;
+    m_nextSeedFetch = m_clock.now() + kSeedPause;
 }
 
 void ReplicaFetcher::tick(const PeerRoster &roster, bool reachesStore)
 {
     const TimePoint now = m_clock.now();
     // A seed's copy may lack the keys of peers that have just started: ask until one is heard.
-    const bool knowsNobody = !reachesStore && roster.live().empty();
-    if ((m_replica.isEmpty() || knowsNobody) && now >= m_nextSeedAsk)
-        askSeeds();
+    const bool hasNoPeers = !reachesStore && roster.live().empty();
+    if ((m_replica.isEmpty() || hasNoPeers) && now >= m_nextSeedFetch)
+        fetchFromSeed();
     const auto ahead = roster.aheadOf(m_replica.version());
     if (!ahead) {
         m_isBehind = false;
@@ -86,9 +86,9 @@
         fetchFrom(*ahead);
 }
 
-void ReplicaFetcher::askSeeds()
+void ReplicaFetcher::fetchFromSeed()
 {
-    m_nextSeedAsk = m_clock.now() + kSeedPause;
+    m_nextSeedFetch = m_clock.now() + kSeedPause;
     if (m_seeds.empty())
         return;
     m_nextSeed = (m_nextSeed + 1) % m_seeds.size();
@@ -106,11 +106,11 @@
     call.address = address;
     call.method = "GET";
     call.target = targetSince(m_replica.version());
-    m_caller.send(call, kFetchPatience,
-                  [this, address](const HttpResult &result) { fetched(address, result); });
+    m_client.send(call, kFetchTimeout,
+                  [this, address](const HttpResult &result) { onFetched(address, result); });
 }
 
-void ReplicaFetcher::fetched(const std::string &address, const HttpResult &result)
+void ReplicaFetcher::onFetched(const std::string &address, const HttpResult &result)
 {
     m_isFetching = false;
     if (!result || result->status != 200)
@@ -124,7 +124,7 @@
                                      {"revision", part->changes.revision},
                                      {"items", part->changes.items.size()}});
     m_metrics.count("fordwood_replica_fetches_total");
-    m_take(*part);
+    m_onPart(*part);
 }
 
 } // namespace fordwood::node
--- a/src/node/replica_fetcher.hpp
+++ b/src/node/replica_fetcher.hpp
@@ -24,12 +24,12 @@
 {
 public:
     // Takes a part of a peer's copy.
-    using Take = std::function<void(const ReplicaPart &)>;
+    using OnPart = std::function<void(const ReplicaPart &)>;
 
-    ReplicaFetcher(const Clock &clock, HttpClient &caller, const StoreReplica &replica,
-                   adapters::Metrics &metrics, Take take)
-        : m_clock(clock), m_caller(caller), m_replica(replica), m_metrics(metrics),
-          m_take(std::move(take)), m_nextSeedAsk(clock.now())
+    ReplicaFetcher(const Clock &clock, HttpClient &client, const StoreReplica &replica,
+                   adapters::Metrics &metrics, OnPart take)
+        : m_clock(clock), m_client(client), m_replica(replica), m_metrics(metrics),
+          m_onPart(std::move(take)), m_nextSeedFetch(clock.now())
     { }
 
     // From where a node reads that knows nobody, and where it listens itself.
@@ -42,18 +42,18 @@
     // version that one names; nothing: it names none.
     static constexpr std::string_view kTarget = "/replica?since=";
     static std::string targetSince(const StoreVersion &version);
-    static std::optional<StoreVersion> sinceOf(std::string_view target);
+    static std::optional<StoreVersion> parseTarget(std::string_view target);
 
 private:
-    void askSeeds();
+    void fetchFromSeed();
     void fetchFrom(const std::string &address);
-    void fetched(const std::string &address, const HttpResult &result);
+    void onFetched(const std::string &address, const HttpResult &result);
 
     const Clock &m_clock;
-    HttpClient &m_caller;
+    HttpClient &m_client;
     const StoreReplica &m_replica;
     adapters::Metrics &m_metrics;
-    Take m_take;
+    OnPart m_onPart;
     std::vector<std::string> m_seeds;
     std::string m_self;
     std::size_t m_nextSeed = 0;
@@ -61,7 +61,7 @@
     bool m_isBehind = false; // a peer is ahead of this node's copy
     TimePoint m_behindSince{};
     TimePoint m_nextFetch{};
-    TimePoint m_nextSeedAsk;
+    TimePoint m_nextSeedFetch;
 };
 
 } // namespace fordwood::node
--- a/src/node/order_duty.cpp
+++ b/src/node/rollout_executor.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "node/order_duty.hpp"
+#include "node/rollout_executor.hpp"
 
 #include "adapters/observe/event_log.hpp"
 #include "platform/engine_calls.hpp"
@@ -12,11 +12,11 @@
 using adapters::logEvent;
 
 // An engine answers a report or an order within milliseconds, or is in trouble.
-constexpr Duration kReportPatience = std::chrono::milliseconds(700);
-constexpr Duration kOrderPatience = std::chrono::milliseconds(500);
+constexpr Duration kReportTimeout = std::chrono::milliseconds(700);
+constexpr Duration kOrderTimeout = std::chrono::milliseconds(500);
 
 // How often the engines with old weights are looked at for the log.
-constexpr Duration kBehindEvery = std::chrono::milliseconds(200);
+constexpr Duration kOutdatedLogInterval = std::chrono::milliseconds(200);
 
 std::string_view nameOf(RolloutWait wait)
 {
@@ -41,8 +41,8 @@
     return "turn";
 }
 
-void logBehind(const std::string &instanceId, const OutdatedEngine &engine,
-               std::string_view waitsFor)
+void logOutdatedEngine(const std::string &instanceId, const OutdatedEngine &engine,
+                       std::string_view waitsFor)
 {
     logEvent(Event::EngineBehind, {{"upstream", instanceId},
                                    {"model", engine.model},
@@ -72,39 +72,40 @@
 
 } // namespace
 
-OrderDuty::OrderDuty(const Clock &clock, HttpClient &caller, StoreLink &store, std::string node,
-                     const std::string &owner, FencedLock::Limits limits)
-    : m_clock(clock), m_caller(caller), m_store(store), m_node(std::move(node)),
+RolloutExecutor::RolloutExecutor(const Clock &clock, HttpClient &client, StoreClient &store,
+                                 std::string node, const std::string &owner,
+                                 FencedLock::Limits limits)
+    : m_clock(clock), m_client(client), m_store(store), m_node(std::move(node)),
       m_lock(lockKey(), owner, clock, limits), m_rollout(clock)
 { }
 
-std::string OrderDuty::lockKey()
+std::string RolloutExecutor::lockKey()
 {
     return "fordwood/weights-lock";
 }
 
-void OrderDuty::tick(const UpstreamLoadTracker &loads)
+void RolloutExecutor::tick(const UpstreamLoadTracker &loads)
 {
     m_lock.storeRestored(m_store.epoch());
     for (const LockAction &it : m_lock.tick())
-        carryOut(it);
-    noteHolding();
+        execute(it);
+    logLockChange();
     for (const RolloutAction &it : m_rollout.tick(m_lock.holding(), loads))
-        carryOut(it);
+        execute(it);
     if (m_rollout.takeFenceRefused())
         m_lock.fenceRefused();
-    noteBehind();
+    logOutdatedEngines();
 }
 
-void OrderDuty::release()
+void RolloutExecutor::release()
 {
     m_lock.release();
     for (const LockAction &it : m_lock.tick())
-        carryOut(it);
-    noteHolding();
+        execute(it);
+    logLockChange();
 }
 
-void OrderDuty::noteHolding()
+void RolloutExecutor::logLockChange()
 {
     const auto holding = m_lock.holding();
     const std::int64_t fence = holding ? holding->fence : 0;
@@ -118,57 +119,57 @@
 }
 
 // The holder alone tells, and only what has changed.
-void OrderDuty::noteBehind()
+void RolloutExecutor::logOutdatedEngines()
 {
     const auto holding = m_lock.holding();
     if (!holding)
-        m_loggedBehind.clear();
-    if (!holding || m_clock.now() < m_nextBehind)
+        m_loggedOutdated.clear();
+    if (!holding || m_clock.now() < m_nextOutdatedLog)
         return;
-    m_nextBehind = m_clock.now() + kBehindEvery;
-    auto behind = m_rollout.outdatedEngines(*holding);
-    for (const auto &[id, engine] : behind) {
-        const auto known = m_loggedBehind.find(id);
-        if (known == m_loggedBehind.end() || known->second != engine)
-            logBehind(id, engine, nameOf(engine.waitsFor));
+    m_nextOutdatedLog = m_clock.now() + kOutdatedLogInterval;
+    auto outdated = m_rollout.outdatedEngines(*holding);
+    for (const auto &[id, engine] : outdated) {
+        const auto logged = m_loggedOutdated.find(id);
+        if (logged == m_loggedOutdated.end() || logged->second != engine)
+            logOutdatedEngine(id, engine, nameOf(engine.waitsFor));
     }
-    for (const auto &[id, engine] : m_loggedBehind) {
-        if (!behind.contains(id))
-            logBehind(id, engine, "nothing");
+    for (const auto &[id, engine] : m_loggedOutdated) {
+        if (!outdated.contains(id))
+            logOutdatedEngine(id, engine, "nothing");
     }
-    m_loggedBehind = std::move(behind);
+    m_loggedOutdated = std::move(outdated);
 }
 
-void OrderDuty::carryOut(const LockAction &action)
+void RolloutExecutor::execute(const LockAction &action)
 {
-    if (const auto *granting = std::get_if<GrantLease>(&action))
-        grant(*granting);
-    else if (const auto *taking = std::get_if<AcquireLock>(&action))
-        take(*taking);
-    else if (const auto *keeping = std::get_if<RenewLease>(&action))
-        keep(*keeping);
-    else if (const auto *ending = std::get_if<RevokeLease>(&action))
-        m_store.send(platform::endCall(ending->lease), [](const HttpResult &) {
+    if (const auto *grantAction = std::get_if<GrantLease>(&action))
+        grantLease(*grantAction);
+    else if (const auto *acquireAction = std::get_if<AcquireLock>(&action))
+        acquireLock(*acquireAction);
+    else if (const auto *renewAction = std::get_if<RenewLease>(&action))
+        renewLease(*renewAction);
+    else if (const auto *revokeAction = std::get_if<RevokeLease>(&action))
+        m_store.send(platform::endCall(revokeAction->lease), [](const HttpResult &) {
             // A lease that is not ended runs out by itself.
         });
 }
 
-void OrderDuty::grant(const GrantLease &action)
+void RolloutExecutor::grantLease(const GrantLease &action)
 {
-    const TimePoint asked = m_clock.now();
-    m_store.send(platform::grantCall(action.ttl), [this, asked](const HttpResult &result) {
+    const TimePoint sentAt = m_clock.now();
+    m_store.send(platform::grantCall(action.ttl), [this, sentAt](const HttpResult &result) {
         const auto granted = platform::readGrant(result);
         m_lock.storeRestored(m_store.epoch());
         if (granted)
-            m_lock.leaseGranted(granted->lease.id, granted->life, asked);
+            m_lock.leaseGranted(granted->lease.id, granted->life, sentAt);
         else
             m_lock.leaseNotGranted();
         for (const LockAction &it : m_lock.tick())
-            carryOut(it);
+            execute(it);
     });
 }
 
-void OrderDuty::take(const AcquireLock &action)
+void RolloutExecutor::acquireLock(const AcquireLock &action)
 {
     m_store.send(platform::putCall(action.key, action.value, action.lease, true),
                  [this](const HttpResult &result) {
@@ -178,36 +179,36 @@
                  });
 }
 
-void OrderDuty::keep(const RenewLease &action)
+void RolloutExecutor::renewLease(const RenewLease &action)
 {
-    const TimePoint asked = m_clock.now();
-    m_store.send(platform::keepCall(action.lease), [this, asked](const HttpResult &result) {
-        const auto kept = platform::readKeep(result);
+    const TimePoint sentAt = m_clock.now();
+    m_store.send(platform::keepCall(action.lease), [this, sentAt](const HttpResult &result) {
+        const auto renewed = platform::readKeep(result);
         m_lock.storeRestored(m_store.epoch());
-        if (kept && *kept)
-            m_lock.leaseRenewed(**kept, asked);
+        if (renewed && *renewed)
+            m_lock.leaseRenewed(**renewed, sentAt);
         else
-            m_lock.leaseNotRenewed(kept.has_value());
+            m_lock.leaseNotRenewed(renewed.has_value());
     });
 }
 
-void OrderDuty::carryOut(const RolloutAction &action)
+void RolloutExecutor::execute(const RolloutAction &action)
 {
-    if (const auto *asking = std::get_if<FetchReport>(&action))
-        ask(*asking);
-    else if (const auto *ordering = std::get_if<OrderWeights>(&action))
-        order(*ordering);
+    if (const auto *fetchAction = std::get_if<FetchReport>(&action))
+        fetchReport(*fetchAction);
+    else if (const auto *orderAction = std::get_if<OrderWeights>(&action))
+        sendOrder(*orderAction);
 }
 
-void OrderDuty::ask(const FetchReport &action)
+void RolloutExecutor::fetchReport(const FetchReport &action)
 {
-    m_caller.send(platform::reportCall(action), kReportPatience,
+    m_client.send(platform::reportCall(action), kReportTimeout,
                   [this, id = action.instanceId](const HttpResult &result) {
                       m_rollout.reportReceived(id, platform::readReport(result));
                   });
 }
 
-void OrderDuty::order(const OrderWeights &action)
+void RolloutExecutor::sendOrder(const OrderWeights &action)
 {
     // The lease is looked at once more at the last moment: a process that was frozen between the
     // decision and the send must not act on a lease that is over.
@@ -221,7 +222,7 @@
                                      {"fence", action.fence},
                                      {"orders_taken", action.ordersTaken}});
     m_lastOrder = m_clock.now();
-    m_caller.send(platform::orderCall(action, m_node), kOrderPatience,
+    m_client.send(platform::orderCall(action, m_node), kOrderTimeout,
                   [this, id = action.instanceId](const HttpResult &result) {
                       const OrderResult answer = platform::readOrder(result);
                       logEvent(Event::OrderAnswered, {{"upstream", id},
--- a/src/node/order_duty.hpp
+++ b/src/node/rollout_executor.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#ifndef FORDWOOD_NODE_ORDER_DUTY_HPP_INCLUDED
-#define FORDWOOD_NODE_ORDER_DUTY_HPP_INCLUDED
+#ifndef FORDWOOD_NODE_ROLLOUT_EXECUTOR_HPP_INCLUDED
+#define FORDWOOD_NODE_ROLLOUT_EXECUTOR_HPP_INCLUDED
 
 #include <functional>
 #include <map>
@@ -13,17 +13,17 @@
 #include "fordwood/upstream_load_tracker.hpp"
 #include "fordwood/weight_rollout.hpp"
 #include "node/http_client.hpp"
-#include "node/store_link.hpp"
+#include "node/store_client.hpp"
 
 namespace fordwood::node {
 
 // Orders engines to load weights while this node holds the lock for it: carries out what FencedLock
 // and WeightRollout decide.
-class OrderDuty
+class RolloutExecutor
 {
 public:
-    OrderDuty(const Clock &clock, HttpClient &caller, StoreLink &store, std::string node,
-              const std::string &owner, FencedLock::Limits limits);
+    RolloutExecutor(const Clock &clock, HttpClient &client, StoreClient &store, std::string node,
+                    const std::string &owner, FencedLock::Limits limits);
 
     FencedLock &lock() { return m_lock; }
     WeightRollout &rollout() { return m_rollout; }
@@ -40,28 +40,28 @@
     static std::string lockKey();
 
 private:
-    void carryOut(const LockAction &action);
-    void carryOut(const RolloutAction &action);
-    void grant(const GrantLease &action);
-    void take(const AcquireLock &action);
-    void keep(const RenewLease &action);
-    void ask(const FetchReport &action);
-    void order(const OrderWeights &action);
-    void noteHolding();
-    void noteBehind();
+    void execute(const LockAction &action);
+    void execute(const RolloutAction &action);
+    void grantLease(const GrantLease &action);
+    void acquireLock(const AcquireLock &action);
+    void renewLease(const RenewLease &action);
+    void fetchReport(const FetchReport &action);
+    void sendOrder(const OrderWeights &action);
+    void logLockChange();
+    void logOutdatedEngines();
 
     const Clock &m_clock;
-    HttpClient &m_caller;
-    StoreLink &m_store;
+    HttpClient &m_client;
+    StoreClient &m_store;
     const std::string m_node;
     FencedLock m_lock;
     WeightRollout m_rollout;
     std::optional<TimePoint> m_lastOrder;
     std::int64_t m_loggedFence = 0; // zero: not held, as logged last
-    TimePoint m_nextBehind{};
-    std::map<std::string, OutdatedEngine> m_loggedBehind;
+    TimePoint m_nextOutdatedLog{};
+    std::map<std::string, OutdatedEngine> m_loggedOutdated;
 };
 
 } // namespace fordwood::node
 
-#endif // FORDWOOD_NODE_ORDER_DUTY_HPP_INCLUDED
+#endif // FORDWOOD_NODE_ROLLOUT_EXECUTOR_HPP_INCLUDED
--- /dev/null
+++ b/src/node/store_client.cpp
@@ -0,0 +1,280 @@
+// SPDX-License-Identifier: MIT
+#include "node/store_client.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace fordwood::node {
+
+namespace {
+
+using platform::StoreFailure;
+
+// A waiting watch is a call like any other, so it waits long; a silent connection shows sooner, by
+// its probes.
+constexpr std::chrono::milliseconds kWatchWait{20'000};
+constexpr Duration kWatchGrace = std::chrono::seconds(2); // beyond the wait
+
+// Answers that a stalled store held back all come within this.
+constexpr Duration kStalledAnswersWithin = std::chrono::milliseconds(500);
+
+// The shortest wait: a poll is to answer at once.
+constexpr std::chrono::milliseconds kPollWait{1};
+
+// Slower than this only when the store is in trouble: it answers in milliseconds.
+constexpr Duration kCallTimeout = std::chrono::milliseconds(1'500);
+
+// Changes that come together are read by one call. While they keep coming the pause doubles, up to
+// a part of the second or two within which changes must be in force: a fleet that starts, where
+// each node writes its key, else wakes every node with each few keys.
+constexpr Duration kBatchPause = std::chrono::milliseconds(30);
+constexpr Duration kMaxBatchPause = std::chrono::milliseconds(240);
+// A wait that brings a change sooner than this goes on with those before it.
+constexpr Duration kQuietThreshold = std::chrono::milliseconds(500);
+
+// After its start a node reads once more before it waits for changes: meanwhile the others that
+// started with it have written their keys, and it knows whether it need follow at all.
+constexpr Duration kStartPause = std::chrono::milliseconds(700);
+
+// Failed calls cost as much as others: they are repeated after a pause that grows.
+constexpr Duration kInitialRetryPause = std::chrono::milliseconds(200);
+constexpr Duration kMaxRetryPause = std::chrono::milliseconds(800);
+
+} // namespace
+
+StoreClient::StoreClient(net::io_context &context, HttpClient &client, const Clock &clock,
+                         std::string address, const StoreReplica &replica, StoreListener &listener)
+    : m_timer(context), m_client(client), m_clock(clock), m_address(std::move(address)),
+      m_replica(replica), m_listener(listener), m_batchPause(kBatchPause)
+{ }
+
+void StoreClient::after(Duration pause, void (StoreClient::*step)())
+{
+    m_timer.expires_after(pause);
+    m_timer.async_wait([this, step](const ErrorCode &ec) {
+        if (!ec)
+            (this->*step)();
+    });
+}
+
+void StoreClient::send(HttpCall call, const HttpClient::Done &done)
+{
+    call.address = m_address;
+    m_client.send(call, kCallTimeout,
+                  [this, sentAt = m_clock.now(), done](const HttpResult &result) {
+                      if (result) // also one that turns the call away
+                          recordAnswer(sentAt);
+                      updateEpoch(result);
+                      done(result);
+                  });
+}
+
+void StoreClient::readAll()
+{
+    readPage("", std::make_shared<FullRead>(FullRead{m_clock.now(), {}}), NextStep::Watch);
+}
+
+void StoreClient::readPage(const std::string &after, const std::shared_ptr<FullRead> &fullRead,
+                           NextStep next)
+{
+    send(platform::rangeCall(after),
+         [this, fullRead, next](const HttpResult &result) { handlePage(result, fullRead, next); });
+}
+
+void StoreClient::handlePage(const HttpResult &result, const std::shared_ptr<FullRead> &fullRead,
+                             NextStep next)
+{
+    auto page = platform::readRange(result);
+    if (!page) {
+        if (next == NextStep::Watch)
+            onFailure(page.error());
+        else
+            m_isPolling = false; // the next poll tries again
+        return;
+    }
+    onSuccess();
+    // Pages are no snapshot: what changed after the first one is read by the watch.
+    StoreChanges &read = fullRead->read;
+    if (read.revision == 0) {
+        read.revision = page->content.revision;
+        read.epoch = page->content.epoch;
+    }
+    if (page->content.epoch != read.epoch) {
+        readPage("", std::make_shared<FullRead>(FullRead{m_clock.now(), {}}), next);
+        return;
+    }
+    auto &items = page->content.items;
+    read.items.insert(read.items.end(), items.begin(), items.end());
+    if (page->nextAfter) {
+        readPage(*page->nextAfter, fullRead, next);
+        return;
+    }
+    m_isComplete = true;
+    m_isPolling = false;
+    m_listener.onStoreChanges(read, {fullRead->sentAt, std::nullopt});
+    if (next != NextStep::Watch)
+        return;
+    if (std::exchange(m_isStarting, false))
+        after(kStartPause, &StoreClient::continueFollowing);
+    else
+        continueFollowing();
+}
+
+void StoreClient::setFollowing(bool follows)
+{
+    m_isFollowing = follows;
+    if (m_isFollowing && m_isIdle)
+        continueFollowing();
+}
+
+// The next step of following: waits for changes, or first reads all.
+void StoreClient::continueFollowing()
+{
+    // A node that has no copy yet reads on until it has one, from here or from a peer.
+    m_isIdle = !m_isFollowing && !m_replica.isEmpty();
+    if (m_isIdle)
+        return;
+    if (m_isComplete)
+        watch();
+    else
+        readAll();
+}
+
+void StoreClient::watch()
+{
+    const StoreVersion after = m_replica.version();
+    HttpCall call = platform::watchCall(after.revision, kWatchWait);
+    call.address = m_address;
+    m_watchStartedAt = m_clock.now();
+    m_client.send(call, kWatchWait + kWatchGrace,
+                  [this, after](const HttpResult &result) { handleWatch(result, after); });
+}
+
+// Of a restored store the changes after a revision of before it are not those that the copy lacks.
+platform::StoreResult<StoreChanges> StoreClient::changesIn(const HttpResult &result,
+                                                           const StoreVersion &after) const
+{
+    auto changes = platform::readWatch(result, after.revision);
+    if (changes && changes->epoch != after.epoch)
+        return tl::unexpected(StoreFailure::HistoryLost);
+    return changes;
+}
+
+void StoreClient::handleWatch(const HttpResult &result, const StoreVersion &after)
+{
+    updateEpoch(result);
+    const auto changes = changesIn(result, after);
+    if (!changes) {
+        onFailure(changes.error());
+        return;
+    }
+    onSuccess();
+    m_listener.onStoreChanges(*changes, watchTimes());
+    const bool acceptRecord = m_clock.now() - m_watchStartedAt < kQuietThreshold;
+    m_batchPause = acceptRecord ? std::min(2 * m_batchPause, kMaxBatchPause) : kBatchPause;
+    this->after(m_batchPause, &StoreClient::continueFollowing);
+}
+
+void StoreClient::updateEpoch(const HttpResult &result)
+{
+    const std::uint64_t epoch = platform::epochOf(result);
+    if (epoch <= m_epoch)
+        return;
+    m_epoch = epoch;
+    // The waiting call may be on a connection that hears nothing any more.
+    if (m_isComplete && m_isFollowing && epoch > m_replica.version().epoch)
+        readAllOnce();
+}
+
+void StoreClient::recordAnswer(TimePoint sentAt)
+{
+    constexpr std::size_t kMaxRecentAnswers = 8;
+    m_recentAnswers.push_back({sentAt, m_clock.now()});
+    if (m_recentAnswers.size() > kMaxRecentAnswers)
+        m_recentAnswers.pop_front();
+}
+
+// The waiting call may be answered long after its news, if the store stalls: quiet was only what
+// lies before a later call that the store did answer, while the waiting one went on.
+StoreAnswerTimes StoreClient::watchTimes() const
+{
+    StoreAnswerTimes times{m_watchStartedAt, std::nullopt};
+    const TimePoint now = m_clock.now();
+    for (const AnsweredCall &it : m_recentAnswers) {
+        if (it.sentAt > m_watchStartedAt && now - it.onSuccess >= kStalledAnswersWithin)
+            times.noChangesUntil = std::max(times.noChangesUntil.value_or(it.sentAt), it.sentAt);
+    }
+    return times;
+}
+
+void StoreClient::poll()
+{
+    if (m_isPolling || !m_isComplete)
+        return;
+    m_isPolling = true;
+    const StoreVersion after = m_replica.version();
+    const TimePoint sentAt = m_clock.now();
+    send(platform::watchCall(after.revision, kPollWait),
+         [this, after, sentAt](const HttpResult &result) {
+             m_isPolling = false;
+             handlePoll(result, after, sentAt);
+         });
+}
+
+void StoreClient::handlePoll(const HttpResult &result, const StoreVersion &after, TimePoint sentAt)
+{
+    const auto changes = changesIn(result, after);
+    if (changes) {
+        onSuccess();
+        m_listener.onStoreChanges(*changes, {sentAt, std::nullopt});
+        return;
+    }
+    // A lost history means that the waiting call has missed something; other failures are its own
+    // to find out.
+    if (changes.error() == StoreFailure::HistoryLost)
+        readAllOnce();
+}
+
+// Reads everything beside the waiting call, which goes on.
+void StoreClient::readAllOnce()
+{
+    m_isPolling = true;
+    readPage("", std::make_shared<FullRead>(FullRead{m_clock.now(), {}}), NextStep::Nothing);
+}
+
+void StoreClient::onSuccess()
+{
+    m_consecutiveFailures = 0;
+    if (m_isReachable)
+        return;
+    m_isReachable = true;
+    m_listener.onReachabilityChange(true);
+}
+
+void StoreClient::onFailure(StoreFailure failure)
+{
+    if (failure == StoreFailure::HistoryLost) {
+        onSuccess();
+        m_isComplete = false;
+        // Lost again at once: reading all in a row would only load the store.
+        const TimePoint now = m_clock.now();
+        const bool isRepeated = m_historyLostAt && now - *m_historyLostAt < kMaxRetryPause;
+        m_historyLostAt = now;
+        after(isRepeated ? kInitialRetryPause : Duration(0), &StoreClient::readAll);
+        return;
+    }
+    constexpr unsigned kMaxDoublings = 4;
+    const Duration pause
+        = std::min(kInitialRetryPause * (1U << std::min(m_consecutiveFailures, kMaxDoublings)),
+                   kMaxRetryPause);
+    m_consecutiveFailures += 1;
+    // A waiting watch may be cut at any time; only the next call shows whether the store is away.
+    if (m_isReachable && m_consecutiveFailures > 1) {
+        m_isReachable = false;
+        m_listener.onReachabilityChange(false);
+    }
+    const bool first = m_consecutiveFailures == 1 && m_isComplete;
+    after(first ? Duration(0) : pause, &StoreClient::continueFollowing);
+}
+
+} // namespace fordwood::node
--- a/tests/node/belief_ages_test.cpp
+++ b/tests/node/belief_ages_test.cpp
@@ -22,7 +22,7 @@
 #include "node/context_store_watcher.hpp"
 #include "node/node_state.hpp"
 #include "node/order_words.hpp"
-#include "node/quarantine_duty.hpp"
+#include "node/quarantine_distributor.hpp"
 #include "node/update_queue.hpp"
 #include "process/platform_standins.hpp"
 #include "standins/blocking_server.hpp"
@@ -72,7 +72,7 @@
     void tick() { m_links.tick(); }
 
     // The revisions in the messages heard since the last call.
-    std::vector<std::int64_t> takeHeard() { return std::exchange(m_heard, {}); }
+    std::vector<std::int64_t> addFromPeer() { return std::exchange(m_heard, {}); }
 
     const PeerRoster &roster() const { return m_links.roster(); }
 
@@ -103,7 +103,7 @@
         passer.say(1);
         workAll();
         for (Node *it : all())
-            it->takeHeard();
+            it->addFromPeer();
     }
 
     std::vector<Node *> all() { return {&sender, &passer, &last}; }
@@ -143,12 +143,12 @@
     line.sender.say(5);
     line.standStill(3s);
     line.passer.work();
-    CHECK(line.passer.takeHeard().empty());
+    CHECK(line.passer.addFromPeer().empty());
     CHECK(line.passer.roster().live().empty());
     // The other side: it hears at once what is said from now on.
     line.sender.say(6);
     line.passer.work();
-    CHECK(line.passer.takeHeard() == std::vector<std::int64_t>{6});
+    CHECK(line.passer.addFromPeer() == std::vector<std::int64_t>{6});
     CHECK(line.passer.roster().live() == std::vector<std::string>{"a"});
 }
 
@@ -158,10 +158,10 @@
     line.sender.say(5);
     line.standStill(3s);
     line.workAll();
-    CHECK(line.last.takeHeard().empty());
+    CHECK(line.last.addFromPeer().empty());
     line.sender.say(6);
     line.workAll();
-    CHECK(line.last.takeHeard() == std::vector<std::int64_t>{6});
+    CHECK(line.last.addFromPeer() == std::vector<std::int64_t>{6});
 }
 
 TEST_CASE("ages: it is the same where timers run first [standstill]")
@@ -171,11 +171,11 @@
     line.standStill(3s);
     line.passer.tick();
     line.workAll();
-    CHECK(line.passer.takeHeard().empty());
-    CHECK(line.last.takeHeard().empty());
+    CHECK(line.passer.addFromPeer().empty());
+    CHECK(line.last.addFromPeer().empty());
     line.sender.say(6);
     line.workAll();
-    CHECK(line.passer.takeHeard() == std::vector<std::int64_t>{6});
+    CHECK(line.passer.addFromPeer() == std::vector<std::int64_t>{6});
 }
 
 TEST_CASE("ages: a full socket is emptied at once when its node wakes [standstill]")
@@ -188,7 +188,7 @@
     line.passer.work();
     line.sender.say(100);
     line.passer.work();
-    CHECK(line.passer.takeHeard() == std::vector<std::int64_t>{100});
+    CHECK(line.passer.addFromPeer() == std::vector<std::int64_t>{100});
 }
 
 TEST_CASE("ages: a node that is slow but runs hears all that was said [standstill]")
@@ -199,8 +199,8 @@
         line.standStill(800ms);
         line.workAll();
     }
-    CHECK(line.passer.takeHeard().size() == 10);
-    CHECK(line.last.takeHeard().size() == 10);
+    CHECK(line.passer.addFromPeer().size() == 10);
+    CHECK(line.last.addFromPeer().size() == 10);
 }
 
 // What one node knows of requests that end upstreams, before the store's stand-in. A request was
@@ -248,7 +248,7 @@
         return quarantine.isHeld(kPage);
     }
 
-    QuarantineDuty &duty() { return m_duty; }
+    QuarantineDistributor &duty() { return m_duty; }
 
 private:
     void turn()
@@ -258,28 +258,29 @@
         m_duty.tick();
     }
 
-    void storeTold(const StoreChanges &changes, const StoreAnswerTimes & /*times*/) override
+    void onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes & /*times*/) override
     {
         for (const StoredItem &it : m_replica.merge(changes).value_or(std::vector<StoredItem>{})) {
-            const auto request = QuarantineDuty::requestOf(it.key);
-            const auto lives = it.value ? QuarantineDuty::decodeLives(*it.value) : std::nullopt;
+            const auto request = QuarantineDistributor::parseKey(it.key);
+            const auto lives
+                = it.value ? QuarantineDistributor::decodeInstances(*it.value) : std::nullopt;
             if (request && lives)
-                m_duty.takeStored(*request, *lives);
+                m_duty.addStored(*request, *lives);
         }
     }
-    void storeReachable(bool /*reachable*/) override { }
+    void onReachabilityChange(bool /*reachable*/) override { }
 
     ManualClock m_clock;
     const std::string m_store;
     net::io_context m_context;
     HttpClient m_caller{m_context, m_clock};
     StoreReplica m_replica;
-    StoreLink m_link{m_context, m_caller, m_clock, m_store, m_replica, *this};
+    StoreClient m_link{m_context, m_caller, m_clock, m_store, m_replica, *this};
     std::vector<QuarantineUpdate> m_told;
-    QuarantineDuty m_duty{m_clock, m_link, m_replica,
-                          [this](const std::vector<QuarantineUpdate> &it) {
-                              m_told.insert(m_told.end(), it.begin(), it.end());
-                          }};
+    QuarantineDistributor m_duty{m_clock, m_link, m_replica,
+                                 [this](const std::vector<QuarantineUpdate> &it) {
+                                     m_told.insert(m_told.end(), it.begin(), it.end());
+                                 }};
 };
 
 struct HoldingFleet
@@ -305,9 +306,9 @@
 {
     HoldingFleet fleet;
     HoldingNode node(fleet.address);
-    node.duty().takeOwn(kThreeEnds);
+    node.duty().addOwn(kThreeEnds);
     REQUIRE(node.work([&] { return fleet.hasKey(); }));
-    node.duty().takeOwn(kAnswered);
+    node.duty().addOwn(kAnswered);
     node.workFor(5s);
     CHECK_FALSE(fleet.hasKey());
     CHECK_FALSE(fleet.isHeldByOneThatStartsNow());
@@ -319,9 +320,9 @@
     HoldingFleet fleet;
     HoldingNode node(fleet.address);
     REQUIRE(node.work([&] { return node.hasRead(); }));
-    node.duty().takeOwn(kThreeEnds);
+    node.duty().addOwn(kThreeEnds);
     node.duty().tick();
-    node.duty().takeHeard(kAnswered, false);
+    node.duty().addFromPeer(kAnswered, false);
     node.workFor(5s);
     CHECK_FALSE(fleet.hasKey());
 }
@@ -334,14 +335,14 @@
     REQUIRE(first.work([&] { return first.hasRead(); }));
     REQUIRE(second.work([&] { return second.hasRead(); }));
     for (HoldingNode *it : {&first, &second}) {
-        it->duty().takeOwn(kThreeEnds);
+        it->duty().addOwn(kThreeEnds);
         it->duty().tick(); // neither has read yet that the other writes
     }
     first.workFor(2s);
     second.workFor(2s);
     REQUIRE(fleet.hasKey());
-    second.duty().takeOwn(kAnswered);
-    first.duty().takeHeard(kAnswered, false);
+    second.duty().addOwn(kAnswered);
+    first.duty().addFromPeer(kAnswered, false);
     second.workFor(2s);
     first.workFor(2s);
     CHECK_FALSE(fleet.hasKey());
@@ -351,10 +352,10 @@
 {
     HoldingFleet fleet;
     HoldingNode node(fleet.address);
-    node.duty().takeOwn(kThreeEnds);
+    node.duty().addOwn(kThreeEnds);
     REQUIRE(node.work([&] { return fleet.hasKey(); }));
     fleet.store.setDown(true);
-    node.duty().takeOwn(kAnswered);
+    node.duty().addOwn(kAnswered);
     node.workFor(10s);
     REQUIRE(fleet.hasKey());
     fleet.store.setDown(false);
@@ -367,7 +368,7 @@
 {
     HoldingFleet fleet;
     HoldingNode node(fleet.address);
-    node.duty().takeOwn(kThreeEnds);
+    node.duty().addOwn(kThreeEnds);
     REQUIRE(node.work([&] { return fleet.hasKey(); }));
     node.workFor(60s);
     CHECK(fleet.hasKey());
@@ -489,7 +490,7 @@
     }
 
     // As the other thread puts it into the ring.
-    FleetUpdate storeTold() const
+    FleetUpdate onStoreChanges() const
     {
         ContextStoreUpdate news;
         news.store = "s";
@@ -510,12 +511,12 @@
           "[standstill][stores]")
 {
     ServingThread serving;
-    const FleetUpdate waiting = serving.storeTold();
+    const FleetUpdate waiting = serving.onStoreChanges();
     serving.clock.advance(3s);
     serving.traffic.handle(waiting);
     CHECK(serving.traffic.isRecoveringFromStall());
     // The other side: the next word ends the wait.
-    serving.traffic.handle(serving.storeTold());
+    serving.traffic.handle(serving.onStoreChanges());
     CHECK_FALSE(serving.traffic.isRecoveringFromStall());
 }
 
--- a/tests/node/decoder_fuzz_test.cpp
+++ b/tests/node/decoder_fuzz_test.cpp
@@ -9,7 +9,7 @@
 #include "node/context_messages.hpp"
 #include "node/net.hpp"
 #include "node/peer_messages.hpp"
-#include "node/quarantine_duty.hpp"
+#include "node/quarantine_distributor.hpp"
 #include "platform/caller_messages.hpp"
 #include "platform/documents.hpp"
 #include "platform/engine_calls.hpp"
@@ -206,8 +206,8 @@
     part.changes = {0, 9, {{"op/evacuate/z", 9, 9, "{}"}, {"b", 8, 1, std::nullopt}}};
     feed({node::encodeReplicaPart(part)}, 13,
          [](const std::string &it) { return !!node::decodeReplicaPart(it); });
-    feed({node::QuarantineDuty::encodeLives({1, UINT64_MAX})}, 15,
-         [](const std::string &it) { return !!node::QuarantineDuty::decodeLives(it); });
+    feed({node::QuarantineDistributor::encodeInstances({1, UINT64_MAX})}, 15,
+         [](const std::string &it) { return !!node::QuarantineDistributor::decodeInstances(it); });
     feed({node::encodePeerAddress({"10.0.0.1:1", "10.0.0.1:2", "z", 1.0})}, 14,
          [](const std::string &it) { return !!node::decodePeerAddress(it); });
 }
--- a/tests/node/document_reader_test.cpp
+++ b/tests/node/document_reader_test.cpp
@@ -8,7 +8,7 @@
 
 #include "fordwood/manual_clock.hpp"
 #include "fordwood/upstream_directory.hpp"
-#include "node/quarantine_duty.hpp"
+#include "node/quarantine_distributor.hpp"
 #include "platform/document_order.hpp"
 
 using namespace fordwood;
@@ -21,24 +21,24 @@
 class Listener : public DocumentListener
 {
 public:
-    void configurationRead(ServingConfig /*config*/) override { }
-    void weightsNamed(const std::string & /*model*/, std::uint64_t version) override
+    void onConfiguration(ServingConfig /*config*/) override { }
+    void onWeightVersion(const std::string & /*model*/, std::uint64_t version) override
     {
         lastNamed = version;
     }
-    void upstreamWritten(UpstreamRecord record) override { upstreams.put(std::move(record)); }
-    void upstreamRemoved(const std::string &instanceId, bool mayBeExpiry) override
+    void onUpstreamRecord(UpstreamRecord record) override { upstreams.put(std::move(record)); }
+    void onUpstreamRemoved(const std::string &instanceId, bool mayBeExpiry) override
     {
         upstreams.remove(instanceId, mayBeExpiry);
     }
-    void evacuationRead(const std::string &failureDomain, bool isEvacuated) override
+    void onEvacuation(const std::string &failureDomain, bool isEvacuated) override
     {
         upstreams.setEvacuated(failureDomain, isEvacuated);
     }
-    void nodeWritten(const std::string & /*node*/, const PeerAddress & /*address*/) override { }
-    void nodeRemoved(const std::string & /*node*/) override { }
-    void heldRequestRead(const RequestFingerprint &request,
-                         const std::vector<std::uint64_t> & /*lives*/) override
+    void onNodeAddress(const std::string & /*node*/, const PeerAddress & /*address*/) override { }
+    void onNodeRemoved(const std::string & /*node*/) override { }
+    void onQuarantinedRequest(const RequestFingerprint &request,
+                              const std::vector<std::uint64_t> & /*lives*/) override
     {
         held.push_back(request);
     }
@@ -69,7 +69,7 @@
     void expire(const std::string &key) { m_reader.read({key, ++m_revision, 1, {}}, true); }
 
     // `born`: nothing, and the entry does not tell.
-    void upstream(const std::string &id, const std::optional<std::int64_t> &born,
+    void upstream(const std::string &id, const std::optional<std::int64_t> &startedAt,
                   std::uint64_t weights = 1)
     {
         Json record{{"service", "s"}, {"address", "10.0.0.2:80"},
@@ -77,12 +77,12 @@
                     {"slots", 32},    {"state", "ready"},
                     {"sequence", 4},  {"cold-remaining-ms", 0}};
         record["models"] = Json::array({{{"name", "m"}, {"version", weights}}});
-        if (born)
-            record["born"] = *born;
+        if (startedAt)
+            record["born"] = *startedAt;
         write("servers/" + id, record.dump());
     }
 
-    std::size_t refused() const
+    std::size_t rejected() const
     {
         const std::string text = "\n" + m_metrics.text();
         const std::string name = "\nfordwood_stored_values_refused_total ";
@@ -117,7 +117,7 @@
     {
         entries.upstream("i", 1'000, 9);
         CHECK(entries.listener.usable() == Ids{"i@2000"});
-        CHECK(entries.refused() == 1);
+        CHECK(entries.rejected() == 1);
     }
     SUBCASE("one that goes and comes back in doubt is the same life")
     {
@@ -144,12 +144,12 @@
     entries.upstream("b", 1'000);
     entries.write("servers/a", "\xff\xfe nonsense");
     CHECK(entries.listener.usable() == Ids{"b@1000"});
-    CHECK(entries.refused() == 1);
+    CHECK(entries.rejected() == 1);
     entries.upstream("a", 1'000); // the upstream itself again
     CHECK(entries.listener.usable() == Ids{"a@1000", "b@1000"});
     entries.upstream("b", std::nullopt); // it has told its birth before
     CHECK(entries.listener.usable() == Ids{"a@1000"});
-    CHECK(entries.refused() == 2);
+    CHECK(entries.rejected() == 2);
     entries.upstream("c", std::nullopt); // never told
     CHECK(entries.listener.usable() == Ids{"a@1000", "c"});
     entries.write("servers/a", std::nullopt);
@@ -166,7 +166,7 @@
                            R"({"version":3})", "3", ""})
         entries.write("op/version/m", it);
     CHECK(entries.listener.lastNamed == 2);
-    CHECK(entries.refused() == 7);
+    CHECK(entries.rejected() == 7);
     entries.write("op/evacuate/z", "\xff"); // the key alone asks for it
     CHECK(entries.listener.usable().empty());
     entries.write("op/evacuate/z", std::nullopt);
@@ -179,13 +179,13 @@
 {
     Entries entries;
     const RequestFingerprint request{1, 2};
-    const std::string key = QuarantineDuty::keyOf(request);
-    entries.write(key, QuarantineDuty::encodeLives({7, 8, 9}));
+    const std::string key = QuarantineDistributor::keyOf(request);
+    entries.write(key, QuarantineDistributor::encodeInstances({7, 8, 9}));
     CHECK(entries.listener.held == std::vector{request});
     entries.write(key, "nonsense");
-    CHECK(entries.refused() == 1);
+    CHECK(entries.rejected() == 1);
     entries.write(key, {});
-    entries.write("fordwood/quarantine/nonsense", QuarantineDuty::encodeLives({7}));
+    entries.write("fordwood/quarantine/nonsense", QuarantineDistributor::encodeInstances({7}));
     CHECK(entries.listener.held.size() == 1);
 }
 
@@ -199,10 +199,10 @@
     };
     const auto weights
         = [](int version) { return R"({"model":"m","version":)" + std::to_string(version) + "}"; };
-    const auto upstream = [](const std::string &state, int born) {
+    const auto upstream = [](const std::string &state, int startedAt) {
         return R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v","slots":1,)"
                R"("cold-remaining-ms":0,"sequence":1,"state":")"
-               + state + R"(","born":)" + std::to_string(born) + "}";
+               + state + R"(","born":)" + std::to_string(startedAt) + "}";
     };
     CHECK(isOlder("op/version/m", weights(3), weights(2)));
     CHECK_FALSE(isOlder("op/version/m", weights(2), weights(3)));
--- a/tests/node/engine_refusal_test.cpp
+++ b/tests/node/engine_refusal_test.cpp
@@ -24,8 +24,9 @@
 {
 public:
     // `tells`: its answers name the version.
-    VersionedEngine(std::string id, std::string address, std::uint64_t version, bool tells)
-        : m_id(std::move(id)), m_address(std::move(address)), m_version(version), m_tells(tells),
+    VersionedEngine(std::string id, std::string address, std::uint64_t version, bool namesVersion)
+        : m_id(std::move(id)), m_address(std::move(address)), m_version(version),
+          m_namesVersion(namesVersion),
           m_server(m_address, [this](const standins::Request &it) { return answer(it); })
     { }
 
@@ -40,9 +41,9 @@
         return record;
     }
 
-    int runs() const { return m_runs; }
-    int refused() const { return m_refused; }
-    int unconditioned() const { return m_unconditioned; }
+    int executed() const { return m_executed; }
+    int rejected() const { return m_rejected; }
+    int withoutCondition() const { return m_withoutCondition; }
 
 private:
     standins::Answer answer(const standins::Request &request)
@@ -50,16 +51,16 @@
         standins::Answer answer;
         answer.headers["Request-Id"] = request.header("Request-Id");
         answer.headers["Instance-Id"] = m_id;
-        if (m_tells)
+        if (m_namesVersion)
             answer.headers["Versions"] = std::to_string(m_version);
-        m_unconditioned += request.header("Expect-Version").empty() ? 1 : 0;
+        m_withoutCondition += request.header("Expect-Version").empty() ? 1 : 0;
         if (request.header("Expect-Version") == std::to_string(m_version)) {
-            ++m_runs;
+            ++m_executed;
             answer.headers["Response-Seal"] = "seal";
             answer.body = "good";
             return answer;
         }
-        ++m_refused;
+        ++m_rejected;
         answer.status = 421;
         answer.headers["Not-Executed"] = "1";
         return answer;
@@ -68,10 +69,10 @@
     const std::string m_id;
     const std::string m_address;
     const std::uint64_t m_version;
-    const bool m_tells;
-    std::atomic<int> m_runs{0};
-    std::atomic<int> m_refused{0};
-    std::atomic<int> m_unconditioned{0}; // requests that any weights would do for
+    const bool m_namesVersion;
+    std::atomic<int> m_executed{0};
+    std::atomic<int> m_rejected{0};
+    std::atomic<int> m_withoutCondition{0}; // requests that any weights would do for
     standins::BlockingServer m_server;
 };
 
@@ -79,8 +80,8 @@
 class Serving
 {
 public:
-    explicit Serving(bool tells)
-        : wrong("e0", ownAddress(40), 1, tells), right("e1", ownAddress(41), 2, true),
+    explicit Serving(bool namesVersion)
+        : wrong("e0", ownAddress(40), 1, namesVersion), right("e1", ownAddress(41), 2, true),
           m_thread(pool())
     {
         write(wrong.record(2));
@@ -133,13 +134,13 @@
 {
     Serving serving(true);
     CHECK(serving.send(20) == 20);
-    CHECK(serving.wrong.refused() == 1);
-    CHECK(serving.wrong.runs() >= 2);
+    CHECK(serving.wrong.rejected() == 1);
+    CHECK(serving.wrong.executed() >= 2);
     serving.write(serving.wrong.record(1)); // within three heartbeats at the latest
     CHECK(serving.send(20) == 20);
-    CHECK(serving.wrong.refused() == 1);
-    CHECK(serving.wrong.runs() >= 5); // its weights are allowed as well
-    CHECK(serving.wrong.runs() + serving.right.runs() == 40);
+    CHECK(serving.wrong.rejected() == 1);
+    CHECK(serving.wrong.executed() >= 5); // its weights are allowed as well
+    CHECK(serving.wrong.executed() + serving.right.executed() == 40);
 }
 
 // A record that still says so after its time is believed again, lest an engine that has loaded its
@@ -149,8 +150,8 @@
 {
     Serving serving(true);
     CHECK(serving.send(100) == 100);
-    CHECK(serving.wrong.refused() >= 2);
-    CHECK(serving.wrong.refused() <= 5); // in 20 s
+    CHECK(serving.wrong.rejected() >= 2);
+    CHECK(serving.wrong.rejected() <= 5); // in 20 s
 }
 
 TEST_CASE("engine refusals: one that does not name its weights gets nothing until they are known "
@@ -158,11 +159,11 @@
 {
     Serving serving(false);
     CHECK(serving.send(10) == 10);
-    CHECK(serving.wrong.refused() == 1);
+    CHECK(serving.wrong.rejected() == 1);
     serving.write(serving.wrong.record(1));
     CHECK(serving.send(40) == 40);
-    CHECK(serving.wrong.refused() == 1);
-    CHECK(serving.wrong.runs() >= 5);
+    CHECK(serving.wrong.rejected() == 1);
+    CHECK(serving.wrong.executed() >= 5);
 }
 
 // A record that names version 0 tells none, since versions begin at 1. Such an engine was sent
@@ -183,10 +184,10 @@
     }
     serving.write(record);
     CHECK(serving.send(20) == 20);
-    CHECK(serving.wrong.unconditioned() == 0);
-    CHECK(serving.right.unconditioned() == 0);
-    CHECK(serving.right.runs() == 20);
+    CHECK(serving.wrong.withoutCondition() == 0);
+    CHECK(serving.right.withoutCondition() == 0);
+    CHECK(serving.right.executed() == 20);
     serving.write(serving.wrong.record(1));
     CHECK(serving.send(20) == 20);
-    CHECK(serving.wrong.runs() >= 2);
+    CHECK(serving.wrong.executed() >= 2);
 }
--- a/tests/node/engine_goes_back_test.cpp
+++ b/tests/node/engine_reverts_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 // Of three nodes of the same strength the one that takes the lock, by the hashes of their names.
-constexpr int kOrders = 1;
+constexpr int kLockHolder = 1;
 
 // Loads what it is ordered, at once; its record says what the test writes.
 class OrderedEngine
@@ -35,32 +35,32 @@
         Json record{{"service", "s"}, {"address", m_address}, {"zone", "domain-0"},
                     {"version", "v"}, {"slots", 8},           {"state", "ready"},
                     {"born", 1'000},  {"sequence", 1},        {"cold-remaining-ms", 0}};
-        record["models"] = Json::array({{{"name", "m"}, {"version", m_runs.load()}}});
+        record["models"] = Json::array({{{"name", "m"}, {"version", m_version.load()}}});
         m_fleet.store().put("servers/e", record.dump());
     }
 
     // It carries out a late order after its count of orders began anew.
-    void goBack(std::uint64_t version)
+    void revertTo(std::uint64_t version)
     {
-        m_runs = version;
-        m_taken = 1;
+        m_version = version;
+        m_ordersTaken = 1;
     }
 
     int orders() const { return m_orders; }
-    std::uint64_t runs() const { return m_runs; }
+    std::uint64_t version() const { return m_version; }
 
 private:
     standins::Answer answer(const standins::Request &request)
     {
         standins::Answer answer;
         if (request.path == "/api/report") {
-            Json report{{"busy", false}, {"sequence", m_taken.load()}};
-            report["models"] = Json::array({{{"name", "m"}, {"version", m_runs.load()}}});
+            Json report{{"busy", false}, {"sequence", m_ordersTaken.load()}};
+            report["models"] = Json::array({{{"name", "m"}, {"version", m_version.load()}}});
             answer.body = report.dump();
             return answer;
         }
-        m_runs = Json::parse(request.body).at("version").get<std::uint64_t>();
-        ++m_taken;
+        m_version = Json::parse(request.body).at("version").get<std::uint64_t>();
+        ++m_ordersTaken;
         ++m_orders;
         answer.status = 202;
         return answer;
@@ -68,8 +68,8 @@
 
     WeightsFleet &m_fleet;
     const std::string m_address;
-    std::atomic<std::uint64_t> m_runs{1};
-    std::atomic<int> m_taken{0};
+    std::atomic<std::uint64_t> m_version{1};
+    std::atomic<int> m_ordersTaken{0};
     std::atomic<int> m_orders{0};
     standins::BlockingServer m_server;
 };
@@ -91,12 +91,12 @@
     engine.writeRecord();
     fleet.advance(3s);
     CHECK(engine.orders() == 1);
-    engine.goBack(1);
+    engine.revertTo(1);
     engine.writeRecord();
     REQUIRE(fleet.waitForEngine("e@1000", 1));
     REQUIRE(fleet.waitForEngine("e@1000", 2));
     CHECK(engine.orders() == 2);
-    CHECK(engine.runs() == 2);
+    CHECK(engine.version() == 2);
     engine.writeRecord();
     fleet.advance(10s);
     CHECK(fleet.waitForEngine("e@1000", 2));
@@ -113,7 +113,7 @@
     REQUIRE(fleet.waitForPeers());
     fleet.nameWeights(2);
     REQUIRE(fleet.waitForEngine("e@1000", 2));
-    engine.goBack(1);
+    engine.revertTo(1);
     fleet.advance(4s);
     CHECK(engine.orders() == 1);
     fleet.advance(4s);
@@ -137,7 +137,7 @@
     fleet.advance(10s);
     CHECK(fleet.waitForEngine("e@1000", 2));
     for (int n = 0; n < 3; ++n) {
-        if (n == kOrders)
+        if (n == kLockHolder)
             continue;
         fleet.kill(n);
         fleet.start(n);
--- a/tests/node/mailbox_test.cpp
+++ b/tests/node/mailbox_test.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-FleetUpdate told(const std::string &store, std::uint64_t epoch,
-                 std::vector<StorePartChange> changes, bool isSnapshot = false)
+FleetUpdate storeUpdated(const std::string &store, std::uint64_t epoch,
+                         std::vector<StorePartChange> changes, bool isSnapshot = false)
 {
-    ContextStoreUpdate news;
-    news.store = store;
-    news.epoch = epoch;
-    news.isSnapshot = isSnapshot;
-    news.changes = std::move(changes);
-    return ContextStoreTold{news};
+    ContextStoreUpdate update;
+    update.store = store;
+    update.epoch = epoch;
+    update.isSnapshot = isSnapshot;
+    update.changes = std::move(changes);
+    return ContextStoreTold{update};
 }
 
-std::vector<FleetUpdate> takeAll(UpdateQueue &queue)
+std::vector<FleetUpdate> drain(UpdateQueue &queue)
 {
     std::vector<FleetUpdate> taken;
     queue.flush([&](const FleetUpdate &it) {
@@ -61,7 +61,7 @@
         queue.push(UpstreamWritten{{}});
     }
     CHECK(queue.size() == 5);
-    for (const FleetUpdate &it : takeAll(queue)) {
+    for (const FleetUpdate &it : drain(queue)) {
         if (const auto *live = std::get_if<LiveNodes>(&it))
             CHECK(live->n == 9'999);
     }
@@ -75,7 +75,7 @@
     record.instanceId = "i-1";
     queue.push(UpstreamWritten{record});
     queue.push(UpstreamRemoved{"i-1", false});
-    const auto taken = takeAll(queue);
+    const auto taken = drain(queue);
     REQUIRE(taken.size() == 1);
     CHECK(std::holds_alternative<UpstreamRemoved>(taken.front()));
 }
@@ -83,43 +83,43 @@
 TEST_CASE("update queue: what a store of kept context tells is added up [mailbox]")
 {
     UpdateQueue queue;
-    queue.push(told("s", 1, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
-    queue.push(told("s", 1, {{"salt", "a", false, 0}, {"salt", "c", true, 300}}));
-    const auto taken = takeAll(queue);
+    queue.push(storeUpdated("s", 1, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
+    queue.push(storeUpdated("s", 1, {{"salt", "a", false, 0}, {"salt", "c", true, 300}}));
+    const auto taken = drain(queue);
     REQUIRE(taken.size() == 1);
-    const ContextStoreUpdate &news = std::get<ContextStoreTold>(taken.front()).news;
-    REQUIRE(news.changes.size() == 3);
-    CHECK(news.changes[0].partId == "a");
-    CHECK_FALSE(news.changes[0].held);
-    CHECK(news.changes[2].partId == "c");
+    const ContextStoreUpdate &update = std::get<ContextStoreTold>(taken.front()).news;
+    REQUIRE(update.changes.size() == 3);
+    CHECK(update.changes[0].partId == "a");
+    CHECK_FALSE(update.changes[0].held);
+    CHECK(update.changes[2].partId == "c");
 }
 
 TEST_CASE("update queue: what a store told before it lost everything is dropped [mailbox]")
 {
     UpdateQueue queue;
-    queue.push(told("s", 1, {{"salt", "a", true, 100}}));
-    queue.push(told("s", 2, {{"salt", "b", true, 200}}));
-    queue.push(told("s", 2, {{"salt", "c", true, 1}}, true));
-    const auto taken = takeAll(queue);
+    queue.push(storeUpdated("s", 1, {{"salt", "a", true, 100}}));
+    queue.push(storeUpdated("s", 2, {{"salt", "b", true, 200}}));
+    queue.push(storeUpdated("s", 2, {{"salt", "c", true, 1}}, true));
+    const auto taken = drain(queue);
     REQUIRE(taken.size() == 1);
-    const ContextStoreUpdate &news = std::get<ContextStoreTold>(taken.front()).news;
-    REQUIRE(news.changes.size() == 1);
-    CHECK(news.changes.front().partId == "c");
-    CHECK(news.isSnapshot);
+    const ContextStoreUpdate &update = std::get<ContextStoreTold>(taken.front()).news;
+    REQUIRE(update.changes.size() == 1);
+    CHECK(update.changes.front().partId == "c");
+    CHECK(update.isSnapshot);
 }
 
 TEST_CASE("update queue: a store that answers again is not taken as silent [mailbox]")
 {
     UpdateQueue queue;
     queue.push(ContextStoreSilent{"s"});
-    queue.push(told("s", 1, {}));
-    auto taken = takeAll(queue);
+    queue.push(storeUpdated("s", 1, {}));
+    auto taken = drain(queue);
     REQUIRE(taken.size() == 1);
     CHECK(std::holds_alternative<ContextStoreTold>(taken.front()));
 
-    queue.push(told("s", 1, {}));
+    queue.push(storeUpdated("s", 1, {}));
     queue.push(ContextStoreSilent{"s"});
-    taken = takeAll(queue);
+    taken = drain(queue);
     REQUIRE(taken.size() == 2);
     CHECK(std::holds_alternative<ContextStoreSilent>(taken.back()));
 }
@@ -129,11 +129,11 @@
     UpdateQueue queue;
     queue.push(LiveNodes{1});
     queue.push(Informed{true});
-    int room = 1;
-    const auto take = [&](const FleetUpdate &) { return room-- > 0; };
+    int capacity = 1;
+    const auto take = [&](const FleetUpdate &) { return capacity-- > 0; };
     queue.flush(take);
     CHECK(queue.size() == 1);
-    room = 1;
+    capacity = 1;
     queue.flush(take);
     CHECK(queue.isEmpty());
 }
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -533,26 +533,26 @@
 TEST_CASE("peers: what relays tell survives its encoding; other bytes are none [relays][bad-input]")
 {
     const std::vector<ContextStorePosition> positions{{1, 2, 3}, {0xffffffffffffffffULL, 0, 0}};
-    const auto asked = node::parseContextUpdatesTarget(node::contextUpdatesTarget(positions));
-    REQUIRE(asked);
-    REQUIRE(asked->size() == 2);
-    CHECK((*asked)[0].epoch == 2);
-    CHECK((*asked)[0].next == 3);
-    CHECK((*asked)[1].store == 0xffffffffffffffffULL);
+    const auto parsed = node::parseContextUpdatesTarget(node::contextUpdatesTarget(positions));
+    REQUIRE(parsed);
+    REQUIRE(parsed->size() == 2);
+    CHECK((*parsed)[0].epoch == 2);
+    CHECK((*parsed)[0].next == 3);
+    CHECK((*parsed)[1].store == 0xffffffffffffffffULL);
     CHECK(node::parseContextUpdatesTarget(node::contextUpdatesTarget({}))->empty());
     for (const char *bad : {"/", "/replica?since=1", "/contexts?since=1", "/contexts?since=1.2.3",
                             "/contexts?since=1.2.x,", "/contexts?since=-1.2.3,"})
         CHECK_FALSE(node::parseContextUpdatesTarget(bad));
 
-    ContextStoreUpdate news;
-    news.store = "s";
-    news.epoch = 5;
-    news.next = 9;
-    news.age = 120ms;
-    news.clock = 77ms;
-    news.isSnapshot = true;
-    news.changes = {{"salt", "a", true, 100}, {"salt", "b", false, 0}, {"other", "a", true, 1}};
-    const std::string bytes = node::encodeContextUpdates({news});
+    ContextStoreUpdate update;
+    update.store = "s";
+    update.epoch = 5;
+    update.next = 9;
+    update.age = 120ms;
+    update.clock = 77ms;
+    update.isSnapshot = true;
+    update.changes = {{"salt", "a", true, 100}, {"salt", "b", false, 0}, {"other", "a", true, 1}};
+    const std::string bytes = node::encodeContextUpdates({update});
     const auto read = node::decodeContextUpdates(bytes);
     REQUIRE(read);
     REQUIRE(read->size() == 1);
--- a/tests/node/quarantine_duty_test.cpp
+++ b/tests/node/quarantine_distributor_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // How the nodes of a large fleet hear of requests that end upstreams.
-#include "node/quarantine_duty.hpp"
+#include "node/quarantine_distributor.hpp"
 
 #include <doctest/doctest.h>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-const RequestFingerprint kFatal{1, 2};
+const RequestFingerprint kPoison{1, 2};
 
 // Nodes that hold the request by what they have been told, and by `own`.
 std::size_t holders(RelayFleet &fleet, const std::vector<QuarantineUpdate> &own = {})
@@ -24,7 +24,7 @@
             quarantine.apply(it);
         for (const QuarantineUpdate &it : own)
             quarantine.apply(it);
-        n += quarantine.isHeld(kFatal) ? 1 : 0;
+        n += quarantine.isHeld(kPoison) ? 1 : 0;
     }
     return n;
 }
@@ -37,10 +37,10 @@
     RelayFleet fleet(3, 20, 87);
     fleet.withRelays().run(6);
     for (const std::size_t n : {57U, 58U, 59U}) // one of each domain, none a relay
-        fleet.nodes()[n].quarantine->takeOwn({{kFatal, n}});
+        fleet.nodes()[n].quarantine->addOwn({{kPoison, n}});
     fleet.run(5);
     CHECK(holders(fleet) == 57);
-    CHECK(holders(fleet, {{kFatal, 57}, {kFatal, 58}, {kFatal, 59}}) == 60);
+    CHECK(holders(fleet, {{kPoison, 57}, {kPoison, 58}, {kPoison, 59}}) == 60);
 }
 
 TEST_CASE("quarantine duty: a third of the messages lost costs some rounds, no node "
@@ -50,32 +50,33 @@
     fleet.withRelays().run(6);
     fleet.dropEveryNth(3);
     for (const std::size_t n : {57U, 58U, 59U})
-        fleet.nodes()[n].quarantine->takeOwn({{kFatal, n}});
+        fleet.nodes()[n].quarantine->addOwn({{kPoison, n}});
     fleet.run(30);
-    CHECK(holders(fleet, {{kFatal, 57}, {kFatal, 58}, {kFatal, 59}}) == 60);
+    CHECK(holders(fleet, {{kPoison, 57}, {kPoison, 58}, {kPoison, 59}}) == 60);
 }
 
 TEST_CASE("quarantine duty: what has been told goes quiet [quarantine][relays]")
 {
     RelayFleet fleet(3, 20, 89);
     fleet.withRelays().run(6);
-    fleet.nodes()[59].quarantine->takeOwn({{kFatal, 1}, {kFatal, 2}, {kFatal, 3}});
+    fleet.nodes()[59].quarantine->addOwn({{kPoison, 1}, {kPoison, 2}, {kPoison, 3}});
     fleet.run(100);
     for (const RelayFleet::Node &it : fleet.nodes()) {
-        CHECK_FALSE(it.quarantine->hasNews());
-        CHECK(it.quarantine->newsForPeers().empty());
+        CHECK_FALSE(it.quarantine->hasUnsent());
+        CHECK(it.quarantine->nextBatch().empty());
     }
 }
 
 TEST_CASE("quarantine duty: the key and the value of a held request are read back, others are not "
           "[quarantine]")
 {
-    const std::string key = QuarantineDuty::keyOf(kFatal);
-    CHECK(QuarantineDuty::requestOf(key) == kFatal);
-    CHECK_FALSE(QuarantineDuty::requestOf("fordwood/nodes/a"));
-    CHECK_FALSE(QuarantineDuty::requestOf(key + "0"));
-    const std::vector<std::uint64_t> lives{3, UINT64_MAX};
-    CHECK(QuarantineDuty::decodeLives(QuarantineDuty::encodeLives(lives)) == lives);
+    const std::string key = QuarantineDistributor::keyOf(kPoison);
+    CHECK(QuarantineDistributor::parseKey(key) == kPoison);
+    CHECK_FALSE(QuarantineDistributor::parseKey("fordwood/nodes/a"));
+    CHECK_FALSE(QuarantineDistributor::parseKey(key + "0"));
+    const std::vector<std::uint64_t> instances{3, UINT64_MAX};
+    CHECK(QuarantineDistributor::decodeInstances(QuarantineDistributor::encodeInstances(instances))
+          == instances);
     for (const char *it : {"", "\x83\x01", "\x63\x61\x62\x63", "\xa1\x61\x61\x01"})
-        CHECK_FALSE(QuarantineDuty::decodeLives(it));
+        CHECK_FALSE(QuarantineDistributor::decodeInstances(it));
 }
--- a/tests/node/standstill_test.cpp
+++ b/tests/node/stall_test.cpp
@@ -30,26 +30,26 @@
 // The serving thread's state, with one store of kept context in its configuration.
 struct Serving
 {
-    Serving() : traffic(context, clock, settings, metrics)
+    Serving() : state(context, clock, settings, metrics)
     {
         ServingConfig config;
         config.stores.push_back(storeAt("127.0.0.1:1"));
-        traffic.handle(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
+        state.handle(ConfigInForce{std::make_shared<const RouteTable>(std::move(config))});
     }
 
-    void tellStore()
+    void reportStore()
     {
-        ContextStoreUpdate news;
-        news.store = "s";
-        news.epoch = 1;
-        traffic.handle(ContextStoreTold{news, clock.now()});
+        ContextStoreUpdate update;
+        update.store = "s";
+        update.epoch = 1;
+        state.handle(ContextStoreTold{update, clock.now()});
     }
 
     boost::asio::io_context context;
     ManualClock clock;
     config::OneProcessSettings settings;
     adapters::Metrics metrics;
-    NodeState traffic;
+    NodeState state;
 };
 
 } // namespace
@@ -58,22 +58,22 @@
           "[standstill]")
 {
     Serving serving;
-    serving.tellStore();
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    serving.reportStore();
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
     serving.clock.advance(3s);
-    CHECK(serving.traffic.isRecoveringFromStall());
-    serving.tellStore();
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    CHECK(serving.state.isRecoveringFromStall());
+    serving.reportStore();
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
 TEST_CASE("standstill: stores that stay silent hold nobody up for long [standstill]")
 {
     Serving serving;
-    serving.tellStore();
+    serving.reportStore();
     serving.clock.advance(3s);
-    CHECK(serving.traffic.isRecoveringFromStall());
+    CHECK(serving.state.isRecoveringFromStall());
     serving.clock.advance(150ms);
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
 TEST_CASE("standstill: stores that are silent while the node runs are not waited for [standstill]")
@@ -81,9 +81,9 @@
     Serving serving;
     for (int n = 0; n < 50; ++n) {
         serving.clock.advance(100ms);
-        serving.traffic.tick();
+        serving.state.tick();
     }
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
 TEST_CASE("standstill: an answer that lay unread is asked for anew, at once [standstill][stores]")
@@ -91,12 +91,12 @@
     const std::string address
         = "127.72." + std::to_string(static_cast<int>(getpid()) % 200 + 1) + ".1:7100";
     std::atomic<int> calls{0};
-    std::promise<void> mayAnswer;
+    std::promise<void> answerAllowed;
     std::promise<std::string> secondWait;
     const standins::BlockingServer server(address, [&](const standins::Request &request) {
         const int call = ++calls;
         if (call == 1)
-            mayAnswer.get_future().wait();
+            answerAllowed.get_future().wait();
         else if (call == 2)
             secondWait.set_value(request.header("wait-ms"));
         return standins::Answer{
@@ -112,20 +112,20 @@
 
     boost::asio::io_context context;
     ManualClock clock;
-    HttpClient caller(context, clock);
-    int told = 0;
-    ContextStoreWatcher watch(context, caller, clock, [&](const FleetUpdate &) { ++told; });
-    watch.setStores({storeAt(address)});
+    HttpClient client(context, clock);
+    int published = 0;
+    ContextStoreWatcher watcher(context, client, clock, [&](const FleetUpdate &) { ++published; });
+    watcher.setStores({storeAt(address)});
     while (calls == 0)
         context.run_one_for(10ms);
     clock.advance(5s); // the VM stands still while the answer comes
-    mayAnswer.set_value();
+    answerAllowed.set_value();
     std::future<std::string> wait = secondWait.get_future();
     while (wait.wait_for(0s) != std::future_status::ready)
         context.run_one_for(10ms);
     CHECK(wait.get() == "0");
-    CHECK(told == 0);
-    while (told == 0)
+    CHECK(published == 0);
+    while (published == 0)
         context.run_one_for(10ms);
-    watch.setStores({});
+    watcher.setStores({});
 }
--- a/tests/node/store_restored_test.cpp
+++ b/tests/node/store_restored_test.cpp
@@ -16,15 +16,15 @@
 // Two nodes before a store that is restored from a snapshot, with many writes between.
 struct Restored : WeightsFleet
 {
-    // `secondsStore`: the address of the store for the second node; empty: that of the store.
-    explicit Restored(const std::string &secondsStore = "") : WeightsFleet(2)
+    // `secondNodeStore`: the address of the store for the second node; empty: that of the store.
+    explicit Restored(const std::string &secondNodeStore = "") : WeightsFleet(2)
     {
         configure(1, {"a", "b"});
         putUpstream("i-1", "ready");
         putUpstream("i-2", "ready");
         store().takeSnapshot(); // the first one, before any node has written its key
         start(0);
-        start(1, secondsStore);
+        start(1, secondNodeStore);
         REQUIRE(waitForPeers());
         REQUIRE(waitForUse("i-1", true));
         REQUIRE(waitForUse("i-2", true));
@@ -75,23 +75,23 @@
         return waitForAll([&](NodeState &it) { return versionOf(it) == version; });
     }
 
-    static bool uses(NodeState &traffic, const std::string &id)
+    static bool uses(NodeState &state, const std::string &id)
     {
-        for (const UpstreamRecord *it : traffic.upstreams().usable("board")) {
+        for (const UpstreamRecord *it : state.upstreams().usable("board")) {
             if (it->announcedId == id)
                 return true;
         }
         return false;
     }
 
-    static std::uint64_t versionOf(NodeState &traffic)
+    static std::uint64_t versionOf(NodeState &state)
     {
-        return traffic.table() ? traffic.table()->config().version : 0;
+        return state.table() ? state.table()->config().version : 0;
     }
 
     // All that the test's operators and upstreams have written is written once more, after many
     // other writes; then the store is away for a second and comes back as at its snapshot.
-    void loseLastWrites()
+    void restoreAfterMoreWrites()
     {
         for (int n = 0; n < 60; ++n)
             store().put("op/other", std::to_string(n));
@@ -115,25 +115,25 @@
 };
 
 // Within which a change must be in force everywhere.
-constexpr Duration kInForce = 2s;
+constexpr Duration kEffectWithin = 2s;
 
 } // namespace
 
 TEST_CASE("store restored: what is written after the restore is in force in time, though its "
           "revisions were given out before [restored]")
 {
-    std::string secondsStore;
+    std::string secondNodeStore;
     SUBCASE("both nodes are answered by the store") { }
     SUBCASE("one of them hears of it from the other alone")
     {
-        secondsStore = "127.0.0.1:9";
+        secondNodeStore = "127.0.0.1:9";
     }
-    Restored fleet(secondsStore);
+    Restored fleet(secondNodeStore);
     fleet.store().takeSnapshot();
-    fleet.loseLastWrites();
+    fleet.restoreAfterMoreWrites();
     fleet.configure(3, {"a"});
     fleet.putUpstream("i-1", "draining");
-    fleet.advance(kInForce);
+    fleet.advance(kEffectWithin);
     for (const int node : {0, 1}) {
         CAPTURE(node);
         CHECK(Restored::versionOf(fleet.at(node).traffic()) == 3);
@@ -177,9 +177,9 @@
     fleet.store().put("op/evacuate/y", "");
     fleet.advance(12s);
     for (const int node : {0, 1}) {
-        NodeState &traffic = fleet.at(node).traffic();
-        CHECK_FALSE(Restored::uses(traffic, "i-1"));
-        CHECK(traffic.upstreams().evacuatedDomains() == 1);
+        NodeState &state = fleet.at(node).traffic();
+        CHECK_FALSE(Restored::uses(state, "i-1"));
+        CHECK(state.upstreams().evacuatedDomains() == 1);
     }
 }
 
@@ -200,11 +200,11 @@
         CHECK(Restored::uses(fleet.at(node).traffic(), "i-4")); // it may live
     fleet.advance(12s);
     for (const int node : {0, 1}) {
-        NodeState &traffic = fleet.at(node).traffic();
-        traffic.tick();
-        CHECK(Restored::uses(traffic, "i-3")); // its record has stood for so long
-        CHECK_FALSE(Restored::uses(traffic, "i-4"));
-        CHECK(traffic.upstreams().evacuatedDomains() == 0);
+        NodeState &state = fleet.at(node).traffic();
+        state.tick();
+        CHECK(Restored::uses(state, "i-3")); // its record has stood for so long
+        CHECK_FALSE(Restored::uses(state, "i-4"));
+        CHECK(state.upstreams().evacuatedDomains() == 0);
     }
 }
 
--- a/tests/node/weights_fleet.hpp
+++ b/tests/node/weights_fleet.hpp
@@ -12,7 +12,7 @@
 
 #include "adapters/observe/metrics.hpp"
 #include "config/node_settings.hpp"
-#include "node/control_duty.hpp"
+#include "node/control_loop.hpp"
 #include "node/node_state.hpp"
 #include "process/platform_standins.hpp"
 #include "support/counting_clock.hpp"
@@ -57,7 +57,7 @@
     std::mutex m_mutex;
     std::vector<FleetUpdate> m_updates;
     std::size_t m_live = 1;
-    ControlDuty m_control;
+    ControlLoop m_control;
     std::thread m_thread;
 };
 
--- a/tests/support/relay_fleet.hpp
+++ b/tests/support/relay_fleet.hpp
@@ -15,8 +15,8 @@
 #include "fordwood/rendezvous.hpp"
 #include "node/http_client.hpp"
 #include "node/load_exchange.hpp"
-#include "node/quarantine_duty.hpp"
-#include "node/store_link.hpp"
+#include "node/quarantine_distributor.hpp"
+#include "node/store_client.hpp"
 
 namespace fordwood::node {
 
@@ -55,7 +55,7 @@
         node.exchange = std::make_unique<LoadExchange>(
             m_clock, *node.links, LoadExchange::Pace{200ms, kLinkBytesPerSecond},
             [this, n](LoadReport it) { m_nodes[n].others = std::move(it); });
-        node.quarantine = std::make_unique<QuarantineDuty>(
+        node.quarantine = std::make_unique<QuarantineDistributor>(
             m_clock, m_store, m_replica, [this, n](const std::vector<QuarantineUpdate> &it) {
                 m_nodes[n].requestNews.insert(m_nodes[n].requestNews.end(), it.begin(), it.end());
             });
@@ -113,7 +113,7 @@
         std::unique_ptr<PeerLinks> links;
         std::unique_ptr<LoadExchange> exchange;
         std::optional<LoadReport> others;
-        std::unique_ptr<QuarantineDuty> quarantine;
+        std::unique_ptr<QuarantineDistributor> quarantine;
         std::vector<QuarantineUpdate> requestNews; // received from others
         std::size_t received = 0;
     };
@@ -131,10 +131,10 @@
     // Ignores all events of the store, which does not exist here.
     struct NullListener : StoreListener
     {
-        void storeTold(const StoreChanges & /*changes*/,
-                       const StoreAnswerTimes & /*times*/) override
+        void onStoreChanges(const StoreChanges & /*changes*/,
+                            const StoreAnswerTimes & /*times*/) override
         { }
-        void storeReachable(bool /*reachable*/) override { }
+        void onReachabilityChange(bool /*reachable*/) override { }
     };
 
     void onMessage(Node &node, const Gossip &message)
@@ -144,7 +144,7 @@
             return;
         node.received += 1;
         node.exchange->take(message, node.isRelay);
-        node.quarantine->takeHeard(message.requestNews, node.isRelay);
+        node.quarantine->addFromPeer(message.requestNews, node.isRelay);
     }
 
     void send(Node &node)
@@ -156,7 +156,7 @@
         message.replicaAddress = node.address;
         message.strength = node.strength;
         message.isRelay = node.isRelay;
-        message.requestNews = node.quarantine->newsForPeers();
+        message.requestNews = node.quarantine->nextBatch();
         LoadReport own;
         own.loads = {{"e", {1, 10, 10}}};
         node.exchange->setOwn(own);
@@ -170,7 +170,7 @@
     HttpClient m_caller{m_context, m_clock};
     StoreReplica m_replica;
     NullListener m_listener;
-    StoreLink m_store{m_context, m_caller, m_clock, "127.0.0.1:1", m_replica, m_listener};
+    StoreClient m_store{m_context, m_caller, m_clock, "127.0.0.1:1", m_replica, m_listener};
     std::vector<Node> m_nodes;
     std::size_t m_dropEvery = 0;
     std::size_t m_receivedCount = 0;
