--- a/src/node/control_loop.cpp
+++ b/src/node/control_loop.cpp
@@ -17,42 +17,42 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(20);
 
-// How often the node looks at who lives and what follows for its own duties.
+// How often the node checks which nodes are alive and updates its own role.
 constexpr Duration kMemberUpdateInterval = std::chrono::milliseconds(100);
 
-// A change is told to peers at once; this bounds how often when changes come in a row.
+// A change is sent to peers at once; this limits the rate when many changes follow each other.
 constexpr Duration kMinGossipInterval = std::chrono::milliseconds(10);
 
-// A node that is not named by its peers for a second sends nothing to an upstream with a limit: so
-// a few messages may be lost.
+// A node stops sending to a rate-limited upstream if its peers have not named it for a second. At
+// this interval a few messages may be lost.
 constexpr Duration kLimitsInterval = std::chrono::milliseconds(200);
 
-// How often the store is asked beside the watch, and by how many nodes.
+// How often the store is polled in addition to the watch, and by how many nodes.
 constexpr Duration kPollInterval = std::chrono::milliseconds(1'000);
 constexpr std::size_t kPollingNodes = 2;
 
-// A removal that is seen so soon after the store answered again may be an expiry.
+// A removal that is seen this soon after the store answered again may be an expired lease.
 constexpr Duration kExpiryDoubtTime = std::chrono::seconds(1);
 
-// The name under which the load of all other nodes is kept where relays sum it up.
+// Key for the summed load of all other nodes, where relays sum up loads.
 constexpr std::string_view kAllOtherNodes = "others";
 
-// In a large fleet relays take the lock. The others go for it only if no relay does for so long:
-// none of these may be answered by the store.
+// In a large fleet a relay takes the lock. Other nodes try only after this delay, since it is
+// possible that the store answers none of the relays.
 constexpr Duration kNonRelayLockDelay = std::chrono::seconds(2);
 
-// Nodes that stand further down the order for the lock leave it to those before them.
+// Nodes with a higher rank number wait longer, so that those before them get the lock first.
 constexpr Duration kLockDelayPerRank = std::chrono::milliseconds(150);
 
-// Nodes that stand further down the order for writing marks of namings leave it to those before
-// them.
+// Nodes with a higher rank number wait longer before they write naming marks, so that usually only
+// the first one writes.
 constexpr Duration kMarkDelayPerRank = std::chrono::milliseconds(300);
 
-// How long before the bound of old weights a mark ends. The word of the store on it may be two
-// seconds old, and a request that is chosen by it must still begin in time.
+// A mark ends this long before old weights stop being allowed. The node's information from the
+// store may be two seconds old, and a request that is routed by the mark must still begin in time.
 constexpr Duration kMarkMargin = std::chrono::seconds(4);
 
-// Within this operators and upstreams have written again what a restored store lost.
+// Within this time operators and upstreams write again what a restored store has lost.
 constexpr Duration kRestoreTime = std::chrono::seconds(10);
 
 constexpr std::size_t kMailboxCapacity = 64;
@@ -168,7 +168,7 @@
 
 void ControlLoop::reload(const config::OneProcessSettings &settings)
 {
-    // Addresses of a running process stay as they are; a changed one needs a restart.
+    // The listen addresses of a running process stay; changing one needs a restart.
     net::post(m_context, [this, settings] {
         m_settings.peers = settings.peers;
         m_fetcher.setSeeds(m_settings.peers.seeds, m_settings.peers.listen);
@@ -210,7 +210,7 @@
     return {200, encodeReplicaPart({m_replica.changesSince(*since), removalsMayBeExpiry()})};
 }
 
-// Whether a removal may be the expiry of a lease while the store was away.
+// Whether a removal may be due to a lease that expired while the store was unreachable.
 bool ControlLoop::removalsMayBeExpiry() const
 {
     return !reachesStore() || m_clock.now() - m_expiryDoubtSince < kExpiryDoubtTime;
@@ -218,7 +218,7 @@
 
 void ControlLoop::onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes &times)
 {
-    // Before the news are read, since it dates them.
+    // Must come before the merge: the merged changes are dated by it.
     const StoreVersion since{changes.epoch, changes.since};
     if (times.noChangesUntil && since == m_replica.version())
         m_freshness.storeHadNoChanges(*times.noChangesUntil);
@@ -271,8 +271,8 @@
                                         m_replica.version().epoch);
 }
 
-// The copy is that of a store that was restored from a snapshot. Upstreams that it lacks may not
-// have written themselves again yet.
+// The store was restored from a snapshot. Upstreams that are missing in it may still be running and
+// may not have written their records again yet.
 void ControlLoop::storeRestored(const StoreVersion &before)
 {
     logEvent(Event::StoreRestored, {{"epoch", m_replica.version().epoch},
@@ -335,7 +335,8 @@
     publish(UpstreamRemoved{instanceId, mayBeExpiry});
 }
 
-// Orders go on to the engines of the domain: they shall have the right weights when they come back.
+// Engines of an evacuated domain still get orders, so that they have the right weights when the
+// evacuation ends.
 void ControlLoop::onEvacuation(const std::string &failureDomain, bool isEvacuated)
 {
     publish(DomainEvacuated{failureDomain, isEvacuated});
@@ -376,7 +377,7 @@
 void ControlLoop::onGossip(const Gossip &message)
 {
     m_exchange.take(message, m_role.isRelay());
-    // In a large fleet nodes hear from the relays only.
+    // In a large fleet nodes receive messages only from relays, so relays must forward.
     m_quarantine.addFromPeer(message.requestNews, usesLoadSums() && m_role.isRelay());
     if (message.leaving) {
         m_loads.setPeerLoads(message.node, {});
@@ -431,7 +432,7 @@
 
 void ControlLoop::handleOwnLoads(OwnLoads own)
 {
-    // A relay's sums go out often enough by themselves.
+    // A relay sends its sums often enough without this.
     const bool isUrgent = own.isUrgent && !(usesLoadSums() && m_role.isRelay());
     m_isGossipDue = m_isGossipDue || isUrgent;
     m_lastOwnLoads = std::move(own);
@@ -484,17 +485,17 @@
     return report;
 }
 
-// Those that have just changed are told at once, the others now and then, since messages go out
-// more often than a limit needs.
+// Limits that have just changed are sent at once, the others at intervals, since messages are sent
+// more often than limits need to be repeated.
 std::vector<LimitGossip> ControlLoop::limitsForPeers()
 {
     const TimePoint now = m_clock.now();
     if (!m_lastOwnLoads.isUrgent && now < m_nextLimits)
         return {};
     m_nextLimits = now + kLimitsInterval;
-    // Where relays tell on what they hear, the other nodes speak of themselves only.
-    const bool tellsAll = !usesLoadSums() || m_role.isRelay();
-    return m_limitBatches.next(tellsAll ? m_lastOwnLoads.limits.all : m_lastOwnLoads.limits.own);
+    // Where relays forward limits, the other nodes send only their own.
+    const bool sendsAll = !usesLoadSums() || m_role.isRelay();
+    return m_limitBatches.next(sendsAll ? m_lastOwnLoads.limits.all : m_lastOwnLoads.limits.own);
 }
 
 void ControlLoop::gossip()
@@ -524,23 +525,27 @@
     m_nextGossip = m_clock.now() + pause;
 }
 
-// A new holder of the lock need not wait for a predecessor that has sent nothing of late.
+// A new lock holder waits a quiet time after the last order of its predecessor. This shortens the
+// wait if the predecessor is known to have sent no order recently.
 void ControlLoop::shortenQuietTime()
 {
     const auto holding = m_rolloutExecutor.lock().holding();
     const std::string &owner = m_rolloutExecutor.lock().predecessor();
     const std::string node = owner.substr(0, owner.find('/'));
-    const auto heard = std::max(m_peers.roster().lastHeard(node), m_orderReports.lastSaid(node));
-    if (!holding || !heard)
+    const auto lastReport
+        = std::max(m_peers.roster().lastHeard(node), m_orderReports.lastSaid(node));
+    if (!holding || !lastReport)
         return;
     const auto lastOrder = m_orderReports.lastOrder(node);
-    // Its word counts once its lease is over, since it sends no more orders then.
-    if (lastOrder && *heard > holding->since)
+    // A report that was sent after the predecessor's lease ended is final: without a lease it sends
+    // no more orders.
+    if (lastOrder && *lastReport > holding->since)
         m_rolloutExecutor.lock().setPredecessorLastActed(*lastOrder);
-    // One that fell silent may have gone on out of everyone's hearing; but then it is cut off, and
-    // engines that check fences turn its orders away.
+    // A silent predecessor may have sent further orders while it was cut off from all peers.
+    // Engines that check fences reject those.
     else if (m_settings.bounds.fencesChecked)
-        m_rolloutExecutor.lock().setPredecessorLastActed(*heard + m_settings.peers.gossipEvery);
+        m_rolloutExecutor.lock().setPredecessorLastActed(*lastReport
+                                                         + m_settings.peers.gossipEvery);
 }
 
 void ControlLoop::tick()
@@ -595,7 +600,7 @@
     updateObservedVersions();
 }
 
-// What reports to this node have shown.
+// Publishes the weight versions that engines have reported to this node.
 void ControlLoop::updateObservedVersions()
 {
     for (const auto &[id, models] : m_rolloutExecutor.rollout().reportedVersions()) {
@@ -604,8 +609,9 @@
     }
 }
 
-// The rollout goes by what the directory believes. What a record has said since, or should have,
-// is not told to peers any more: they would believe it once the engine has gone back.
+// Updates the rollout's engines from the directory. A reported version that the engine's record has
+// confirmed since, or should have confirmed, is no longer sent to peers: they would still take it
+// for true after the engine has gone back to older weights.
 void ControlLoop::updateEngines()
 {
     updateObservedVersions();
@@ -639,14 +645,14 @@
         return;
     m_keysChanged = false;
     std::vector<std::string> others = m_peers.roster().withKey();
-    if (others == m_publishedNodes) // keys are written anew without a change of the nodes
+    if (others == m_publishedNodes) // rewriting a key does not change the set of nodes
         return;
     m_publishedNodes = others;
     publish(KnownNodes{std::move(others)});
 }
 
-// The strongest node takes the lock, since its holder has most to do; the others only when it does
-// not.
+// The delay grows with the node's rank by VM strength: the strongest node takes the lock, since the
+// holder has the most work, and the others only if it does not.
 Duration ControlLoop::lockAcquireDelay() const
 {
     const PeerRoster &roster = m_peers.roster();
@@ -674,7 +680,7 @@
         return std::any_of(relays.begin(), relays.end(),
                            [holds](const PeerRoster::Peer *it) { return it->*holds; });
     };
-    // Known ones, as a node that has just started hears nobody yet.
+    // Counts the known nodes, since a node that has just started has received no message yet.
     peers.liveNodes = roster.size() + 1;
     peers.relaysReachingStore = roster.relayCandidatesNear();
     peers.higherRanked = roster.knownBefore();
@@ -684,7 +690,7 @@
     return peers;
 }
 
-// Whether this node follows the stores itself.
+// Decides whether this node is a relay and which stores it follows itself.
 void ControlLoop::updateRole()
 {
     const bool wasRelay = m_role.isRelay();
@@ -692,7 +698,7 @@
     m_role.update(relayPeers());
     m_contextStores.setReadsStores(m_role.followsContext());
     if (m_role.followsStore() != followed) {
-        // What has run out while this node did not look is not told from what was removed.
+        // Expired leases and removals of the time before cannot be told apart.
         if (m_role.followsStore())
             m_expiryDoubtSince = m_clock.now();
         m_store.setFollowing(m_role.followsStore());
@@ -703,7 +709,8 @@
     m_isGossipDue = true;
 }
 
-// The ages of namings, for nodes that start when nobody is left who knows them.
+// Reads and writes the marks that hold the ages of weight namings. A node that starts needs them if
+// no running node knows the ages.
 void ControlLoop::updateNamingMarks()
 {
     m_namingMarks.read(m_freshness.completeAsOf());
@@ -714,8 +721,8 @@
     m_namingMarks.write(kMarkDelayPerRank * static_cast<std::int64_t>(before));
 }
 
-// A watch may hear nothing for a while although things change. Two nodes ask beside it; the others
-// hear from them.
+// A watch may miss changes for a while when the connection or the store is in trouble. Two nodes
+// poll the store in addition to it; the others get the changes from them.
 void ControlLoop::pollStore()
 {
     if (!reachesStore() || m_clock.now() < m_nextPoll)
--- a/src/node/control_loop.hpp
+++ b/src/node/control_loop.hpp
@@ -40,28 +40,29 @@
 
 namespace fordwood::node {
 
-// All that a node knows of the fleet and says to it: follows the platform's store, exchanges its
-// copy with peers, orders weights, watches the stores of kept context. Runs on a thread of its own,
-// and tells the thread that serves requests what has changed.
+// Control thread of a node. Follows the platform's store, exchanges gossip and its replica of the
+// store with peers, orders engines to load weights, and watches the context stores. Publishes every
+// change to the thread that serves requests.
 class ControlLoop : private StoreListener, private DocumentListener
 {
 public:
-    // False when the receiver is full for the moment.
+    // Returns false while the receiver is full.
     using Publish = std::function<bool(FleetUpdate)>;
 
     ControlLoop(const config::OneProcessSettings &settings, const Clock &clock,
                 adapters::Metrics &metrics, Publish publish);
 
-    // Opens the node's sockets; false when one cannot be opened, which has been logged.
+    // Opens the node's sockets. If one cannot be opened, logs that and returns false.
     bool open();
 
     // Runs until stop().
     void run() { m_context.run(); }
 
-    // From any thread.
+    // The following functions may be called from any thread.
     void stop();
     void beginStop();
-    // Says goodbye to peers and to the platform, a moment before stop().
+    // Removes the node's key from the store and announces to peers that the node leaves. Call it
+    // shortly before stop().
     void finishStop();
     void reload(const config::OneProcessSettings &settings);
     Mailbox<OwnLoads> &loadsMailbox() { return m_ownLoads; }
@@ -96,7 +97,7 @@
 
     void onGossip(const Gossip &message);
     void handleOrderReport(const std::string &node, const OrderWord &report);
-    // Whether nodes hear of load by the sums of relays.
+    // Whether relays sum up the nodes' loads, so that nodes get sums instead of single reports.
     bool usesLoadSums() const;
     void setOthersLoad(LoadReport others);
     void handleOwnLoads(OwnLoads own);
@@ -117,7 +118,7 @@
     void updateKnownNodes();
     Duration lockAcquireDelay() const;
     void updateRole();
-    // Whether this node follows the platform's store and is answered.
+    // Whether this node follows the platform's store and the store answers.
     bool reachesStore() const { return m_role.followsStore() && m_store.isReachable(); }
     void shortenQuietTime();
     void updateLoading();
@@ -134,12 +135,12 @@
     const Clock &m_clock;
     adapters::Metrics &m_metrics;
     Publish m_publish;
-    const std::string m_owner; // this life of this node
+    const std::string m_owner; // identifies this process instance of the node
     net::io_context m_context;
     HttpClient m_client;
     const platform::DocumentOrder m_documentOrder{DocumentReader::nodeKey("")};
     StoreReplica m_replica{m_documentOrder};
-    std::optional<TimePoint> m_restoreDoneAt; // after a restore of the store
+    std::optional<TimePoint> m_restoreDoneAt; // set while a restore of the store is handled
     ReplicaFreshness m_freshness; // of the replica
     WeightNews m_weightNamings;
     StoreClient m_store;
@@ -165,18 +166,18 @@
     UpstreamLoadTracker m_loads;
     OwnLoads m_lastOwnLoads;
     MessageRounds<LimitGossip> m_limitBatches;
-    UpdateQueue m_pendingUpdates; // updates that did not fit
+    UpdateQueue m_pendingUpdates; // updates that the receiver had no space for
     bool m_hasConfiguration = false;
     bool m_isStopping = false;
-    bool m_isLeaving = false; // nothing runs any more
-    bool m_isGossipDue = false; // something changed that peers should hear at once
+    bool m_isLeaving = false; // no request runs any more
+    bool m_isGossipDue = false; // a change should be sent to peers at once
     std::size_t m_liveNodes = 0;
-    bool m_keysChanged = true; // of nodes in the platform's store, since they were told of
+    bool m_keysChanged = true; // node keys in the store changed since the last KnownNodes update
     bool m_publishedReachable = true;
     bool m_publishedReceivesVersions = true;
     std::set<std::string> m_publishedLoading;
     std::optional<std::vector<std::string>> m_publishedNodes;
-    TimePoint m_expiryDoubtSince{}; // when the store answered this node again
+    TimePoint m_expiryDoubtSince{}; // when this node last began to get answers from the store
     TimePoint m_lastGossip{};
     TimePoint m_nextGossip{};
     TimePoint m_nextLimits{};
--- a/src/node/quarantine_distributor.cpp
+++ b/src/node/quarantine_distributor.cpp
@@ -13,12 +13,13 @@
 
 constexpr std::string_view kPrefix = "fordwood/quarantine/";
 
-// As long as a hold lasts, and the longest that the platform grants; after it the key goes.
+// Equals the duration of a quarantine and the longest lease that the platform grants. The key is
+// removed when the lease expires.
 constexpr Duration kLeaseTtl = std::chrono::minutes(10);
 
 constexpr Duration kRetryPause = std::chrono::milliseconds(700);
 
-// A write that was done shows in the copy of the store within this.
+// A completed write is visible in the replica of the store within this time.
 constexpr Duration kVisibleWithin = std::chrono::seconds(3);
 
 constexpr Duration kSweepInterval = std::chrono::seconds(1);
@@ -130,8 +131,9 @@
     std::erase_if(m_ownSuspects, [this](const auto &it) { return !m_quarantine.isSuspect(it); });
 }
 
-// The nodes under whose sends upstreams ended see to it that a held request stands in the store: a
-// few, so that one may be lost. A lease that runs out while the store is away takes the key along.
+// Writes quarantined requests that are missing in the store. Every node whose own sends made an
+// upstream fail does so: these are a few nodes, so that one may be lost. A key is missing again
+// if its lease expires while the store is unreachable.
 void QuarantineDistributor::storeHeldRequests()
 {
     for (const RequestFingerprint &it : m_ownSuspects) {
@@ -140,8 +142,8 @@
     }
 }
 
-// A node that starts takes what stands in the store for held from then on, and would refuse a
-// request that an answer has released, with nobody left who remembers the answer.
+// Removes the keys of released requests. A node that starts quarantines every request that it finds
+// in the store, and would reject one that was released by an answer which no node remembers.
 void QuarantineDistributor::removeReleasedRequests()
 {
     std::erase_if(m_writes, [this](const auto &it) {
@@ -200,7 +202,7 @@
 
 void QuarantineDistributor::putKey(const RequestFingerprint &request, std::int64_t lease)
 {
-    // A write that is done late, or by several nodes, says the same.
+    // A late write, or one by several nodes, stores the same information.
     const std::string value = encodeInstances(m_quarantine.failedInstancesOf(request));
     m_store.send(platform::putCall(keyOf(request), value, lease, false),
                  [this, request](const HttpResult &result) {
--- a/src/node/quarantine_distributor.hpp
+++ b/src/node/quarantine_distributor.hpp
@@ -17,44 +17,45 @@
 
 namespace fordwood::node {
 
-// Spreads what nodes know of requests that end upstreams: to peers at once, and what is held into
-// the platform's store as well, for nodes that start later, or that no peer reached.
+// Distributes what nodes find out about requests that make upstreams fail. Sends updates to peers
+// at once, and writes quarantined requests to the platform's store for nodes that start later or
+// that no peer reached.
 class QuarantineDistributor
 {
 public:
-    // Is told what this node's requests should know.
+    // Receives updates from other nodes and from the store for this node's serving thread.
     using Publish = std::function<void(std::vector<QuarantineUpdate>)>;
 
     QuarantineDistributor(const Clock &clock, StoreClient &store, const StoreReplica &replica,
                           Publish publish);
 
-    // What this node's own sends have shown.
+    // Adds updates from this node's own sends.
     void addOwn(const std::vector<QuarantineUpdate> &updates);
 
     // What a peer has told. `forwards`: others hear it from this node only.
     void addFromPeer(const std::vector<QuarantineUpdate> &updates, bool forwards);
 
-    // A held request stands in the store.
+    // Adds a quarantined request that was read from the store.
     void addStored(const RequestFingerprint &request, const std::vector<std::uint64_t> &instances);
 
-    // What goes into the next message to peers, and whether that should go soon.
+    // The updates for the next message to peers, and whether it should be sent soon.
     std::vector<QuarantineUpdate> nextBatch() { return m_gossipQueue.takeDue(); }
     bool hasUnsent() const { return m_gossipQueue.hasUnsent(); }
 
     void tick();
 
-    // The key under which a held request stands in the store, and its value.
+    // Key and value of a quarantined request in the store.
     static std::string keyOf(const RequestFingerprint &request);
     static std::optional<RequestFingerprint> parseKey(std::string_view key);
     static std::string encodeInstances(const std::vector<std::uint64_t> &instances);
     static std::optional<std::vector<std::uint64_t>> decodeInstances(std::string_view bytes);
 
 private:
-    // A held request that this node has written into the store, or is about to.
+    // A quarantined request that this node has written to the store or is about to write.
     struct Write
     {
-        bool isPending = false; // a call is on its way
-        StoreLease lease; // which the key goes with
+        bool isPending = false; // a call to the store is in progress
+        StoreLease lease; // the key is removed with it
         TimePoint nextAttempt{};
     };
 
@@ -76,7 +77,7 @@
     Publish m_publish;
     Quarantine m_quarantine;
     GossipQueue m_gossipQueue;
-    std::set<RequestFingerprint> m_ownSuspects; // suspects under this node's own sends
+    std::set<RequestFingerprint> m_ownSuspects; // upstreams failed while running them for this node
     std::map<RequestFingerprint, Write> m_writes;
     TimePoint m_nextSweep{};
 };
--- a/src/node/rollout_executor.cpp
+++ b/src/node/rollout_executor.cpp
@@ -11,11 +11,11 @@
 using adapters::Event;
 using adapters::logEvent;
 
-// An engine answers a report or an order within milliseconds, or is in trouble.
+// An engine that takes longer than milliseconds to answer a report or an order is in trouble.
 constexpr Duration kReportTimeout = std::chrono::milliseconds(700);
 constexpr Duration kOrderTimeout = std::chrono::milliseconds(500);
 
-// How often the engines with old weights are looked at for the log.
+// How often engines with outdated weights are checked for the log.
 constexpr Duration kOutdatedLogInterval = std::chrono::milliseconds(200);
 
 std::string_view nameOf(RolloutWait wait)
@@ -118,7 +118,7 @@
     m_loggedFence = fence;
 }
 
-// The holder alone tells, and only what has changed.
+// Only the lock holder logs, and only changes.
 void RolloutExecutor::logOutdatedEngines()
 {
     const auto holding = m_lock.holding();
@@ -150,7 +150,7 @@
         renewLease(*renewAction);
     else if (const auto *revokeAction = std::get_if<RevokeLease>(&action))
         m_store.send(platform::endCall(revokeAction->lease), [](const HttpResult &) {
-            // A lease that is not ended runs out by itself.
+            // A lease that could not be revoked expires by itself.
         });
 }
 
@@ -210,8 +210,8 @@
 
 void RolloutExecutor::sendOrder(const OrderWeights &action)
 {
-    // The lease is looked at once more at the last moment: a process that was frozen between the
-    // decision and the send must not act on a lease that is over.
+    // Checks the lease again just before the send: a process that was frozen between the decision
+    // and the send must not act on an expired lease.
     if (!m_lock.holding()) {
         m_rollout.orderAnswered(action.instanceId, OrderResult::Refused);
         return;
--- a/src/node/rollout_executor.hpp
+++ b/src/node/rollout_executor.hpp
@@ -17,8 +17,8 @@
 
 namespace fordwood::node {
 
-// Orders engines to load weights while this node holds the lock for it: carries out what FencedLock
-// and WeightRollout decide.
+// Orders engines to load weights while this node holds the lock for that. Executes the actions that
+// FencedLock and WeightRollout decide on.
 class RolloutExecutor
 {
 public:
@@ -31,10 +31,10 @@
 
     void tick(const UpstreamLoadTracker &loads);
 
-    // When this node sent its last order; nothing: it has sent none.
+    // When this node sent its last order; nullopt if it has sent none.
     const std::optional<TimePoint> &lastOrder() const { return m_lastOrder; }
 
-    // Gives the lock up, at a planned stop.
+    // Releases the lock at a planned stop.
     void release();
 
     static std::string lockKey();
@@ -57,7 +57,7 @@
     FencedLock m_lock;
     WeightRollout m_rollout;
     std::optional<TimePoint> m_lastOrder;
-    std::int64_t m_loggedFence = 0; // zero: not held, as logged last
+    std::int64_t m_loggedFence = 0; // fence of the last logged lock state; zero: not held
     TimePoint m_nextOutdatedLog{};
     std::map<std::string, OutdatedEngine> m_loggedOutdated;
 };
--- a/src/node/store_client.cpp
+++ b/src/node/store_client.cpp
@@ -10,33 +10,34 @@
 
 using platform::StoreFailure;
 
-// A waiting watch is a call like any other, so it waits long; a silent connection shows sooner, by
-// its probes.
+// A watch costs as much as any other call, so it waits long. TCP probes detect a dead connection
+// earlier.
 constexpr std::chrono::milliseconds kWatchWait{20'000};
 constexpr Duration kWatchGrace = std::chrono::seconds(2); // beyond the wait
 
-// Answers that a stalled store held back all come within this.
+// After a stall of the store all delayed answers arrive within this time.
 constexpr Duration kStalledAnswersWithin = std::chrono::milliseconds(500);
 
-// The shortest wait: a poll is to answer at once.
+// The shortest wait, so that a poll is answered at once.
 constexpr std::chrono::milliseconds kPollWait{1};
 
-// Slower than this only when the store is in trouble: it answers in milliseconds.
+// The store answers within milliseconds unless it is in trouble.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(1'500);
 
-// Changes that come together are read by one call. While they keep coming the pause doubles, up to
-// a part of the second or two within which changes must be in force: a fleet that starts, where
-// each node writes its key, else wakes every node with each few keys.
+// A pause before the next watch lets one call read changes that come close together. The pause
+// doubles while changes keep coming, up to a fraction of the one to two seconds within which a
+// change must take effect. Otherwise each node of a starting fleet would be woken for every few
+// node keys that are written.
 constexpr Duration kBatchPause = std::chrono::milliseconds(30);
 constexpr Duration kMaxBatchPause = std::chrono::milliseconds(240);
-// A wait that brings a change sooner than this goes on with those before it.
+// A watch that returns sooner than this continues the series of changes before it.
 constexpr Duration kQuietThreshold = std::chrono::milliseconds(500);
 
-// After its start a node reads once more before it waits for changes: meanwhile the others that
-// started with it have written their keys, and it knows whether it need follow at all.
+// After the first read a node pauses before it follows further. Meanwhile the nodes that started
+// with it write their keys, and it finds out whether it has to follow the store at all.
 constexpr Duration kStartPause = std::chrono::milliseconds(700);
 
-// Failed calls cost as much as others: they are repeated after a pause that grows.
+// A failed call costs as much as any other, so it is retried with a growing pause.
 constexpr Duration kInitialRetryPause = std::chrono::milliseconds(200);
 constexpr Duration kMaxRetryPause = std::chrono::milliseconds(800);
 
@@ -62,7 +63,7 @@
     call.address = m_address;
     m_client.send(call, kCallTimeout,
                   [this, sentAt = m_clock.now(), done](const HttpResult &result) {
-                      if (result) // also one that turns the call away
+                      if (result) // including an answer that rejects the call
                           recordAnswer(sentAt);
                       updateEpoch(result);
                       done(result);
@@ -93,7 +94,7 @@
         return;
     }
     onSuccess();
-    // Pages are no snapshot: what changed after the first one is read by the watch.
+    // The pages are not a consistent snapshot. The watch reads what changed after the first page.
     StoreChanges &read = fullRead->read;
     if (read.revision == 0) {
         read.revision = page->content.revision;
@@ -127,10 +128,10 @@
         continueFollowing();
 }
 
-// The next step of following: waits for changes, or first reads all.
+// Starts the next step of following: a watch, or a full read if the replica is incomplete.
 void StoreClient::continueFollowing()
 {
-    // A node that has no copy yet reads on until it has one, from here or from a peer.
+    // A node without a replica keeps reading until it has one, from the store or from a peer.
     m_isIdle = !m_isFollowing && !m_replica.isEmpty();
     if (m_isIdle)
         return;
@@ -150,7 +151,8 @@
                   [this, after](const HttpResult &result) { handleWatch(result, after); });
 }
 
-// Of a restored store the changes after a revision of before it are not those that the copy lacks.
+// If the store was restored, its changes since a revision from before the restore are not those
+// that the replica lacks.
 platform::StoreResult<StoreChanges> StoreClient::changesIn(const HttpResult &result,
                                                            const StoreVersion &after) const
 {
@@ -181,7 +183,7 @@
     if (epoch <= m_epoch)
         return;
     m_epoch = epoch;
-    // The waiting call may be on a connection that hears nothing any more.
+    // The watch may be on a dead connection, so it cannot be relied on to notice the restore.
     if (m_isComplete && m_isFollowing && epoch > m_replica.version().epoch)
         readAllOnce();
 }
@@ -194,8 +196,9 @@
         m_recentAnswers.pop_front();
 }
 
-// The waiting call may be answered long after its news, if the store stalls: quiet was only what
-// lies before a later call that the store did answer, while the waiting one went on.
+// If the store stalls, it may answer the watch long after the change that ended the wait. So there
+// were certainly no changes only until a later call was sent that the store answered while the
+// watch was still waiting.
 StoreAnswerTimes StoreClient::watchTimes() const
 {
     StoreAnswerTimes times{m_watchStartedAt, std::nullopt};
@@ -229,13 +232,13 @@
         m_listener.onStoreChanges(*changes, {sentAt, std::nullopt});
         return;
     }
-    // A lost history means that the waiting call has missed something; other failures are its own
-    // to find out.
+    // A lost history means that the watch has missed changes. The watch itself detects all other
+    // failures.
     if (changes.error() == StoreFailure::HistoryLost)
         readAllOnce();
 }
 
-// Reads everything beside the waiting call, which goes on.
+// Reads everything while the watch keeps waiting.
 void StoreClient::readAllOnce()
 {
     m_isPolling = true;
@@ -256,7 +259,8 @@
     if (failure == StoreFailure::HistoryLost) {
         onSuccess();
         m_isComplete = false;
-        // Lost again at once: reading all in a row would only load the store.
+        // If the history is lost again soon, pause first: repeated full reads would only load the
+        // store.
         const TimePoint now = m_clock.now();
         const bool isRepeated = m_historyLostAt && now - *m_historyLostAt < kMaxRetryPause;
         m_historyLostAt = now;
@@ -268,7 +272,8 @@
         = std::min(kInitialRetryPause * (1U << std::min(m_consecutiveFailures, kMaxDoublings)),
                    kMaxRetryPause);
     m_consecutiveFailures += 1;
-    // A waiting watch may be cut at any time; only the next call shows whether the store is away.
+    // The connection of a watch may be cut at any time. Only the failure of the next call shows
+    // that the store is unreachable.
     if (m_isReachable && m_consecutiveFailures > 1) {
         m_isReachable = false;
         m_listener.onReachabilityChange(false);
--- a/src/node/store_client.hpp
+++ b/src/node/store_client.hpp
@@ -15,30 +15,30 @@
 
 namespace fordwood::node {
 
-// What an answer of the store shows about when things happened there.
+// The times up to which an answer of the store is valid.
 struct StoreAnswerTimes
 {
-    TimePoint sentAt{}; // when the call was sent; the answer holds all that had happened by then
-    // A call that waited for news shows that there were none until this moment.
+    TimePoint sentAt{}; // when the call was sent; the answer includes all changes before that
+    // Set for a call that waited for changes: there were none until this time.
     std::optional<TimePoint> noChangesUntil;
 };
 
-// Takes what the link reads.
+// Receives what StoreClient reads.
 class StoreListener
 {
 public:
     virtual ~StoreListener() = default;
 
-    // The platform's store has told changes, or all that it holds.
+    // The platform's store has sent changes, or its whole content.
     virtual void onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes &times) = 0;
 
-    // The store answers this node, or no longer does.
+    // The store has begun to answer this node, or has stopped.
     virtual void onReachabilityChange(bool reachable) = 0;
 };
 
-// Follows the platform's store: reads all of it once, then waits for changes; reads all anew when
-// the store has forgotten what happened in between, or was restored from a snapshot, which each of
-// its answers tells. One waiting call for every key there is.
+// Follows the platform's store: reads its whole content once, then waits for changes with a single
+// watch on all keys. Reads everything again if the store no longer has the history since the last
+// read, or if it was restored from a snapshot, which shows in the epoch of each of its answers.
 class StoreClient
 {
 public:
@@ -47,28 +47,29 @@
 
     void start() { readAll(); }
 
-    // Whether the link goes on waiting for changes; if not, others tell this node.
+    // Whether to wait for changes; if not, this node gets them from peers.
     void setFollowing(bool follows);
 
-    // Asks once what has changed, beside the waiting call, which may hear nothing in trouble.
+    // Asks once for changes in addition to the watch, which may miss some if its connection or the
+    // store is in trouble.
     void poll();
 
     bool isReachable() const { return m_isReachable; }
 
-    // How often the store has been restored from a snapshot, by the answers of this link.
+    // How often the store has been restored from a snapshot, according to its answers.
     std::uint64_t epoch() const { return m_epoch; }
 
-    // Sends one of the other calls; a call that is not answered tells of an outage too.
+    // Sends a call other than those for following the store.
     void send(HttpCall call, const HttpClient::Done &done);
 
 private:
     void readAll();
-    enum class NextStep { Watch, Nothing }; // what follows a read of everything
+    enum class NextStep { Watch, Nothing }; // what to do after a full read
 
-    // All that the store holds, page by page.
+    // The whole content of the store, read page by page.
     struct FullRead
     {
-        TimePoint sentAt{}; // for the first page
+        TimePoint sentAt{}; // of the call for the first page
         StoreChanges read;
     };
 
@@ -102,18 +103,18 @@
     const std::string m_address;
     const StoreReplica &m_replica;
     StoreListener &m_listener;
-    Duration m_batchPause; // after the next change
+    Duration m_batchPause; // wait after the next change before the next watch
     TimePoint m_watchStartedAt{};
-    std::deque<AnsweredCall> m_recentAnswers; // the last ones, beside the waiting call
+    std::deque<AnsweredCall> m_recentAnswers; // to calls other than the watch
     bool m_isReachable = true;
     bool m_isStarting = true; // nothing has been read yet
-    bool m_isComplete = false; // the copy holds all up to its revision
+    bool m_isComplete = false; // the replica has everything up to its revision
     bool m_isPolling = false;
     bool m_isFollowing = true;
-    bool m_isIdle = false; // nothing is under way
-    unsigned m_consecutiveFailures = 0; // in a row
+    bool m_isIdle = false; // neither a call nor a timer for following is pending
+    unsigned m_consecutiveFailures = 0;
     std::uint64_t m_epoch = 0;
-    std::optional<TimePoint> m_historyLostAt; // when the store last had forgotten it
+    std::optional<TimePoint> m_historyLostAt; // when the store last reported HistoryLost
 };
 
 } // namespace fordwood::node
