--- a/src/node/document_reader.cpp
+++ b/src/node/document_reader.cpp
@@ -55,7 +55,7 @@
 void DocumentReader::readConfiguration(const StoredItem &item)
 {
     if (!item.value)
-        return; // operators replace a configuration, they never take it away
+        return; // operators replace a configuration and never remove it
     auto config = platform::readConfiguration(*item.value);
     if (!config) {
         reject(item, config.error().problem);
@@ -115,18 +115,18 @@
     m_listener.onUpstreamRecord(std::move(*record));
 }
 
-// Whether the record takes the place of what is known under its id. A write of an earlier life may
-// reach the store after the first one of the next.
+// Whether the record replaces what is known under its id. A write of an earlier instance may reach
+// the store after the first write of the next one.
 bool DocumentReader::acceptRecord(const KnownInstance &known, const UpstreamRecord &record,
                                   const StoredItem &item)
 {
     if (known.startedAt && !record.startedAt) {
-        reject(item, "does not tell when the upstream was born, as the one before did");
+        reject(item, "has no start time of the upstream, although the previous record had one");
         endInstance(record.announcedId, false);
         return false;
     }
     if (record.startedAt < known.startedAt) {
-        reject(item, "is of an earlier life of the upstream");
+        reject(item, "belongs to an earlier instance of the upstream");
         return false;
     }
     if (record.instanceId != known.instanceId) {
@@ -168,11 +168,11 @@
     if (address)
         m_listener.onNodeAddress(node, *address);
     else
-        reject(item, "is no address of a node");
+        reject(item, "is not a valid node address");
 }
 
-// A key that is gone releases nothing: its lease may have run out while the store was away, and
-// nodes let go of a request by themselves.
+// A removed key does not release the request: its lease may have expired while the store was
+// unreachable, and each node ends the quarantine of a request by itself.
 void DocumentReader::readHeldRequest(const RequestFingerprint &request, const StoredItem &item)
 {
     if (!item.value)
@@ -180,7 +180,7 @@
     if (const auto instances = QuarantineDistributor::decodeInstances(*item.value))
         m_listener.onQuarantinedRequest(request, *instances);
     else
-        reject(item, "does not tell which upstreams have ended");
+        reject(item, "is not a valid list of failed upstream instances");
 }
 
 } // namespace fordwood::node
--- a/src/node/document_reader.hpp
+++ b/src/node/document_reader.hpp
@@ -17,7 +17,7 @@
 
 namespace fordwood::node {
 
-// Takes what stands in the platform's store, read and checked.
+// Receives the parsed and validated values of the platform's store.
 class DocumentListener
 {
 public:
@@ -30,15 +30,16 @@
     virtual void onEvacuation(const std::string &failureDomain, bool isEvacuated) = 0;
     virtual void onNodeAddress(const std::string &node, const PeerAddress &address) = 0;
     virtual void onNodeRemoved(const std::string &node) = 0;
-    // Upstreams have ended under the request, by their lives.
+    // `instances`: the upstream instances that failed while they ran the request.
     virtual void onQuarantinedRequest(const RequestFingerprint &request,
                                       const std::vector<std::uint64_t> &instances)
         = 0;
 };
 
-// Reads the values of the platform's store. One that cannot be read is logged and counted. Of
-// operators' documents the one before stays in force, also against an older configuration; an
-// upstream whose record cannot be read is used no more, since another writer may have the key.
+// Parses the values of the platform's store. Logs and counts a value that cannot be parsed. An
+// operator's document then stays in force as it was before, also if a configuration arrives that is
+// older than the current one. An upstream whose record cannot be parsed is no longer used, since
+// another writer may own the key now.
 class DocumentReader
 {
 public:
@@ -46,10 +47,10 @@
         : m_metrics(metrics), m_listener(listener)
     { }
 
-    // `mayBeExpiry`: a removal may be a lease that ran out while the store was away.
+    // `mayBeExpiry`: a removal may be due to a lease that expired while the store was unreachable.
     void read(const StoredItem &item, bool mayBeExpiry);
 
-    // The key by which a node's peers find it.
+    // The store key under which peers find the node.
     static std::string nodeKey(const std::string &node);
 
 private:
@@ -67,7 +68,7 @@
     void readHeldRequest(const RequestFingerprint &request, const StoredItem &item);
     bool acceptRecord(const KnownInstance &known, const UpstreamRecord &record,
                       const StoredItem &item);
-    // What was known under the announced id is no upstream to use.
+    // Reports the instance that is known under the announced id as removed.
     void endInstance(const std::string &announcedId, bool mayBeExpiry);
     void reject(const StoredItem &item, const std::string &problem);
 
@@ -75,7 +76,7 @@
     DocumentListener &m_listener;
     std::uint64_t m_configVersion = 0;
     std::map<std::string, KnownInstance>
-        m_instances; // the last one of each upstream, by announced id
+        m_instances; // the latest of each upstream, by announced id
 };
 
 } // namespace fordwood::node
--- a/src/node/mailbox.hpp
+++ b/src/node/mailbox.hpp
@@ -12,7 +12,8 @@
 
 namespace fordwood::node {
 
-// A bounded ring into a thread that runs an io_context: what is pushed is taken there, in order.
+// A bounded queue to a thread that runs an io_context. That thread handles the pushed values in
+// order.
 template <typename T>
 class Mailbox
 {
@@ -21,12 +22,13 @@
         : m_consumer(consumer), m_ring(capacity), m_handler(std::move(handler))
     { }
 
-    // From any thread; never waits. False when the ring is full: the value is then not taken.
+    // Callable from any thread; never blocks. Returns false and drops the value if the ring is
+    // full.
     bool push(T value)
     {
         if (!m_ring.tryPush(std::move(value)))
             return false;
-        // One wake-up at a time: the consumer takes all that is there.
+        // One pending wake-up is enough: the consumer handles all queued values.
         if (!m_isWakeupPosted.exchange(true))
             boost::asio::post(m_consumer, [this] { handleAll(); });
         return true;
--- a/src/node/node_registration.cpp
+++ b/src/node/node_registration.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-// Peers know each other by their messages within seconds, so the key may outlive its node a little;
-// three renewals may fail before it goes.
+// Peers notice within seconds from missing messages that a node is gone, so its key may stay a
+// little longer. Three renewals may fail before the key expires.
 constexpr Duration kLeaseTtl = std::chrono::seconds(10);
 constexpr Duration kRenewInterval = std::chrono::seconds(3);
 constexpr Duration kRetryPause = std::chrono::milliseconds(700);
@@ -54,7 +54,7 @@
 
 void NodeRegistration::putKey()
 {
-    // Whether the key was written before does not matter: only this node writes it.
+    // The write needs no condition: only this node writes the key.
     m_store.send(platform::putCall(m_key, m_value, m_lease.id, false),
                  [this](const HttpResult &result) {
                      const auto answer = platform::readPut(result);
@@ -78,7 +78,7 @@
             m_nextAttempt = m_clock.now() + kRenewInterval;
             return;
         }
-        m_lease = {}; // it has run out, and the key with it
+        m_lease = {}; // it has expired, and the key with it
         m_isWritten = false;
     });
 }
@@ -88,7 +88,7 @@
     m_isRemoved = true;
     if (isLeased())
         m_store.send(platform::endCall(m_lease.id), [](const HttpResult &) {
-            // A lease that is not ended runs out by itself.
+            // A lease that could not be revoked expires by itself.
         });
 }
 
--- a/src/node/node_registration.hpp
+++ b/src/node/node_registration.hpp
@@ -9,7 +9,7 @@
 
 namespace fordwood::node {
 
-// Keeps this node's key in the platform's store, by which its peers find it, under a lease.
+// Keeps this node's key in the platform's store under a lease. Peers find the node by this key.
 class NodeRegistration
 {
 public:
@@ -17,7 +17,7 @@
 
     void tick();
 
-    // Takes the key away, at a planned stop.
+    // Removes the key at a planned stop.
     void remove();
 
 private:
@@ -33,7 +33,7 @@
     const std::string m_value;
     StoreLease m_lease;
     bool m_isWritten = false;
-    bool m_isPending = false; // a call is on its way
+    bool m_isPending = false; // a call is in progress
     bool m_isRemoved = false;
     TimePoint m_nextAttempt{};
 };
--- a/src/node/quarantine_distributor.hpp
+++ b/src/node/quarantine_distributor.hpp
@@ -32,7 +32,7 @@
     // Adds updates from this node's own sends.
     void addOwn(const std::vector<QuarantineUpdate> &updates);
 
-    // What a peer has told. `forwards`: others hear it from this node only.
+    // Adds updates from a peer. `forwards`: other nodes get them only through this node.
     void addFromPeer(const std::vector<QuarantineUpdate> &updates, bool forwards);
 
     // Adds a quarantined request that was read from the store.
--- a/src/node/replica_fetcher.cpp
+++ b/src/node/replica_fetcher.cpp
@@ -13,11 +13,12 @@
 using adapters::Event;
 using adapters::logEvent;
 
-// A node whose own watch works gets a change from there; only when it does not come is a peer
-// asked.
+// A node whose own watch works gets changes from it. It asks a peer only if a change does not
+// arrive within this time.
 constexpr Duration kWaitForWatch = std::chrono::milliseconds(150);
 
-// Between two reads of a peer's copy: a fleet that starts writes hundreds of keys one by one.
+// Time between two reads of a peer's replica: the nodes of a starting fleet write hundreds of keys
+// one by one.
 constexpr Duration kFetchPause = std::chrono::milliseconds(200);
 
 constexpr Duration kFetchTimeout = std::chrono::milliseconds(800);
@@ -68,7 +69,8 @@
 void ReplicaFetcher::tick(const PeerRoster &roster, bool reachesStore)
 {
     const TimePoint now = m_clock.now();
-    // A seed's copy may lack the keys of peers that have just started: ask until one is heard.
+    // A seed's replica may lack the keys of peers that have just started, so seeds are asked until
+    // a message from a peer arrives.
     const bool hasNoPeers = !reachesStore && roster.live().empty();
     if ((m_replica.isEmpty() || hasNoPeers) && now >= m_nextSeedFetch)
         fetchFromSeed();
@@ -114,7 +116,7 @@
 {
     m_isFetching = false;
     if (!result || result->status != 200)
-        return; // the next tick asks again, perhaps another peer
+        return; // a later tick tries again, possibly with another peer
     const auto part = decodeReplicaPart(result->body);
     if (!part)
         return;
--- a/src/node/replica_fetcher.hpp
+++ b/src/node/replica_fetcher.hpp
@@ -17,13 +17,14 @@
 
 namespace fordwood::node {
 
-// Reads what this node's copy of the platform's store lacks from a peer that has it: where the
-// store turns this node away, where its watch hears nothing, and in a large fleet where only relays
-// follow the store. A node that knows nobody asks its seeds.
+// Fetches the changes that this node's replica of the platform's store lacks from a peer that has
+// them. This is needed if the store rejects this node's calls, if the node's watch misses changes,
+// and in a large fleet, where only relays follow the store. A node that knows no peers asks its
+// seeds.
 class ReplicaFetcher
 {
 public:
-    // Takes a part of a peer's copy.
+    // Receives a part of a peer's replica.
     using OnPart = std::function<void(const ReplicaPart &)>;
 
     ReplicaFetcher(const Clock &clock, HttpClient &client, const StoreReplica &replica,
@@ -32,14 +33,15 @@
           m_onPart(std::move(take)), m_nextSeedFetch(clock.now())
     { }
 
-    // From where a node reads that knows nobody, and where it listens itself.
+    // `seeds`: addresses to read from if no peer is known. `self`: this node's own address, which
+    // is skipped.
     void setSeeds(std::vector<std::string> seeds, std::string self);
 
-    // Regular work. `reachesStore`: this node follows the store itself and is answered.
+    // Call regularly. `reachesStore`: this node follows the store itself and gets answers.
     void tick(const PeerRoster &roster, bool reachesStore);
 
-    // How the target begins that asks a peer for what came after a version; such a target, and the
-    // version that one names; nothing: it names none.
+    // The request target that asks a peer for the changes after a version: its prefix, the function
+    // that builds one, and the function that gets the version from one (nullopt if malformed).
     static constexpr std::string_view kTarget = "/replica?since=";
     static std::string targetSince(const StoreVersion &version);
     static std::optional<StoreVersion> parseTarget(std::string_view target);
@@ -58,7 +60,7 @@
     std::string m_self;
     std::size_t m_nextSeed = 0;
     bool m_isFetching = false;
-    bool m_isBehind = false; // a peer is ahead of this node's copy
+    bool m_isBehind = false; // a peer is ahead of this node's replica
     TimePoint m_behindSince{};
     TimePoint m_nextFetch{};
     TimePoint m_nextSeedFetch;
--- a/src/node/store_client.hpp
+++ b/src/node/store_client.hpp
@@ -59,7 +59,7 @@
     // How often the store has been restored from a snapshot, according to its answers.
     std::uint64_t epoch() const { return m_epoch; }
 
-    // Sends a call other than those for following the store.
+    // Sends a call other than those for following the store. Its answer also shows a new epoch.
     void send(HttpCall call, const HttpClient::Done &done);
 
 private:
