--- a/tests/node/document_reader_test.cpp
+++ b/tests/node/document_reader_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What becomes known of upstreams when their entries change hands, lives, or cannot be read.
+// Tests how DocumentReader handles entries that are written by a restarted upstream or by another
+// writer, or that cannot be parsed.
 #include "node/document_reader.hpp"
 
 #include <doctest/doctest.h>
@@ -17,7 +18,7 @@
 
 namespace {
 
-// Keeps a directory of upstreams, and what was said of failure domains.
+// Keeps a directory of upstreams and the evacuated failure domains.
 class Listener : public DocumentListener
 {
 public:
@@ -57,7 +58,7 @@
     std::vector<RequestFingerprint> held;
 };
 
-// Reads entries one after the other, at rising revisions.
+// Passes entries to the reader one by one, at increasing revisions.
 class Entries
 {
 public:
@@ -68,7 +69,7 @@
 
     void expire(const std::string &key) { m_reader.read({key, ++m_revision, 1, {}}, true); }
 
-    // `born`: nothing, and the entry does not tell.
+    // `startedAt`: nullopt leaves the field out of the entry.
     void upstream(const std::string &id, const std::optional<std::int64_t> &startedAt,
                   std::uint64_t weights = 1)
     {
@@ -102,9 +103,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "entries: an upstream that starts again under its id is another one, with its own weights "
-    "[entries][restart]")
+TEST_CASE("entries: an upstream that restarts under its id is a new instance with its own weights "
+          "[entries][restart]")
 {
     Entries entries;
     entries.upstream("i", 1'000, 1);
@@ -113,13 +113,13 @@
     CHECK(entries.listener.usable() == Ids{"i@2000"});
     CHECK(entries.listener.upstreams.find("i@1000") == nullptr);
     CHECK(entries.listener.upstreams.find("i@2000")->weightVersions.at("m") == 1);
-    SUBCASE("an entry of the earlier life that comes late changes nothing")
+    SUBCASE("a late entry of the earlier instance changes nothing")
     {
         entries.upstream("i", 1'000, 9);
         CHECK(entries.listener.usable() == Ids{"i@2000"});
         CHECK(entries.rejected() == 1);
     }
-    SUBCASE("one that goes and comes back in doubt is the same life")
+    SUBCASE("one that expires and returns while the store is unreachable is the same instance")
     {
         entries.listener.upstreams.setStoreReachable(false);
         entries.expire("servers/i");
@@ -127,7 +127,7 @@
         entries.upstream("i", 2'000);
         CHECK(entries.listener.usable() == Ids{"i@2000"});
     }
-    SUBCASE("one that expired in doubt and started again")
+    SUBCASE("one that expires while the store is unreachable and restarts is a new instance")
     {
         entries.listener.upstreams.setStoreReachable(false);
         entries.expire("servers/i");
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE(
-    "entries: one that cannot be read names no upstream, the others hold [entries][bad-input]")
+    "entries: one that cannot be parsed removes its upstream and no other [entries][bad-input]")
 {
     Entries entries;
     entries.upstream("a", 1'000);
@@ -145,18 +145,18 @@
     entries.write("servers/a", "\xff\xfe nonsense");
     CHECK(entries.listener.usable() == Ids{"b@1000"});
     CHECK(entries.rejected() == 1);
-    entries.upstream("a", 1'000); // the upstream itself again
+    entries.upstream("a", 1'000); // the upstream rewrites its entry
     CHECK(entries.listener.usable() == Ids{"a@1000", "b@1000"});
-    entries.upstream("b", std::nullopt); // it has told its birth before
+    entries.upstream("b", std::nullopt); // its entry had a start time before
     CHECK(entries.listener.usable() == Ids{"a@1000"});
     CHECK(entries.rejected() == 2);
-    entries.upstream("c", std::nullopt); // never told
+    entries.upstream("c", std::nullopt); // its entry never had a start time
     CHECK(entries.listener.usable() == Ids{"a@1000", "c"});
     entries.write("servers/a", std::nullopt);
     CHECK(entries.listener.usable() == Ids{"c"});
 }
 
-TEST_CASE("entries: weights and evacuations that cannot be read [entries][bad-input]")
+TEST_CASE("entries: weights and evacuations that cannot be parsed [entries][bad-input]")
 {
     Entries entries;
     entries.upstream("a", 1'000);
@@ -167,15 +167,15 @@
         entries.write("op/version/m", it);
     CHECK(entries.listener.lastNamed == 2);
     CHECK(entries.rejected() == 7);
-    entries.write("op/evacuate/z", "\xff"); // the key alone asks for it
+    entries.write("op/evacuate/z", "\xff"); // the key alone starts the evacuation
     CHECK(entries.listener.usable().empty());
     entries.write("op/evacuate/z", std::nullopt);
     CHECK(entries.listener.usable() == Ids{"a@1000"});
 }
 
 TEST_CASE(
-    "entries: a held request is told; a value that cannot be read is refused, and a key that is "
-    "gone releases nothing [entries][quarantine]")
+    "entries: a quarantined request is reported; a value that cannot be parsed is rejected, and a "
+    "removed key releases nothing [entries][quarantine]")
 {
     Entries entries;
     const RequestFingerprint request{1, 2};
@@ -189,7 +189,7 @@
     CHECK(entries.listener.held.size() == 1);
 }
 
-TEST_CASE("documents: which of two states is the older one, where revisions do not tell "
+TEST_CASE("documents: which of two states is older if revisions cannot be compared "
           "[restored][bad-input]")
 {
     const platform::DocumentOrder order("fordwood/nodes/");
--- a/tests/node/engine_refusal_test.cpp
+++ b/tests/node/engine_refusal_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Engines answer 421 when their weights are not those that a node takes them for. The answer tells
-// which they are, but the node only passed the engine over for 150 ms, as it does with a full one,
-// and then sent there anew: each time a caller paid a send, and part of the budget of repeated
-// sends with it. In the run below, two engines, one of which runs other weights than its record
-// says, turned away 18 of 40 requests 200 ms apart, and ran none although it might have.
+// An engine answers 421 if it runs other weights than the node expects, and names its version in
+// the answer. Guards against a node that ignores this version, skips the engine for 150 ms like a
+// full one and then tries it again: each try costs the caller a send and a part of the retry
+// budget. In the run below with two engines and 40 requests 200 ms apart, the engine whose record
+// names other weights than it runs rejected 18 requests and ran none, although it could have.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -19,7 +19,7 @@
 
 constexpr const char *kModel = "m";
 
-// An engine that runs one version of its model, and turns requests for another one away.
+// An engine that runs one version of its model and rejects requests for another one.
 class VersionedEngine
 {
 public:
@@ -72,11 +72,11 @@
     const bool m_namesVersion;
     std::atomic<int> m_executed{0};
     std::atomic<int> m_rejected{0};
-    std::atomic<int> m_withoutCondition{0}; // requests that any weights would do for
+    std::atomic<int> m_withoutCondition{0}; // requests without an expected version
     standins::BlockingServer m_server;
 };
 
-// A node's serving thread before two engines, over a paused clock.
+// A node's serving thread with two engines and a manual clock.
 class Serving
 {
 public:
@@ -90,7 +90,7 @@
 
     void write(const UpstreamRecord &record) { m_thread.write(record); }
 
-    // Requests with contexts of their own, 200 ms apart. Gives how many were answered well.
+    // Sends requests with separate contexts, 200 ms apart. Returns how many were answered with 200.
     int send(int requests)
     {
         int answered = 0;
@@ -129,23 +129,23 @@
 
 } // namespace
 
-TEST_CASE("engine refusals: one that names other weights than believed is taken at its word "
+TEST_CASE("engine refusals: the version that an engine names replaces the expected one "
           "[weights]")
 {
     Serving serving(true);
     CHECK(serving.send(20) == 20);
     CHECK(serving.wrong.rejected() == 1);
     CHECK(serving.wrong.executed() >= 2);
-    serving.write(serving.wrong.record(1)); // within three heartbeats at the latest
+    serving.write(serving.wrong.record(1)); // an engine does so within three heartbeats
     CHECK(serving.send(20) == 20);
     CHECK(serving.wrong.rejected() == 1);
-    CHECK(serving.wrong.executed() >= 5); // its weights are allowed as well
+    CHECK(serving.wrong.executed() >= 5); // the older weights are still allowed
     CHECK(serving.wrong.executed() + serving.right.executed() == 40);
 }
 
-// A record that still says so after its time is believed again, lest an engine that has loaded its
-// weights anew is left out for good.
-TEST_CASE("engine refusals: one whose record goes on naming other weights is tried now and then "
+// A record that still names the rejected version after some time is accepted again. Otherwise an
+// engine that has loaded these weights again would be left out for good.
+TEST_CASE("engine refusals: one whose record keeps naming other weights is retried now and then "
           "[weights]")
 {
     Serving serving(true);
@@ -166,14 +166,14 @@
     CHECK(serving.wrong.executed() >= 5);
 }
 
-// A record that names version 0 tells none, since versions begin at 1. Such an engine was sent
-// requests that any weights would do for, and that were kept apart from other teams' context by
-// nothing: the condition and the salt are left out where the version is 0.
-TEST_CASE("engine refusals: an engine whose weights are not known gets no request [weights]")
+// Version 0 in a record means none, since versions begin at 1. Guards against sending requests to
+// such an engine: with version 0 the expected version and the context salt are left out, so any
+// weights would be accepted and nothing would separate the context from that of other teams.
+TEST_CASE("engine refusals: an engine with unknown weights gets no request [weights]")
 {
     Serving serving(true);
     UpstreamRecord record = serving.wrong.record(0);
-    SUBCASE("its record names the version that is none") { }
+    SUBCASE("its record names version 0") { }
     SUBCASE("its record names no model")
     {
         record.weightVersions.clear();
--- a/tests/node/engine_reverts_test.cpp
+++ b/tests/node/engine_reverts_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Nodes before the store's stand-in and one engine, which is ordered to load weights and later runs
-// older ones again.
+// Runs nodes with a stand-in of the store and one engine. The engine is ordered to load weights and
+// later reverts to older ones.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -17,10 +17,10 @@
 
 namespace {
 
-// Of three nodes of the same strength the one that takes the lock, by the hashes of their names.
+// The one of three equally strong nodes that takes the lock, by the hashes of their names.
 constexpr int kLockHolder = 1;
 
-// Loads what it is ordered, at once; its record says what the test writes.
+// Loads the ordered weights at once. Its record changes only when the test writes it.
 class OrderedEngine
 {
 public:
@@ -29,7 +29,7 @@
           m_server(m_address, [this](const standins::Request &it) { return answer(it); })
     { }
 
-    // The engine's heartbeat.
+    // Writes the engine's record, as a heartbeat does.
     void writeRecord()
     {
         Json record{{"service", "s"}, {"address", m_address}, {"zone", "domain-0"},
@@ -39,7 +39,7 @@
         m_fleet.store().put("servers/e", record.dump());
     }
 
-    // It carries out a late order after its count of orders began anew.
+    // The engine executes a delayed order after its order count has restarted.
     void revertTo(std::uint64_t version)
     {
         m_version = version;
@@ -76,7 +76,7 @@
 
 } // namespace
 
-TEST_CASE("engine goes back: all nodes believe its record and it is ordered again [weights]")
+TEST_CASE("engine reverts: all nodes accept its record and it is ordered again [weights]")
 {
     WeightsFleet fleet(3);
     OrderedEngine engine(fleet);
@@ -85,7 +85,7 @@
     REQUIRE(fleet.waitForWeights(1));
     REQUIRE(fleet.waitForPeers());
     fleet.nameWeights(2);
-    // By its report alone: the record does not say so yet.
+    // Known from its report alone: the record is not updated yet.
     REQUIRE(fleet.waitForEngine("e@1000", 2));
     CHECK(engine.orders() == 1);
     engine.writeRecord();
@@ -103,7 +103,7 @@
     CHECK(engine.orders() == 2);
 }
 
-TEST_CASE("engine goes back: it is found where its record never said otherwise [weights]")
+TEST_CASE("engine reverts: it is detected if its record never named the newer weights [weights]")
 {
     WeightsFleet fleet(3);
     OrderedEngine engine(fleet);
@@ -122,8 +122,8 @@
 }
 
 TEST_CASE(
-    "engine goes back: a node that starts while the store is away hears what reports have shown "
-    "[weights]")
+    "engine reverts: a node that starts while the store is unreachable gets the reported versions "
+    "from peers [weights]")
 {
     WeightsFleet fleet(3);
     OrderedEngine engine(fleet);
--- a/tests/node/mailbox_test.cpp
+++ b/tests/node/mailbox_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What the control thread tells the serving thread: bounded, and nothing that matters is lost.
+// Updates from the control thread to the serving thread: the queues are bounded and lose nothing
+// that matters.
 #include <doctest/doctest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -35,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("mailbox: a full one refuses, keeps what it has, and takes again once it was read "
+TEST_CASE("mailbox: a full one rejects values, keeps its content, and accepts again once read "
           "[mailbox]")
 {
     boost::asio::io_context consumer;
@@ -52,7 +53,7 @@
     CHECK(taken == std::vector<int>{1, 2, 4});
 }
 
-TEST_CASE("update queue: does not grow with time while the same subjects change [mailbox]")
+TEST_CASE("update queue: does not grow while updates concern the same subjects [mailbox]")
 {
     UpdateQueue queue;
     for (std::size_t n = 0; n < 10'000; ++n) {
@@ -68,7 +69,7 @@
     CHECK(queue.isEmpty());
 }
 
-TEST_CASE("update queue: the removal of an upstream outlives its record [mailbox]")
+TEST_CASE("update queue: the removal of an upstream replaces its record [mailbox]")
 {
     UpdateQueue queue;
     UpstreamRecord record;
@@ -80,7 +81,7 @@
     CHECK(std::holds_alternative<UpstreamRemoved>(taken.front()));
 }
 
-TEST_CASE("update queue: what a store of kept context tells is added up [mailbox]")
+TEST_CASE("update queue: updates of a context store are merged [mailbox]")
 {
     UpdateQueue queue;
     queue.push(storeUpdated("s", 1, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
@@ -94,7 +95,8 @@
     CHECK(update.changes[2].partId == "c");
 }
 
-TEST_CASE("update queue: what a store told before it lost everything is dropped [mailbox]")
+TEST_CASE("update queue: updates from before a context store lost its content are dropped "
+          "[mailbox]")
 {
     UpdateQueue queue;
     queue.push(storeUpdated("s", 1, {{"salt", "a", true, 100}}));
@@ -108,7 +110,7 @@
     CHECK(update.isSnapshot);
 }
 
-TEST_CASE("update queue: a store that answers again is not taken as silent [mailbox]")
+TEST_CASE("update queue: a context store that answers again does not count as failed [mailbox]")
 {
     UpdateQueue queue;
     queue.push(ContextStoreSilent{"s"});
@@ -124,7 +126,7 @@
     CHECK(std::holds_alternative<ContextStoreSilent>(taken.back()));
 }
 
-TEST_CASE("update queue: stops at what is not taken, and goes on from there [mailbox]")
+TEST_CASE("update queue: stops at an update that is not accepted and resumes there [mailbox]")
 {
     UpdateQueue queue;
     queue.push(LiveNodes{1});
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What the platform says is read into the product's types, once and strictly.
+// Tests that messages and documents of the platform are parsed strictly into the project's types.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("callers: the head of a request is read [platform]")
+TEST_CASE("callers: the head of a request is parsed [platform]")
 {
     Fields fields;
     fields.set("Request-Id", "9c41");
@@ -56,8 +56,8 @@
 }
 
 TEST_CASE(
-    "upstreams: the limit that an answer names is read; what names no rate is told apart from "
-    "no limit [platform][limit][bad-input]")
+    "upstreams: the limit in an answer is parsed; an invalid value is distinguished from no limit "
+    "[platform][limit][bad-input]")
 {
     const auto read = [](std::initializer_list<const char *> values) {
         Fields fields;
@@ -81,7 +81,7 @@
     CHECK(read({"5", "many"}).isUnreadable);
 }
 
-TEST_CASE("upstreams: what an answer says of draining and backoff is read "
+TEST_CASE("upstreams: draining and backoff in an answer are parsed "
           "[platform][drain][backoff][bad-input]")
 {
     const auto read = [](unsigned status, std::initializer_list<const char *> values) {
@@ -114,7 +114,7 @@
     CHECK_FALSE(readAnswerHead(200, Fields{}).isDraining);
 }
 
-TEST_CASE("callers: numbers that are none are taken as not given [platform][bad-input]")
+TEST_CASE("callers: invalid numbers count as absent [platform][bad-input]")
 {
     Fields fields;
     fields.set("Request-Deadline", "soon");
@@ -130,8 +130,7 @@
     CHECK(head.prompt->parts.size() == 3);
 }
 
-TEST_CASE(
-    "upstreams: what only the system may set does not come from a caller [platform][isolation]")
+TEST_CASE("upstreams: reserved header fields of a caller are not forwarded [platform][isolation]")
 {
     Fields caller;
     caller.set("Request-Id", "9c41");
@@ -160,7 +159,7 @@
     CHECK(textOf(head, "Tenant").empty());
 }
 
-TEST_CASE("upstreams: the stamp of a request to an engine [platform]")
+TEST_CASE("upstreams: the header fields that a request to an engine gets [platform]")
 {
     UpstreamStamp stamp;
     stamp.instanceId = "i-1";
@@ -185,13 +184,13 @@
     CHECK(head.find("Kv-Save") == head.end());
 }
 
-TEST_CASE("answers: which of them say that the request has not run [platform][not-run]")
+TEST_CASE("answers: which of them mean that the request has not run [platform][not-run]")
 {
     Fields fields;
     CHECK_FALSE(readAnswerHead(503, fields).notRun);
     CHECK(readAnswerHead(421, fields).notRun);
     CHECK(readAnswerHead(421, fields).wrongInstance);
-    CHECK_FALSE(isOfAnother(readAnswerHead(421, fields), "i-1")); // it does not say who it is
+    CHECK_FALSE(isOfAnother(readAnswerHead(421, fields), "i-1")); // it names no instance
     fields.set("Instance-Id", "i-2");
     CHECK(isOfAnother(readAnswerHead(421, fields), "i-1"));
     CHECK(isOfAnother(readAnswerHead(421, fields), "i-1@1796000000000"));
@@ -247,8 +246,7 @@
     CHECK_FALSE(config->teams[1].priority);
 }
 
-TEST_CASE(
-    "configuration: what is no configuration is told, with what is wrong [platform][bad-input]")
+TEST_CASE("configuration: an invalid one is rejected with a description [platform][bad-input]")
 {
     for (const char *it : {"", "{", "[]", "{}", R"({"version":"x","routes":[],"services":[]})",
                            R"({"version":1,"routes":[{}],"services":[]})",
@@ -261,7 +259,7 @@
 
 namespace {
 
-// A record as upstreams write it, with some fields replaced; a null one is left out.
+// A record as upstreams write it, with the given fields replaced; null removes a field.
 std::string recordWith(const Json &fields)
 {
     Json record{
@@ -280,7 +278,7 @@
 
 } // namespace
 
-TEST_CASE("upstream records: state, weights, cold start and life [platform]")
+TEST_CASE("upstream records: state, weights, cold start and instance [platform]")
 {
     const auto record = readUpstream(
         "servers/i-7", recordWith({{"state", "draining"}, {"cold-remaining-ms", 1821}}));
@@ -299,8 +297,7 @@
     CHECK(kindOf("op/other") == DocumentKind::Other);
 }
 
-TEST_CASE(
-    "upstream records: plain services have no models, older upstreams tell no birth [platform]")
+TEST_CASE("upstream records: the models and the start time are optional [platform]")
 {
     const auto record
         = readUpstream("servers/i-7", recordWith({{"models", nullptr}, {"born", nullptr}}));
@@ -309,7 +306,7 @@
     CHECK(record->weightVersions.empty());
 }
 
-TEST_CASE("upstream records: a field that is missing or makes no sense gives no upstream "
+TEST_CASE("upstream records: one with a missing or invalid field is rejected "
           "[platform][bad-input]")
 {
     for (const char *it : {"service", "address", "zone", "version", "slots", "state", "sequence",
@@ -334,8 +331,7 @@
         CHECK_FALSE(readUpstream("servers/i-7", it));
 }
 
-TEST_CASE(
-    "upstreams: what is sent to one names it as it knows itself, in whichever life [platform]")
+TEST_CASE("upstreams: messages to an upstream name its announced id, not its instance [platform]")
 {
     const std::string instance = instanceIdOf("i-7", WallTime(1'796'000'000'000ms));
     CHECK(announcedPart(instance) == "i-7");
@@ -372,7 +368,7 @@
     CHECK_FALSE(changes->items[1].value);
 }
 
-TEST_CASE("store: answers that bring nothing say why [platform][bad-input]")
+TEST_CASE("store: failed calls give their reason [platform][bad-input]")
 {
     CHECK(readWatch(replyOf(410, ""), 1).error() == StoreFailure::HistoryLost);
     CHECK(readWatch(replyOf(503, ""), 1).error() == StoreFailure::Refused);
@@ -385,7 +381,7 @@
           == StoreFailure::Damaged);
 }
 
-TEST_CASE("store: a write without an answer may have been done; one that was not sent was not "
+TEST_CASE("store: a write without an answer may have been executed; an unsent one was not "
           "[platform][lost-reply]")
 {
     CHECK(readPut(replyOf(200, R"({"revision":9})")).result == WriteResult::Done);
@@ -398,7 +394,7 @@
     CHECK(readPut(tl::unexpected(node::HttpFailure::NotSent)).result == WriteResult::Refused);
 }
 
-TEST_CASE("store: values survive their encoding, whatever they hold [platform]")
+TEST_CASE("store: values of any bytes are decoded as they were encoded [platform]")
 {
     for (std::size_t n = 0; n < 9; ++n) {
         const std::string value = std::string("\0\xff\x80", 3).append(n, 'x');
@@ -413,7 +409,7 @@
     }
 }
 
-TEST_CASE("engines: reports, orders and the events of stores [platform]")
+TEST_CASE("engines: reports, orders and the events of context stores [platform]")
 {
     const auto report = readReport(replyOf(200, R"({"models":[{"name":"m","version":2}],
         "busy":true,"sequence":3})"));
@@ -442,7 +438,7 @@
     CHECK(list->news.isSnapshot);
 }
 
-TEST_CASE("refusals: a status that promises \"not run\" stands only where that is true [not-run]")
+TEST_CASE("refusals: only a request that has not run gets a status that means so [not-run]")
 {
     for (const ReasonInfo &it : kReasons) {
         INFO(it.name);
@@ -460,7 +456,8 @@
     }
 }
 
-TEST_CASE("peers: messages survive their encoding; other bytes are none [peers][bad-input]")
+TEST_CASE("peers: messages are decoded as they were encoded; other bytes are rejected "
+          "[peers][bad-input]")
 {
     node::Gossip message;
     message.node = "a";
@@ -530,7 +527,8 @@
     CHECK(readPart->mayBeExpiry);
 }
 
-TEST_CASE("peers: what relays tell survives its encoding; other bytes are none [relays][bad-input]")
+TEST_CASE("peers: context updates of relays are decoded as they were encoded; other bytes are "
+          "rejected [relays][bad-input]")
 {
     const std::vector<ContextStorePosition> positions{{1, 2, 3}, {0xffffffffffffffffULL, 0, 0}};
     const auto parsed = node::parseContextUpdatesTarget(node::contextUpdatesTarget(positions));
--- a/tests/node/quarantine_distributor_test.cpp
+++ b/tests/node/quarantine_distributor_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// How the nodes of a large fleet hear of requests that end upstreams.
+// Tests how information on requests that make upstreams fail spreads in a large fleet.
 #include "node/quarantine_distributor.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 
 const RequestFingerprint kPoison{1, 2};
 
-// Nodes that hold the request by what they have been told, and by `own`.
+// How many nodes quarantine the request by the updates that they received and by `own`.
 std::size_t holders(RelayFleet &fleet, const std::vector<QuarantineUpdate> &own = {})
 {
     std::size_t n = 0;
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("quarantine duty: ends seen by nodes of three domains reach every node within half a "
+TEST_CASE("quarantine: failures seen by nodes of three domains reach every node within half a "
           "second [quarantine][relays]")
 {
     RelayFleet fleet(3, 20, 87);
@@ -43,7 +43,7 @@
     CHECK(holders(fleet, {{kPoison, 57}, {kPoison, 58}, {kPoison, 59}}) == 60);
 }
 
-TEST_CASE("quarantine duty: a third of the messages lost costs some rounds, no node "
+TEST_CASE("quarantine: with a third of the messages lost, updates still reach all nodes, but later "
           "[quarantine][relays]")
 {
     RelayFleet fleet(3, 20, 88);
@@ -55,7 +55,7 @@
     CHECK(holders(fleet, {{kPoison, 57}, {kPoison, 58}, {kPoison, 59}}) == 60);
 }
 
-TEST_CASE("quarantine duty: what has been told goes quiet [quarantine][relays]")
+TEST_CASE("quarantine: updates are not sent any more after a while [quarantine][relays]")
 {
     RelayFleet fleet(3, 20, 89);
     fleet.withRelays().run(6);
@@ -67,7 +67,7 @@
     }
 }
 
-TEST_CASE("quarantine duty: the key and the value of a held request are read back, others are not "
+TEST_CASE("quarantine: key and value of a stored request are parsed back, others are rejected "
           "[quarantine]")
 {
     const std::string key = QuarantineDistributor::keyOf(kPoison);
--- a/tests/node/stall_test.cpp
+++ b/tests/node/stall_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A VM that stood still for a while knows old things and finds old answers in its sockets.
+// After a stall of its VM a node has outdated information and finds old answers in its sockets.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -27,7 +27,7 @@
     return store;
 }
 
-// The serving thread's state, with one store of kept context in its configuration.
+// The serving thread's state with one context store in its configuration.
 struct Serving
 {
     Serving() : state(context, clock, settings, metrics)
@@ -54,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("standstill: a node that wakes waits for a word of the stores, for a moment only "
+TEST_CASE("stall: after a stall a node waits until the context stores have answered "
           "[standstill]")
 {
     Serving serving;
@@ -66,7 +66,7 @@
     CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
-TEST_CASE("standstill: stores that stay silent hold nobody up for long [standstill]")
+TEST_CASE("stall: context stores that do not answer are waited for only briefly [standstill]")
 {
     Serving serving;
     serving.reportStore();
@@ -76,7 +76,8 @@
     CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
-TEST_CASE("standstill: stores that are silent while the node runs are not waited for [standstill]")
+TEST_CASE("stall: without a stall, context stores that do not answer are not waited for "
+          "[standstill]")
 {
     Serving serving;
     for (int n = 0; n < 50; ++n) {
@@ -86,7 +87,8 @@
     CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
-TEST_CASE("standstill: an answer that lay unread is asked for anew, at once [standstill][stores]")
+TEST_CASE("stall: an answer that was left unread is dropped and requested again at once "
+          "[standstill][stores]")
 {
     const std::string address
         = "127.72." + std::to_string(static_cast<int>(getpid()) % 200 + 1) + ".1:7100";
@@ -118,7 +120,7 @@
     watcher.setStores({storeAt(address)});
     while (calls == 0)
         context.run_one_for(10ms);
-    clock.advance(5s); // the VM stands still while the answer comes
+    clock.advance(5s); // the VM stalls while the answer arrives
     answerAllowed.set_value();
     std::future<std::string> wait = secondWait.get_future();
     while (wait.wait_for(0s) != std::future_status::ready)
--- a/tests/node/store_restored_test.cpp
+++ b/tests/node/store_restored_test.cpp
@@ -13,16 +13,16 @@
 
 using Json = nlohmann::json;
 
-// Two nodes before a store that is restored from a snapshot, with many writes between.
+// Two nodes and a store that is restored from a snapshot after many further writes.
 struct Restored : WeightsFleet
 {
-    // `secondNodeStore`: the address of the store for the second node; empty: that of the store.
+    // `secondNodeStore`: the store address that the second node uses; empty: the real one.
     explicit Restored(const std::string &secondNodeStore = "") : WeightsFleet(2)
     {
         configure(1, {"a", "b"});
         putUpstream("i-1", "ready");
         putUpstream("i-2", "ready");
-        store().takeSnapshot(); // the first one, before any node has written its key
+        store().takeSnapshot(); // before any node has written its key
         start(0);
         start(1, secondNodeStore);
         REQUIRE(waitForPeers());
@@ -89,8 +89,8 @@
         return state.table() ? state.table()->config().version : 0;
     }
 
-    // All that the test's operators and upstreams have written is written once more, after many
-    // other writes; then the store is away for a second and comes back as at its snapshot.
+    // Writes the configuration and an upstream again after many other writes. Then the store is
+    // down for a second and returns in the state of its snapshot.
     void restoreAfterMoreWrites()
     {
         for (int n = 0; n < 60; ++n)
@@ -114,17 +114,17 @@
     int m_sequence = 0;
 };
 
-// Within which a change must be in force everywhere.
+// Time within which a change must take effect on all nodes.
 constexpr Duration kEffectWithin = 2s;
 
 } // namespace
 
-TEST_CASE("store restored: what is written after the restore is in force in time, though its "
-          "revisions were given out before [restored]")
+TEST_CASE("store restored: writes after the restore take effect in time, although their revisions "
+          "were used before [restored]")
 {
     std::string secondNodeStore;
-    SUBCASE("both nodes are answered by the store") { }
-    SUBCASE("one of them hears of it from the other alone")
+    SUBCASE("the store answers both nodes") { }
+    SUBCASE("one node gets the changes only from the other")
     {
         secondNodeStore = "127.0.0.1:9";
     }
@@ -142,8 +142,8 @@
     }
 }
 
-TEST_CASE("store restored: what nodes know is not undone by an older copy, nor by what is written "
-          "again in its order [restored]")
+TEST_CASE("store restored: neither the older content nor rewriting it in its old order reverts the "
+          "nodes [restored]")
 {
     Restored fleet;
     fleet.putUpstream("i-3", "ready");
@@ -183,8 +183,8 @@
     }
 }
 
-// The other side: nothing is kept for good that nobody writes again.
-TEST_CASE("store restored: what is not written again is let go [restored]")
+// Guards against keeping state for good that nobody writes again.
+TEST_CASE("store restored: state that is not written again is dropped [restored]")
 {
     Restored fleet;
     fleet.putUpstream("i-3", "ready");
@@ -193,24 +193,24 @@
     fleet.store().remove("servers/i-3");
     REQUIRE(fleet.waitForUse("i-3", false));
     fleet.store().put("op/evacuate/y", "");
-    fleet.putUpstream("i-4", "ready"); // its record is lost, and not written again
+    fleet.putUpstream("i-4", "ready"); // its record is lost and not written again
     REQUIRE(fleet.waitForUse("i-4", true));
     fleet.restore();
     for (const int node : {0, 1})
-        CHECK(Restored::uses(fleet.at(node).traffic(), "i-4")); // it may live
+        CHECK(Restored::uses(fleet.at(node).traffic(), "i-4")); // it may still be running
     fleet.advance(12s);
     for (const int node : {0, 1}) {
         NodeState &state = fleet.at(node).traffic();
         state.tick();
-        CHECK(Restored::uses(state, "i-3")); // its record has stood for so long
+        CHECK(Restored::uses(state, "i-3")); // the restored store still has its record
         CHECK_FALSE(Restored::uses(state, "i-4"));
         CHECK(state.upstreams().evacuatedDomains() == 0);
     }
 }
 
 TEST_CASE(
-    "store restored: nodes write their keys again under leases of their own, though lease ids "
-    "were given out before [restored]")
+    "store restored: nodes write their keys again under their own leases, although lease ids were "
+    "used before [restored]")
 {
     Restored fleet;
     fleet.advance(2s);
@@ -218,7 +218,7 @@
     REQUIRE(fleet.store().has("fordwood/nodes/n1"));
     fleet.restore();
     fleet.advance(5s);
-    // Leases are renewed by their holders alone.
+    // Each lease is renewed only by its holder.
     for (int n = 0; n < 4; ++n) {
         CHECK(fleet.store().has("fordwood/nodes/n0"));
         CHECK(fleet.store().has("fordwood/nodes/n1"));
@@ -230,9 +230,9 @@
     CHECK_FALSE(fleet.store().has("fordwood/nodes/n1"));
 }
 
-// Engines have replaced weights just after a naming: callers would be refused until they are
-// loaded.
-TEST_CASE("store restored: weights that are replaced soon after it are of use for a while "
+// Just after a naming few engines have the new weights: without the old ones callers would be
+// rejected until the engines have loaded them.
+TEST_CASE("store restored: weights that are superseded soon after it stay usable for a while "
           "[restored][weights]")
 {
     Restored fleet;
