--- a/src/node/quarantine_distributor.cpp
+++ b/src/node/quarantine_distributor.cpp
@@ -57,16 +57,16 @@
     });
 }
 
-bool QuarantineDistributor::apply(const QuarantineUpdate &updates)
+bool QuarantineDistributor::apply(const QuarantineUpdate &update)
 {
-    const bool wasHeld = m_quarantine.isHeld(updates.request);
-    if (!m_quarantine.apply(updates))
+    const bool wasHeld = m_quarantine.isHeld(update.request);
+    if (!m_quarantine.apply(update))
         return false;
-    const bool isHeld = m_quarantine.isHeld(updates.request);
+    const bool isHeld = m_quarantine.isHeld(update.request);
     if (isHeld && !wasHeld)
-        logHeld(updates.request);
+        logHeld(update.request);
     if (wasHeld && !isHeld)
-        onReleased(updates.request);
+        onReleased(update.request);
     return true;
 }
 
--- a/src/node/quarantine_distributor.hpp
+++ b/src/node/quarantine_distributor.hpp
@@ -59,7 +59,7 @@
         TimePoint nextAttempt{};
     };
 
-    bool apply(const QuarantineUpdate &updates);
+    bool apply(const QuarantineUpdate &update);
     bool isLeased(const Write &write) const { return write.lease.isValidIn(m_store.epoch()); }
     void logHeld(const RequestFingerprint &request);
     void onReleased(const RequestFingerprint &request);
