--- a/src/node/store_client.cpp
+++ b/src/node/store_client.cpp
@@ -95,7 +95,7 @@
     }
     onSuccess();
     // The pages are not a consistent snapshot. The watch reads what changed after the first page.
-    StoreChanges &read = fullRead->read;
+    StoreChanges &read = fullRead->content;
     if (read.revision == 0) {
         read.revision = page->content.revision;
         read.epoch = page->content.epoch;
@@ -204,7 +204,7 @@
     StoreAnswerTimes times{m_watchStartedAt, std::nullopt};
     const TimePoint now = m_clock.now();
     for (const AnsweredCall &it : m_recentAnswers) {
-        if (it.sentAt > m_watchStartedAt && now - it.onSuccess >= kStalledAnswersWithin)
+        if (it.sentAt > m_watchStartedAt && now - it.answeredAt >= kStalledAnswersWithin)
             times.noChangesUntil = std::max(times.noChangesUntil.value_or(it.sentAt), it.sentAt);
     }
     return times;
--- a/src/node/store_client.hpp
+++ b/src/node/store_client.hpp
@@ -70,13 +70,13 @@
     struct FullRead
     {
         TimePoint sentAt{}; // of the call for the first page
-        StoreChanges read;
+        StoreChanges content;
     };
 
     struct AnsweredCall
     {
         TimePoint sentAt{};
-        TimePoint onSuccess{};
+        TimePoint answeredAt{};
     };
 
     void readPage(const std::string &after, const std::shared_ptr<FullRead> &fullRead,
