--- a/tests/node/engine_refusal_test.cpp
+++ b/tests/node/engine_refusal_test.cpp
@@ -23,7 +23,7 @@
 class VersionedEngine
 {
 public:
-    // `tells`: its answers name the version.
+    // `namesVersion`: whether its answers name the version.
     VersionedEngine(std::string id, std::string address, std::uint64_t version, bool namesVersion)
         : m_id(std::move(id)), m_address(std::move(address)), m_version(version),
           m_namesVersion(namesVersion),
