--- a/src/apps/noded/main.cpp
+++ b/src/apps/noded/main.cpp
@@ -8,7 +8,7 @@
 #include "adapters/system_clock.hpp"
 #include "apps/common/daemon.hpp"
 #include "apps/common/options.hpp"
-#include "node/control_duty.hpp"
+#include "node/control_loop.hpp"
 #include "node/serving_loop.hpp"
 
 namespace {
@@ -35,7 +35,7 @@
 }
 
 // Waits for SIGTERM or SIGINT and returns it. On SIGHUP, reloads the settings.
-int waitForStop(const sigset_t &signals, const std::string &path, node::ControlDuty &control)
+int waitForStop(const sigset_t &signals, const std::string &path, node::ControlLoop &control)
 {
     for (;;) {
         int signal = 0;
@@ -57,8 +57,8 @@
     adapters::Metrics metrics;
     // The two loops refer to each other, so the pointers are set after both are constructed.
     node::ServingLoop *servingPointer = nullptr;
-    node::ControlDuty *controlPointer = nullptr;
-    node::ControlDuty control(settings, clock, metrics, [&](node::FleetUpdate it) {
+    node::ControlLoop *controlPointer = nullptr;
+    node::ControlLoop control(settings, clock, metrics, [&](node::FleetUpdate it) {
         return servingPointer->mailbox().push(std::move(it));
     });
     const auto publishLoads = [&](node::OwnLoads it) {
@@ -66,7 +66,7 @@
         std::ignore = controlPointer->loadsMailbox().push(std::move(it));
     };
     const auto publishQuarantineUpdates = [&](std::vector<QuarantineUpdate> it) {
-        return controlPointer->requestNewsMailbox().push(std::move(it));
+        return controlPointer->quarantineUpdatesMailbox().push(std::move(it));
     };
     node::ServingLoop serving(settings, clock, metrics, publishLoads, publishQuarantineUpdates);
     servingPointer = &serving;
--- /dev/null
+++ b/src/node/control_loop.cpp
@@ -0,0 +1,751 @@
+// SPDX-License-Identifier: MIT
+#include "node/control_loop.hpp"
+
+#include <algorithm>
+
+#include "adapters/observe/event_log.hpp"
+#include "fordwood/rendezvous.hpp"
+#include "node/context_messages.hpp"
+#include "node/control_limits.hpp"
+
+namespace fordwood::node {
+
+namespace {
+
+using adapters::Event;
+using adapters::logEvent;
+
+constexpr Duration kTickInterval = std::chrono::milliseconds(20);
+
+// How often the node checks which nodes are alive and updates its own role.
+constexpr Duration kMemberUpdateInterval = std::chrono::milliseconds(100);
+
+// A change is sent to peers at once; this limits the rate when many changes follow each other.
+constexpr Duration kMinGossipInterval = std::chrono::milliseconds(10);
+
+// A node stops sending to a rate-limited upstream if its peers have not named it for a second. At
+// this interval a few messages may be lost.
+constexpr Duration kLimitsInterval = std::chrono::milliseconds(200);
+
+// How often the store is polled in addition to the watch, and by how many nodes.
+constexpr Duration kPollInterval = std::chrono::milliseconds(1'000);
+constexpr std::size_t kPollingNodes = 2;
+
+// A removal that is seen this soon after the store answered again may be an expired lease.
+constexpr Duration kExpiryDoubtTime = std::chrono::seconds(1);
+
+// Key for the summed load of all other nodes, where relays sum up loads.
+constexpr std::string_view kAllOtherNodes = "others";
+
+// In a large fleet a relay takes the lock. Other nodes try only after this delay, since it is
+// possible that the store answers none of the relays.
+constexpr Duration kNonRelayLockDelay = std::chrono::seconds(2);
+
+// Nodes with a higher rank number wait longer, so that those before them get the lock first.
+constexpr Duration kLockDelayPerRank = std::chrono::milliseconds(150);
+
+// Nodes with a higher rank number wait longer before they write naming marks, so that usually only
+// the first one writes.
+constexpr Duration kMarkDelayPerRank = std::chrono::milliseconds(300);
+
+// A mark ends this long before old weights stop being allowed. The node's information from the
+// store may be two seconds old, and a request that is routed by the mark must still begin in time.
+constexpr Duration kMarkMargin = std::chrono::seconds(4);
+
+// Within this time operators and upstreams write again what a restored store has lost.
+constexpr Duration kRestoreTime = std::chrono::seconds(10);
+
+constexpr std::size_t kMailboxCapacity = 64;
+
+PeerAddress ownAddress(const config::OneProcessSettings &settings)
+{
+    return {settings.peers.gossipListen, settings.peers.listen, settings.node.failureDomain,
+            vmStrength(settings.vm)};
+}
+
+LoadExchange::Pace exchangePace(const config::OneProcessSettings &settings)
+{
+    constexpr double kBytesOfMegabit = 125'000.0;
+    return {settings.peers.gossipEvery, kBytesOfMegabit * settings.vm.linkMbps};
+}
+
+NamingMarks::Limits markLimits(const config::OneProcessSettings &settings)
+{
+    return {settings.bounds.weightsWithin - kMarkMargin, settings.store.minLease};
+}
+
+} // namespace
+
+ControlLoop::ControlLoop(const config::OneProcessSettings &settings, const Clock &clock,
+                         adapters::Metrics &metrics, Publish publish)
+    : m_settings(settings), m_clock(clock), m_metrics(metrics), m_publish(std::move(publish)),
+      m_owner(makeNodeInstanceId(settings.node.name)), m_context(1), m_client(m_context, clock),
+      m_freshness(clock), m_weightNamings(clock, settings.node.name,
+                                          [this](const std::string &model, std::uint64_t version,
+                                                 const WeightHistory &history) {
+                                              onWeightNaming(model, version, history);
+                                          }),
+      m_store(m_context, m_client, clock, settings.store.address, m_replica, *this),
+      m_registration(clock, m_store, DocumentReader::nodeKey(settings.node.name),
+                     encodePeerAddress(ownAddress(settings))),
+      m_namingMarks(clock, m_store, m_replica, m_weightNamings, markLimits(settings)),
+      m_rolloutExecutor(clock, m_client, m_store, settings.node.name, m_owner,
+                        lockLimits(settings)),
+      m_contextStores(
+          m_context, m_client, clock,
+          [this](const std::string &failed) { return m_peers.roster().chooseContextRelay(failed); },
+          [this](FleetUpdate it) { this->publish(std::move(it)); }),
+      m_quarantine(clock, m_store, m_replica,
+                   [this](std::vector<QuarantineUpdate> it) {
+                       this->publish(PeerQuarantineUpdates{std::move(it)});
+                   }),
+      m_documents(metrics, *this),
+      m_fetcher(clock, m_client, m_replica, metrics,
+                [this](const ReplicaPart &it) { merge(it.changes, it.mayBeExpiry); }),
+      m_role(clock, {settings.node.name, vmStrength(settings.vm)}, relayRoleLimits(settings)),
+      m_peers(m_context, clock,
+              {settings.node.name, settings.node.failureDomain, vmStrength(settings.vm)},
+              directGossipLimit(settings), [this](const Gossip &it) { onGossip(it); }),
+      m_exchange(clock, m_peers, exchangePace(settings),
+                 [this](LoadReport it) { setOthersLoad(std::move(it)); }),
+      m_orderReports(clock),
+      m_readyServer(m_context, [this](std::string_view it) { return readyReply(it); }),
+      m_peerServer(m_context, [this](std::string_view it) { return peerReply(it); }),
+      m_metricsServer(m_context, [this](std::string_view it) { return metricsReply(it); }),
+      m_ownLoads(m_context, kMailboxCapacity,
+                 [this](OwnLoads it) { handleOwnLoads(std::move(it)); }),
+      m_ownQuarantineUpdates(
+          m_context, kMailboxCapacity,
+          [this](const std::vector<QuarantineUpdate> &it) { handleOwnQuarantineUpdates(it); }),
+      m_tickTimer(m_context), m_upstreams(clock, {}),
+      m_drainReports(m_upstreams, [this](FleetUpdate it) { this->publish(std::move(it)); }),
+      m_loads(clock)
+{ }
+
+bool ControlLoop::open()
+{
+    m_fetcher.setSeeds(m_settings.peers.seeds, m_settings.peers.listen);
+    ErrorCode ec;
+    const auto failed = [&](const std::string &address) {
+        logEvent(Event::ListenFailed, {{"address", address}, {"error", ec.message()}});
+        return false;
+    };
+    if (!m_readyServer.listen(m_settings.callers.readyListen, ec))
+        return failed(m_settings.callers.readyListen);
+    if (!m_peerServer.listen(m_settings.peers.listen, ec))
+        return failed(m_settings.peers.listen);
+    if (!m_metricsServer.listen(m_settings.peers.metricsListen, ec))
+        return failed(m_settings.peers.metricsListen);
+    if (!m_peers.open(m_settings.peers.gossipListen, ec))
+        return failed(m_settings.peers.gossipListen);
+    m_store.start();
+    tick();
+    return true;
+}
+
+void ControlLoop::stop()
+{
+    m_context.stop();
+}
+
+void ControlLoop::beginStop()
+{
+    net::post(m_context, [this] {
+        m_isStopping = true;
+        m_rolloutExecutor.release();
+        publish(StopStarted{});
+    });
+}
+
+void ControlLoop::finishStop()
+{
+    net::post(m_context, [this] {
+        m_isLeaving = true;
+        m_registration.remove();
+        gossip();
+    });
+}
+
+void ControlLoop::reload(const config::OneProcessSettings &settings)
+{
+    // The listen addresses of a running process stay; changing one needs a restart.
+    net::post(m_context, [this, settings] {
+        m_settings.peers = settings.peers;
+        m_fetcher.setSeeds(m_settings.peers.seeds, m_settings.peers.listen);
+    });
+}
+
+HttpReply ControlLoop::readyReply(std::string_view) const
+{
+    const bool ready = m_hasConfiguration && !m_isStopping && m_upstreams.size() > 0;
+    return {ready ? 200U : 503U, ""};
+}
+
+HttpReply ControlLoop::metricsReply(std::string_view target) const
+{
+    if (target != "/metrics")
+        return {404, ""};
+    return {200, m_metrics.text()};
+}
+
+HttpReply ControlLoop::peerReply(std::string_view target) const
+{
+    if (target.starts_with(ReplicaFetcher::kTarget))
+        return replicaReply(target);
+    const auto positions = parseContextUpdatesTarget(target);
+    if (!positions)
+        return {404, ""};
+    if (!m_role.followsContext())
+        return {503, ""};
+    return {200, encodeContextUpdates(m_contextStores.updatesSince(*positions))};
+}
+
+HttpReply ControlLoop::replicaReply(std::string_view target) const
+{
+    const auto since = ReplicaFetcher::parseTarget(target);
+    if (!since)
+        return {400, ""};
+    if (m_replica.isEmpty())
+        return {503, ""};
+    return {200, encodeReplicaPart({m_replica.changesSince(*since), removalsMayBeExpiry()})};
+}
+
+// Whether a removal may be due to a lease that expired while the store was unreachable.
+bool ControlLoop::removalsMayBeExpiry() const
+{
+    return !reachesStore() || m_clock.now() - m_expiryDoubtSince < kExpiryDoubtTime;
+}
+
+void ControlLoop::onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes &times)
+{
+    // Must come before the merge: the merged changes are dated by it.
+    const StoreVersion since{changes.epoch, changes.since};
+    if (times.noChangesUntil && since == m_replica.version())
+        m_freshness.storeHadNoChanges(*times.noChangesUntil);
+    merge(changes, removalsMayBeExpiry());
+    if (isUpToDateWith(changes.version()))
+        m_freshness.storeAnswered(times.sentAt);
+}
+
+void ControlLoop::onReachabilityChange(bool reachable)
+{
+    if (reachable) {
+        m_expiryDoubtSince = m_clock.now();
+        logEvent(Event::PlatformBack, {{"revision", m_replica.version().revision}});
+    } else {
+        logEvent(Event::PlatformLost, {{"revision", m_replica.version().revision}});
+    }
+    updateReachability();
+}
+
+void ControlLoop::updateReachability()
+{
+    const bool receivesVersions = reachesStore() || !m_peers.roster().livePeers().empty();
+    if (receivesVersions != m_publishedReceivesVersions) {
+        m_publishedReceivesVersions = receivesVersions;
+        publish(ReceivesVersions{receivesVersions});
+    }
+    const bool reachable = reachesStore() || m_peers.roster().anyPeerGetsStoreChanges();
+    if (reachable == m_publishedReachable)
+        return;
+    m_publishedReachable = reachable;
+    m_upstreams.setStoreReachable(reachable);
+    publish(StoreReachability{reachable});
+}
+
+void ControlLoop::merge(const StoreChanges &changes, bool mayBeExpiry)
+{
+    const StoreVersion before = m_replica.version();
+    const auto changed = m_replica.merge(changes);
+    if (!changed)
+        return;
+    const bool isRestored = before.revision != 0 && m_replica.version().epoch != before.epoch;
+    if (isRestored)
+        storeRestored(before);
+    for (const StoredItem &it : *changed)
+        m_documents.read(it, mayBeExpiry || isRestored);
+    if (m_replica.version() != before)
+        m_isGossipDue = true;
+    updateEngines();
+    m_rolloutExecutor.lock().keyChanged(m_replica.find(RolloutExecutor::lockKey()),
+                                        m_replica.version().epoch);
+}
+
+// The store was restored from a snapshot. Upstreams that are missing in it may still be running and
+// may not have written their records again yet.
+void ControlLoop::storeRestored(const StoreVersion &before)
+{
+    logEvent(Event::StoreRestored, {{"epoch", m_replica.version().epoch},
+                                    {"revision", m_replica.version().revision},
+                                    {"held_revision", before.revision}});
+    m_restoreDoneAt = m_clock.now() + kRestoreTime;
+    m_expiryDoubtSince = m_clock.now();
+    m_freshness.storeRestored();
+    m_upstreams.storeRestored();
+    publish(StoreRestored{});
+}
+
+void ControlLoop::finishRestore()
+{
+    if (!m_restoreDoneAt || m_clock.now() < *m_restoreDoneAt)
+        return;
+    m_restoreDoneAt.reset();
+    for (const StoredItem &it : m_replica.acceptDeferred())
+        m_documents.read(it, false);
+    updateEngines();
+}
+
+bool ControlLoop::isUpToDateWith(const StoreVersion &version) const
+{
+    return version.epoch == m_replica.version().epoch && version <= m_replica.version();
+}
+
+void ControlLoop::onConfiguration(ServingConfig config)
+{
+    m_hasConfiguration = true;
+    m_contextStores.setStores(config.stores);
+    if (const std::size_t maxReaders = maxContextReaders(config); maxReaders > 0)
+        m_role.setMaxReaders(maxReaders);
+    publish(ConfigApplied{std::make_shared<const RouteTable>(std::move(config))});
+}
+
+void ControlLoop::onWeightVersion(const std::string &model, std::uint64_t version)
+{
+    m_rolloutExecutor.rollout().setTarget(model, version);
+    m_weightNamings.recordFromStore(model, version, m_freshness.completeAsOf());
+}
+
+void ControlLoop::onWeightNaming(const std::string &model, std::uint64_t version,
+                                 const WeightHistory &history)
+{
+    m_contextStores.setWeights(model, history);
+    if (const auto naming = history.find(version))
+        publish(WeightVersionNamed{model, version, *naming});
+}
+
+void ControlLoop::onUpstreamRecord(UpstreamRecord record)
+{
+    m_upstreams.put(record);
+    publish(UpstreamRecordWritten{std::move(record)});
+}
+
+void ControlLoop::onUpstreamRemoved(const std::string &instanceId, bool mayBeExpiry)
+{
+    m_upstreams.remove(instanceId, mayBeExpiry);
+    publish(UpstreamRecordRemoved{instanceId, mayBeExpiry});
+}
+
+// Engines of an evacuated domain still get orders, so that they have the right weights when the
+// evacuation ends.
+void ControlLoop::onEvacuation(const std::string &failureDomain, bool isEvacuated)
+{
+    publish(DomainEvacuated{failureDomain, isEvacuated});
+}
+
+void ControlLoop::onNodeAddress(const std::string &node, const PeerAddress &address)
+{
+    m_peers.setAddress(node, address);
+    m_keysChanged = true;
+}
+
+void ControlLoop::onNodeRemoved(const std::string &node)
+{
+    m_peers.removeAddress(node);
+    m_keysChanged = true;
+}
+
+void ControlLoop::onQuarantinedRequest(const RequestFingerprint &request,
+                                       const std::vector<std::uint64_t> &instances)
+{
+    m_quarantine.addStored(request, instances);
+}
+
+void ControlLoop::handleOwnQuarantineUpdates(const std::vector<QuarantineUpdate> &updates)
+{
+    m_quarantine.addOwn(updates);
+    m_isGossipDue = m_isGossipDue || m_quarantine.hasUnsent();
+    if (m_isGossipDue && canGossipNow())
+        gossip();
+}
+
+bool ControlLoop::usesLoadSums() const
+{
+    return m_settings.mechanisms.relays && m_settings.mechanisms.loadSums
+           && m_peers.roster().size() >= kSmallFleet;
+}
+
+void ControlLoop::onGossip(const Gossip &message)
+{
+    m_exchange.handle(message, m_role.isRelay());
+    // In a large fleet nodes receive messages only from relays, so relays must forward.
+    m_quarantine.addFromPeer(message.quarantineUpdates, usesLoadSums() && m_role.isRelay());
+    if (message.leaving) {
+        m_loads.setPeerLoads(message.node, {});
+        publish(PeerLoads{message.node, {}, 0, {}});
+        publish(EnginesLoading{message.node, {}});
+        return;
+    }
+    if (!usesLoadSums() && message.scope == LoadScope::Node) {
+        m_loads.setPeerLoads(message.node, message.load.loads);
+        publish(PeerLoads{message.node, message.load.loads, message.load.shortContextTokens,
+                          message.load.contextsSent});
+    }
+    if (!message.limits.empty())
+        publish(PeerLimits{message.node, message.limits});
+    if (m_drainReports.addFromPeer(message.node, message.draining))
+        updateEngines();
+    handleOrderReport(message.node, message.orders);
+    for (const auto &[node, report] : message.forwardedOrders) {
+        if (node != m_settings.node.name)
+            handleOrderReport(node, report);
+    }
+    m_weightNamings.recordFromPeer(message.node, message.namingAges);
+    if (message.copyAge && isUpToDateWith(message.version))
+        m_freshness.peerHadNoChanges(*message.copyAge);
+}
+
+void ControlLoop::setOthersLoad(LoadReport others)
+{
+    m_loads.setPeerLoads(std::string(kAllOtherNodes), others.loads);
+    publish(PeerLoads{std::string(kAllOtherNodes), std::move(others.loads),
+                      others.shortContextTokens, std::move(others.contextsSent)});
+}
+
+void ControlLoop::handleOrderReport(const std::string &node, const OrderReport &report)
+{
+    if (!m_orderReports.record(node, report))
+        return;
+    publish(EnginesLoading{node, report.enginesLoading});
+    for (const auto &[id, models] : report.observedVersions) {
+        for (const auto &[model, observed] : models)
+            publishObservedVersion(id, model,
+                                   {observed.version, m_clock.now() - report.age - observed.age});
+    }
+}
+
+void ControlLoop::publishObservedVersion(const std::string &instanceId, const std::string &model,
+                                         const ObservedWeights &weights)
+{
+    if (m_upstreams.setWeightVersion(instanceId, model, weights))
+        publish(WeightsObserved{instanceId, model, weights});
+}
+
+void ControlLoop::handleOwnLoads(OwnLoads own)
+{
+    // A relay sends its sums often enough without this.
+    const bool isUrgent = own.isUrgent && !(usesLoadSums() && m_role.isRelay());
+    m_isGossipDue = m_isGossipDue || isUrgent;
+    m_lastOwnLoads = std::move(own);
+    if (m_drainReports.addOwn(m_lastOwnLoads.draining))
+        updateEngines();
+    if (m_isGossipDue && canGossipNow())
+        gossip();
+}
+
+bool ControlLoop::canGossipNow() const
+{
+    return m_clock.now() >= m_lastGossip + kMinGossipInterval;
+}
+
+Gossip ControlLoop::ownMessage() const
+{
+    Gossip message;
+    message.node = m_settings.node.name;
+    message.failureDomain = m_settings.node.failureDomain;
+    message.gossipAddress = m_settings.peers.gossipListen;
+    message.replicaAddress = m_settings.peers.listen;
+    message.version = m_replica.version();
+    message.storeReachable = reachesStore() && !m_replica.isEmpty();
+    message.strength = vmStrength(m_settings.vm);
+    message.isRelay = m_role.isRelay();
+    message.followsContext = m_role.followsContext();
+    message.leaving = m_isLeaving;
+    message.load = {1, UpstreamLoads(m_lastOwnLoads.loads), m_lastOwnLoads.shortContextTokens,
+                    m_lastOwnLoads.contextsSent};
+    message.orders = ownOrderReport();
+    message.namingAges = m_weightNamings.agesForPeers();
+    if (const auto age = m_freshness.ageFromStore())
+        message.copyAge = std::chrono::ceil<std::chrono::milliseconds>(*age);
+    return message;
+}
+
+OrderReport ControlLoop::ownOrderReport() const
+{
+    const auto ageOf = [this](TimePoint when) {
+        return std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.now() - when);
+    };
+    OrderReport report;
+    if (m_rolloutExecutor.lastOrder())
+        report.lastOrder = ageOf(*m_rolloutExecutor.lastOrder());
+    report.enginesLoading = m_rolloutExecutor.rollout().loading();
+    for (const auto &[id, models] : m_rolloutExecutor.rollout().reportedVersions()) {
+        for (const auto &[model, weights] : models)
+            report.observedVersions[id][model] = {weights.version, ageOf(weights.seen)};
+    }
+    return report;
+}
+
+// Limits that have just changed are sent at once, the others at intervals, since messages are sent
+// more often than limits need to be repeated.
+std::vector<LimitGossip> ControlLoop::limitsForPeers()
+{
+    const TimePoint now = m_clock.now();
+    if (!m_lastOwnLoads.isUrgent && now < m_nextLimits)
+        return {};
+    m_nextLimits = now + kLimitsInterval;
+    // Where relays forward limits, the other nodes send only their own.
+    const bool sendsAll = !usesLoadSums() || m_role.isRelay();
+    return m_limitBatches.next(sendsAll ? m_lastOwnLoads.limits.all : m_lastOwnLoads.limits.own);
+}
+
+void ControlLoop::gossip()
+{
+    Gossip message = ownMessage();
+    message.quarantineUpdates = m_quarantine.nextBatch();
+    message.limits = limitsForPeers();
+    message.draining = m_drainReports.nextBatch();
+    publish(EnginesLoading{message.node, message.orders.enginesLoading});
+    m_isGossipDue = false;
+    m_lastGossip = m_clock.now();
+    Duration pause = m_settings.peers.gossipEvery;
+    if (usesLoadSums()) {
+        m_exchange.setOwn(message.load);
+        if (m_role.isRelay()) {
+            message.getsStoreChanges
+                = message.storeReachable || !m_peers.roster().peersReachingStore().empty();
+            message.forwardedOrders = m_orderReports.toForward();
+        }
+        pause = m_exchange.send(std::move(message), m_role.isRelay());
+    } else {
+        m_peers.sendAll(message);
+    }
+    m_metrics.setGauge("fordwood_peer_datagrams", static_cast<double>(m_peers.datagramsSent()));
+    m_metrics.setGauge("fordwood_reporting_nodes",
+                       static_cast<double>(m_exchange.reportingNodes()));
+    m_nextGossip = m_clock.now() + pause;
+}
+
+// A new lock holder waits a quiet time after the last order of its predecessor. This shortens the
+// wait if the predecessor is known to have sent no order recently.
+void ControlLoop::shortenQuietTime()
+{
+    const auto holding = m_rolloutExecutor.lock().holding();
+    const std::string &owner = m_rolloutExecutor.lock().predecessor();
+    const std::string node = owner.substr(0, owner.find('/'));
+    const auto lastReport
+        = std::max(m_peers.roster().lastReceivedFrom(node), m_orderReports.lastReportTime(node));
+    if (!holding || !lastReport)
+        return;
+    const auto lastOrder = m_orderReports.lastOrder(node);
+    // A report that was sent after the predecessor's lease ended is final: without a lease it sends
+    // no more orders.
+    if (lastOrder && *lastReport > holding->since)
+        m_rolloutExecutor.lock().setPredecessorLastActed(*lastOrder);
+    // A silent predecessor may have sent further orders while it was cut off from all peers.
+    // Engines that check fences reject those.
+    else if (m_settings.bounds.fencesChecked)
+        m_rolloutExecutor.lock().setPredecessorLastActed(*lastReport
+                                                         + m_settings.peers.gossipEvery);
+}
+
+void ControlLoop::tick()
+{
+    m_tickTimer.expires_after(kTickInterval);
+    m_tickTimer.async_wait([this](const ErrorCode &ec) {
+        if (!ec)
+            tick();
+    });
+    const TimePoint now = m_clock.now();
+    flushUpdates();
+    m_freshness.tick();
+    finishRestore();
+    if (!m_isStopping) {
+        m_registration.tick();
+        shortenQuietTime();
+        m_rolloutExecutor.tick(m_loads);
+        updateLoading();
+        m_contextStores.tick(m_rolloutExecutor.lock().holding());
+        m_quarantine.tick();
+    }
+    if (now >= m_nextMemberUpdate)
+        updateMembers();
+    pollStore();
+    m_fetcher.tick(m_peers.roster(), reachesStore());
+    if ((m_isGossipDue && canGossipNow()) || now >= m_nextGossip)
+        gossip();
+}
+
+void ControlLoop::updateMembers()
+{
+    m_nextMemberUpdate = m_clock.now() + kMemberUpdateInterval;
+    updateReachability();
+    updateLiveNodes();
+    updateKnownNodes();
+    updateRole();
+    updateNamingMarks();
+    for (const std::string &it : m_upstreams.tick())
+        logEvent(Event::UpstreamGone,
+                 {{"upstream", it}, {"revision", m_replica.version().revision}});
+    if (m_upstreams.takeWeightsChanged())
+        updateEngines();
+}
+
+void ControlLoop::updateLoading()
+{
+    const auto loading = m_rolloutExecutor.rollout().loading();
+    if (!m_rolloutExecutor.rollout().takeNewReports() && loading == m_publishedLoading)
+        return;
+    m_publishedLoading = loading;
+    m_isGossipDue = true;
+    updateObservedVersions();
+}
+
+// Publishes the weight versions that engines have reported to this node.
+void ControlLoop::updateObservedVersions()
+{
+    for (const auto &[id, models] : m_rolloutExecutor.rollout().reportedVersions()) {
+        for (const auto &[model, weights] : models)
+            publishObservedVersion(id, model, weights);
+    }
+}
+
+// Updates the rollout's engines from the directory. A reported version that the engine's record has
+// confirmed since, or should have confirmed, is no longer sent to peers: they would still take it
+// for true after the engine has gone back to older weights.
+void ControlLoop::updateEngines()
+{
+    updateObservedVersions();
+    WeightRollout &rollout = m_rolloutExecutor.rollout();
+    const WeightRollout::ReportedVersions observed = rollout.reportedVersions();
+    for (const auto &[id, models] : observed) {
+        for (const auto &[model, weights] : models) {
+            if (!m_upstreams.isAheadOfRecord(id, model, weights.version))
+                rollout.forgetReported(id, model);
+        }
+    }
+    rollout.setEngines(m_upstreams.stayingEngines());
+}
+
+void ControlLoop::updateLiveNodes()
+{
+    m_rolloutExecutor.lock().setAcquireDelay(lockAcquireDelay());
+    std::size_t live = m_peers.roster().livePeers().size() + 1;
+    if (usesLoadSums())
+        live = m_exchange.liveNodes() > 0 ? m_exchange.liveNodes() : m_peers.roster().size() + 1;
+    if (live == m_liveNodes)
+        return;
+    m_liveNodes = live;
+    logEvent(Event::MembersChanged, {{"live", live}});
+    publish(LiveNodeCount{live});
+}
+
+void ControlLoop::updateKnownNodes()
+{
+    if (!m_keysChanged || m_replica.isEmpty())
+        return;
+    m_keysChanged = false;
+    std::vector<std::string> others = m_peers.roster().registeredPeers();
+    if (others == m_publishedNodes) // rewriting a key does not change the set of nodes
+        return;
+    m_publishedNodes = others;
+    publish(KnownNodes{std::move(others)});
+}
+
+// The delay grows with the node's rank by VM strength: the strongest node takes the lock, since the
+// holder has the most work, and the others only if it does not.
+Duration ControlLoop::lockAcquireDelay() const
+{
+    const PeerRoster &roster = m_peers.roster();
+    if (usesLoadSums() && !m_role.isRelay())
+        return kNonRelayLockDelay
+               + kLockDelayPerRank * static_cast<std::int64_t>(roster.countHigherRanked());
+    const std::size_t before = strengthRank(
+        RolloutExecutor::lockKey(), {m_settings.node.name, vmStrength(m_settings.vm)},
+        usesLoadSums() ? roster.relays() : roster.liveCandidates());
+    return kLockDelayPerRank * static_cast<std::int64_t>(before + 1);
+}
+
+RelayRole::Peers ControlLoop::relayPeers() const
+{
+    const PeerRoster &roster = m_peers.roster();
+    RelayRole::Peers peers;
+    peers.relays = roster.relays();
+    if (!usesLoadSums()) {
+        peers.liveNodes = m_liveNodes;
+        peers.relaysReachingStore = roster.domainPeersReachingStore();
+        return peers;
+    }
+    const auto relays = roster.domainRelays();
+    const auto anyRelay = [&relays](bool PeerRoster::Peer::*holds) {
+        return std::any_of(relays.begin(), relays.end(),
+                           [holds](const PeerRoster::Peer *it) { return it->*holds; });
+    };
+    // Counts the known nodes, since a node that has just started has received no message yet.
+    peers.liveNodes = roster.size() + 1;
+    peers.relaysReachingStore = roster.domainRelayCandidates();
+    peers.higherRanked = roster.countHigherRanked();
+    peers.relayReachesStore = anyRelay(&PeerRoster::Peer::reachesStore);
+    peers.relayGetsStoreChanges = anyRelay(&PeerRoster::Peer::getsStoreChanges);
+    peers.reachesStore = m_store.isReachable();
+    return peers;
+}
+
+// Decides whether this node is a relay and which stores it follows itself.
+void ControlLoop::updateRole()
+{
+    const bool wasRelay = m_role.isRelay();
+    const bool followed = m_role.followsStore();
+    m_role.update(relayPeers());
+    m_contextStores.setReadsStores(m_role.followsContext());
+    if (m_role.followsStore() != followed) {
+        // Expired leases and removals of the time before cannot be told apart.
+        if (m_role.followsStore())
+            m_expiryDoubtSince = m_clock.now();
+        m_store.setFollowing(m_role.followsStore());
+    }
+    if (m_role.isRelay() == wasRelay)
+        return;
+    logEvent(Event::RelayRoleChanged, {{"relay", m_role.isRelay()}, {"live", m_liveNodes}});
+    m_isGossipDue = true;
+}
+
+// Reads and writes the marks that hold the ages of weight namings. A node that starts needs them if
+// no running node knows the ages.
+void ControlLoop::updateNamingMarks()
+{
+    m_namingMarks.read(m_freshness.completeAsOf());
+    if (!reachesStore())
+        return;
+    const std::size_t before = rendezvousRank(stableHash("marks namings"), m_settings.node.name,
+                                              m_peers.roster().peersReachingStore());
+    m_namingMarks.write(kMarkDelayPerRank * static_cast<std::int64_t>(before));
+}
+
+// A watch may miss changes for a while when the connection or the store is in trouble. Two nodes
+// poll the store in addition to it; the others get the changes from them.
+void ControlLoop::pollStore()
+{
+    if (!reachesStore() || m_clock.now() < m_nextPoll)
+        return;
+    m_nextPoll = m_clock.now() + kPollInterval;
+    const std::size_t before = rendezvousRank(stableHash("polls the store"), m_settings.node.name,
+                                              m_peers.roster().peersReachingStore());
+    if (before < kPollingNodes)
+        m_store.poll();
+}
+
+void ControlLoop::publish(FleetUpdate update)
+{
+    if (!m_pendingUpdates.isEmpty() || !m_publish(update))
+        m_pendingUpdates.push(std::move(update));
+}
+
+void ControlLoop::flushUpdates()
+{
+    if (m_pendingUpdates.isEmpty())
+        return;
+    m_metrics.count("fordwood_updates_waiting_total");
+    m_pendingUpdates.flush(m_publish);
+}
+
+} // namespace fordwood::node
--- a/src/node/document_reader.hpp
+++ b/src/node/document_reader.hpp
@@ -17,28 +17,29 @@
 
 namespace fordwood::node {
 
-// Takes what stands in the platform's store, read and checked.
+// Receives the parsed and validated values of the platform's store.
 class DocumentListener
 {
 public:
     virtual ~DocumentListener() = default;
 
-    virtual void configurationRead(ServingConfig config) = 0;
-    virtual void weightsNamed(const std::string &model, std::uint64_t version) = 0;
-    virtual void upstreamWritten(UpstreamRecord record) = 0;
-    virtual void upstreamRemoved(const std::string &instanceId, bool mayBeExpiry) = 0;
-    virtual void evacuationRead(const std::string &failureDomain, bool isEvacuated) = 0;
-    virtual void nodeWritten(const std::string &node, const PeerAddress &address) = 0;
-    virtual void nodeRemoved(const std::string &node) = 0;
-    // Upstreams have ended under the request, by their lives.
-    virtual void heldRequestRead(const RequestFingerprint &request,
-                                 const std::vector<std::uint64_t> &lives)
+    virtual void onConfiguration(ServingConfig config) = 0;
+    virtual void onWeightVersion(const std::string &model, std::uint64_t version) = 0;
+    virtual void onUpstreamRecord(UpstreamRecord record) = 0;
+    virtual void onUpstreamRemoved(const std::string &instanceId, bool mayBeExpiry) = 0;
+    virtual void onEvacuation(const std::string &failureDomain, bool isEvacuated) = 0;
+    virtual void onNodeAddress(const std::string &node, const PeerAddress &address) = 0;
+    virtual void onNodeRemoved(const std::string &node) = 0;
+    // `instances`: the upstream instances that failed while they ran the request.
+    virtual void onQuarantinedRequest(const RequestFingerprint &request,
+                                      const std::vector<std::uint64_t> &instances)
         = 0;
 };
 
-// Reads the values of the platform's store. One that cannot be read is logged and counted. Of
-// operators' documents the one before stays in force, also against an older configuration; an
-// upstream whose record cannot be read is used no more, since another writer may have the key.
+// Parses the values of the platform's store. Logs and counts a value that cannot be parsed. An
+// operator's document then stays in force as it was before, also if a configuration arrives that is
+// older than the current one. An upstream whose record cannot be parsed is no longer used, since
+// another writer may own the key now.
 class DocumentReader
 {
 public:
@@ -46,17 +47,17 @@
         : m_metrics(metrics), m_listener(listener)
     { }
 
-    // `mayBeExpiry`: a removal may be a lease that ran out while the store was away.
+    // `mayBeExpiry`: a removal may be due to a lease that expired while the store was unreachable.
     void read(const StoredItem &item, bool mayBeExpiry);
 
-    // The key by which a node's peers find it.
+    // The store key under which peers find the node.
     static std::string nodeKey(const std::string &node);
 
 private:
-    struct Life
+    struct KnownInstance
     {
         std::string instanceId;
-        std::optional<WallTime> born;
+        std::optional<WallTime> startedAt;
     };
 
     void readConfiguration(const StoredItem &item);
@@ -65,15 +66,17 @@
     void readEvacuation(const StoredItem &item);
     void readNode(const StoredItem &item);
     void readHeldRequest(const RequestFingerprint &request, const StoredItem &item);
-    bool goesOn(const Life &known, const UpstreamRecord &record, const StoredItem &item);
-    // What was known under the announced id is no upstream to use.
-    void endLife(const std::string &announcedId, bool mayBeExpiry);
-    void refuse(const StoredItem &item, const std::string &problem);
+    bool acceptRecord(const KnownInstance &known, const UpstreamRecord &record,
+                      const StoredItem &item);
+    // Reports the instance that is known under the announced id as removed.
+    void endInstance(const std::string &announcedId, bool mayBeExpiry);
+    void reject(const StoredItem &item, const std::string &problem);
 
     adapters::Metrics &m_metrics;
     DocumentListener &m_listener;
     std::uint64_t m_configVersion = 0;
-    std::map<std::string, Life> m_lives; // the last one of each upstream, by announced id
+    std::map<std::string, KnownInstance>
+        m_instances; // the latest of each upstream, by announced id
 };
 
 } // namespace fordwood::node
--- a/src/node/naming_marks.hpp
+++ b/src/node/naming_marks.hpp
@@ -10,7 +10,7 @@
 
 #include "fordwood/clock.hpp"
 #include "fordwood/store_replica.hpp"
-#include "node/store_link.hpp"
+#include "node/store_client.hpp"
 #include "node/weight_naming_tracker.hpp"
 
 namespace fordwood::node {
@@ -29,7 +29,7 @@
         Duration minLease{}; // the shortest lease that the store grants
     };
 
-    NamingMarks(const Clock &clock, StoreLink &store, const StoreReplica &replica,
+    NamingMarks(const Clock &clock, StoreClient &store, const StoreReplica &replica,
                 WeightNamingTracker &tracker, Limits limits)
         : m_clock(clock), m_store(store), m_replica(replica), m_tracker(tracker), m_limits(limits)
     { }
@@ -58,7 +58,7 @@
     void onWriteFinished(const Naming &naming);
 
     const Clock &m_clock;
-    StoreLink &m_store;
+    StoreClient &m_store;
     const StoreReplica &m_replica;
     WeightNamingTracker &m_tracker;
     const Limits m_limits;
--- /dev/null
+++ b/src/node/store_client.hpp
@@ -0,0 +1,122 @@
+// SPDX-License-Identifier: MIT
+#ifndef FORDWOOD_NODE_STORE_CLIENT_HPP_INCLUDED
+#define FORDWOOD_NODE_STORE_CLIENT_HPP_INCLUDED
+
+#include <deque>
+#include <functional>
+#include <optional>
+#include <string>
+
+#include <boost/asio/steady_timer.hpp>
+
+#include "fordwood/store_replica.hpp"
+#include "node/http_client.hpp"
+#include "platform/store_calls.hpp"
+
+namespace fordwood::node {
+
+// The times up to which an answer of the store is valid.
+struct StoreAnswerTimes
+{
+    TimePoint sentAt{}; // when the call was sent; the answer includes all changes before that
+    // Set for a call that waited for changes: there were none until this time.
+    std::optional<TimePoint> noChangesUntil;
+};
+
+// Receives what StoreClient reads.
+class StoreListener
+{
+public:
+    virtual ~StoreListener() = default;
+
+    // The platform's store has sent changes, or its whole content.
+    virtual void onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes &times) = 0;
+
+    // The store has begun to answer this node, or has stopped.
+    virtual void onReachabilityChange(bool reachable) = 0;
+};
+
+// Follows the platform's store: reads its whole content once, then waits for changes with a single
+// watch on all keys. Reads everything again if the store no longer has the history since the last
+// read, or if it was restored from a snapshot, which shows in the epoch of each of its answers.
+class StoreClient
+{
+public:
+    StoreClient(net::io_context &context, HttpClient &client, const Clock &clock,
+                std::string address, const StoreReplica &replica, StoreListener &listener);
+
+    void start() { readAll(); }
+
+    // Whether to wait for changes; if not, this node gets them from peers.
+    void setFollowing(bool follows);
+
+    // Asks once for changes in addition to the watch, which may miss some if its connection or the
+    // store is in trouble.
+    void poll();
+
+    bool isReachable() const { return m_isReachable; }
+
+    // How often the store has been restored from a snapshot, according to its answers.
+    std::uint64_t epoch() const { return m_epoch; }
+
+    // Sends a call other than those for following the store. Its answer also shows a new epoch.
+    void send(HttpCall call, const HttpClient::Done &done);
+
+private:
+    void readAll();
+    enum class NextStep { Watch, Nothing }; // what to do after a full read
+
+    // The whole content of the store, read page by page.
+    struct FullRead
+    {
+        TimePoint sentAt{}; // of the call for the first page
+        StoreChanges content;
+    };
+
+    struct AnsweredCall
+    {
+        TimePoint sentAt{};
+        TimePoint answeredAt{};
+    };
+
+    void readPage(const std::string &after, const std::shared_ptr<FullRead> &fullRead,
+                  NextStep next);
+    void handlePage(const HttpResult &result, const std::shared_ptr<FullRead> &fullRead,
+                    NextStep next);
+    void readAllOnce();
+    void watch();
+    void continueFollowing();
+    void handlePoll(const HttpResult &result, const StoreVersion &after, TimePoint sentAt);
+    void handleWatch(const HttpResult &result, const StoreVersion &after);
+    platform::StoreResult<StoreChanges> changesIn(const HttpResult &result,
+                                                  const StoreVersion &after) const;
+    void recordAnswer(TimePoint sentAt);
+    void updateEpoch(const HttpResult &result);
+    StoreAnswerTimes watchTimes() const;
+    void onSuccess();
+    void onFailure(platform::StoreFailure failure);
+    void after(Duration pause, void (StoreClient::*step)());
+
+    net::steady_timer m_timer;
+    HttpClient &m_client;
+    const Clock &m_clock;
+    const std::string m_address;
+    const StoreReplica &m_replica;
+    StoreListener &m_listener;
+    Duration m_batchPause; // wait after the next change before the next watch
+    TimePoint m_watchStartedAt{};
+    std::deque<AnsweredCall> m_recentAnswers; // to calls other than the watch
+    bool m_isReachable = true;
+    bool m_isStarting = true; // nothing has been read yet
+    bool m_isComplete = false; // the replica has everything up to its revision
+    bool m_isPolling = false;
+    bool m_isFollowing = true;
+    bool m_isIdle = false; // neither a call nor a timer for following is pending
+    unsigned m_consecutiveFailures = 0;
+    std::uint64_t m_epoch = 0;
+    std::optional<TimePoint> m_historyLostAt; // when the store last reported HistoryLost
+};
+
+} // namespace fordwood::node
+
+#endif // FORDWOOD_NODE_STORE_CLIENT_HPP_INCLUDED
--- a/tests/node/document_reader_test.cpp
+++ b/tests/node/document_reader_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What becomes known of upstreams when their entries change hands, lives, or cannot be read.
+// Tests how DocumentReader handles entries that are written by a restarted upstream or by another
+// writer, or that cannot be parsed.
 #include "node/document_reader.hpp"
 
 #include <doctest/doctest.h>
@@ -8,7 +9,7 @@
 
 #include "fordwood/manual_clock.hpp"
 #include "fordwood/upstream_directory.hpp"
-#include "node/quarantine_duty.hpp"
+#include "node/quarantine_distributor.hpp"
 #include "platform/document_order.hpp"
 
 using namespace fordwood;
@@ -17,28 +18,28 @@
 
 namespace {
 
-// Keeps a directory of upstreams, and what was said of failure domains.
+// Keeps a directory of upstreams and the evacuated failure domains.
 class Listener : public DocumentListener
 {
 public:
-    void configurationRead(ServingConfig /*config*/) override { }
-    void weightsNamed(const std::string & /*model*/, std::uint64_t version) override
+    void onConfiguration(ServingConfig /*config*/) override { }
+    void onWeightVersion(const std::string & /*model*/, std::uint64_t version) override
     {
         lastNamed = version;
     }
-    void upstreamWritten(UpstreamRecord record) override { upstreams.put(std::move(record)); }
-    void upstreamRemoved(const std::string &instanceId, bool mayBeExpiry) override
+    void onUpstreamRecord(UpstreamRecord record) override { upstreams.put(std::move(record)); }
+    void onUpstreamRemoved(const std::string &instanceId, bool mayBeExpiry) override
     {
         upstreams.remove(instanceId, mayBeExpiry);
     }
-    void evacuationRead(const std::string &failureDomain, bool isEvacuated) override
+    void onEvacuation(const std::string &failureDomain, bool isEvacuated) override
     {
         upstreams.setEvacuated(failureDomain, isEvacuated);
     }
-    void nodeWritten(const std::string & /*node*/, const PeerAddress & /*address*/) override { }
-    void nodeRemoved(const std::string & /*node*/) override { }
-    void heldRequestRead(const RequestFingerprint &request,
-                         const std::vector<std::uint64_t> & /*lives*/) override
+    void onNodeAddress(const std::string & /*node*/, const PeerAddress & /*address*/) override { }
+    void onNodeRemoved(const std::string & /*node*/) override { }
+    void onQuarantinedRequest(const RequestFingerprint &request,
+                              const std::vector<std::uint64_t> & /*lives*/) override
     {
         held.push_back(request);
     }
@@ -57,7 +58,7 @@
     std::vector<RequestFingerprint> held;
 };
 
-// Reads entries one after the other, at rising revisions.
+// Passes entries to the reader one by one, at increasing revisions.
 class Entries
 {
 public:
@@ -68,8 +69,8 @@
 
     void expire(const std::string &key) { m_reader.read({key, ++m_revision, 1, {}}, true); }
 
-    // `born`: nothing, and the entry does not tell.
-    void upstream(const std::string &id, const std::optional<std::int64_t> &born,
+    // `startedAt`: nullopt leaves the field out of the entry.
+    void upstream(const std::string &id, const std::optional<std::int64_t> &startedAt,
                   std::uint64_t weights = 1)
     {
         Json record{{"service", "s"}, {"address", "10.0.0.2:80"},
@@ -77,12 +78,12 @@
                     {"slots", 32},    {"state", "ready"},
                     {"sequence", 4},  {"cold-remaining-ms", 0}};
         record["models"] = Json::array({{{"name", "m"}, {"version", weights}}});
-        if (born)
-            record["born"] = *born;
+        if (startedAt)
+            record["born"] = *startedAt;
         write("servers/" + id, record.dump());
     }
 
-    std::size_t refused() const
+    std::size_t rejected() const
     {
         const std::string text = "\n" + m_metrics.text();
         const std::string name = "\nfordwood_stored_values_refused_total ";
@@ -102,9 +103,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "entries: an upstream that starts again under its id is another one, with its own weights "
-    "[entries][restart]")
+TEST_CASE("entries: an upstream that restarts under its id is a new instance with its own weights "
+          "[entries][restart]")
 {
     Entries entries;
     entries.upstream("i", 1'000, 1);
@@ -113,13 +113,13 @@
     CHECK(entries.listener.usable() == Ids{"i@2000"});
     CHECK(entries.listener.upstreams.find("i@1000") == nullptr);
     CHECK(entries.listener.upstreams.find("i@2000")->weightVersions.at("m") == 1);
-    SUBCASE("an entry of the earlier life that comes late changes nothing")
+    SUBCASE("a late entry of the earlier instance changes nothing")
     {
         entries.upstream("i", 1'000, 9);
         CHECK(entries.listener.usable() == Ids{"i@2000"});
-        CHECK(entries.refused() == 1);
+        CHECK(entries.rejected() == 1);
     }
-    SUBCASE("one that goes and comes back in doubt is the same life")
+    SUBCASE("one that expires and returns while the store is unreachable is the same instance")
     {
         entries.listener.upstreams.setStoreReachable(false);
         entries.expire("servers/i");
@@ -127,7 +127,7 @@
         entries.upstream("i", 2'000);
         CHECK(entries.listener.usable() == Ids{"i@2000"});
     }
-    SUBCASE("one that expired in doubt and started again")
+    SUBCASE("one that expires while the store is unreachable and restarts is a new instance")
     {
         entries.listener.upstreams.setStoreReachable(false);
         entries.expire("servers/i");
@@ -137,26 +137,26 @@
 }
 
 TEST_CASE(
-    "entries: one that cannot be read names no upstream, the others hold [entries][bad-input]")
+    "entries: one that cannot be parsed removes its upstream and no other [entries][bad-input]")
 {
     Entries entries;
     entries.upstream("a", 1'000);
     entries.upstream("b", 1'000);
     entries.write("servers/a", "\xff\xfe nonsense");
     CHECK(entries.listener.usable() == Ids{"b@1000"});
-    CHECK(entries.refused() == 1);
-    entries.upstream("a", 1'000); // the upstream itself again
+    CHECK(entries.rejected() == 1);
+    entries.upstream("a", 1'000); // the upstream rewrites its entry
     CHECK(entries.listener.usable() == Ids{"a@1000", "b@1000"});
-    entries.upstream("b", std::nullopt); // it has told its birth before
+    entries.upstream("b", std::nullopt); // its entry had a start time before
     CHECK(entries.listener.usable() == Ids{"a@1000"});
-    CHECK(entries.refused() == 2);
-    entries.upstream("c", std::nullopt); // never told
+    CHECK(entries.rejected() == 2);
+    entries.upstream("c", std::nullopt); // its entry never had a start time
     CHECK(entries.listener.usable() == Ids{"a@1000", "c"});
     entries.write("servers/a", std::nullopt);
     CHECK(entries.listener.usable() == Ids{"c"});
 }
 
-TEST_CASE("entries: weights and evacuations that cannot be read [entries][bad-input]")
+TEST_CASE("entries: weights and evacuations that cannot be parsed [entries][bad-input]")
 {
     Entries entries;
     entries.upstream("a", 1'000);
@@ -166,30 +166,30 @@
                            R"({"version":3})", "3", ""})
         entries.write("op/version/m", it);
     CHECK(entries.listener.lastNamed == 2);
-    CHECK(entries.refused() == 7);
-    entries.write("op/evacuate/z", "\xff"); // the key alone asks for it
+    CHECK(entries.rejected() == 7);
+    entries.write("op/evacuate/z", "\xff"); // the key alone starts the evacuation
     CHECK(entries.listener.usable().empty());
     entries.write("op/evacuate/z", std::nullopt);
     CHECK(entries.listener.usable() == Ids{"a@1000"});
 }
 
 TEST_CASE(
-    "entries: a held request is told; a value that cannot be read is refused, and a key that is "
-    "gone releases nothing [entries][quarantine]")
+    "entries: a quarantined request is reported; a value that cannot be parsed is rejected, and a "
+    "removed key releases nothing [entries][quarantine]")
 {
     Entries entries;
     const RequestFingerprint request{1, 2};
-    const std::string key = QuarantineDuty::keyOf(request);
-    entries.write(key, QuarantineDuty::encodeLives({7, 8, 9}));
+    const std::string key = QuarantineDistributor::keyOf(request);
+    entries.write(key, QuarantineDistributor::encodeInstances({7, 8, 9}));
     CHECK(entries.listener.held == std::vector{request});
     entries.write(key, "nonsense");
-    CHECK(entries.refused() == 1);
+    CHECK(entries.rejected() == 1);
     entries.write(key, {});
-    entries.write("fordwood/quarantine/nonsense", QuarantineDuty::encodeLives({7}));
+    entries.write("fordwood/quarantine/nonsense", QuarantineDistributor::encodeInstances({7}));
     CHECK(entries.listener.held.size() == 1);
 }
 
-TEST_CASE("documents: which of two states is the older one, where revisions do not tell "
+TEST_CASE("documents: which of two states is older if revisions cannot be compared "
           "[restored][bad-input]")
 {
     const platform::DocumentOrder order("fordwood/nodes/");
@@ -199,10 +199,10 @@
     };
     const auto weights
         = [](int version) { return R"({"model":"m","version":)" + std::to_string(version) + "}"; };
-    const auto upstream = [](const std::string &state, int born) {
+    const auto upstream = [](const std::string &state, int startedAt) {
         return R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v","slots":1,)"
                R"("cold-remaining-ms":0,"sequence":1,"state":")"
-               + state + R"(","born":)" + std::to_string(born) + "}";
+               + state + R"(","born":)" + std::to_string(startedAt) + "}";
     };
     CHECK(isOlder("op/version/m", weights(3), weights(2)));
     CHECK_FALSE(isOlder("op/version/m", weights(2), weights(3)));
--- a/tests/node/engine_refusal_test.cpp
+++ b/tests/node/engine_refusal_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Engines answer 421 when their weights are not those that a node takes them for. The answer tells
-// which they are, but the node only passed the engine over for 150 ms, as it does with a full one,
-// and then sent there anew: each time a caller paid a send, and part of the budget of repeated
-// sends with it. In the run below, two engines, one of which runs other weights than its record
-// says, turned away 18 of 40 requests 200 ms apart, and ran none although it might have.
+// An engine answers 421 if it runs other weights than the node expects, and names its version in
+// the answer. Guards against a node that ignores this version, skips the engine for 150 ms like a
+// full one and then tries it again: each try costs the caller a send and a part of the retry
+// budget. In the run below with two engines and 40 requests 200 ms apart, the engine whose record
+// names other weights than it runs rejected 18 requests and ran none, although it could have.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -19,13 +19,14 @@
 
 constexpr const char *kModel = "m";
 
-// An engine that runs one version of its model, and turns requests for another one away.
+// An engine that runs one version of its model and rejects requests for another one.
 class VersionedEngine
 {
 public:
-    // `tells`: its answers name the version.
-    VersionedEngine(std::string id, std::string address, std::uint64_t version, bool tells)
-        : m_id(std::move(id)), m_address(std::move(address)), m_version(version), m_tells(tells),
+    // `namesVersion`: whether its answers name the version.
+    VersionedEngine(std::string id, std::string address, std::uint64_t version, bool namesVersion)
+        : m_id(std::move(id)), m_address(std::move(address)), m_version(version),
+          m_namesVersion(namesVersion),
           m_server(m_address, [this](const standins::Request &it) { return answer(it); })
     { }
 
@@ -40,9 +41,9 @@
         return record;
     }
 
-    int runs() const { return m_runs; }
-    int refused() const { return m_refused; }
-    int unconditioned() const { return m_unconditioned; }
+    int executed() const { return m_executed; }
+    int rejected() const { return m_rejected; }
+    int withoutCondition() const { return m_withoutCondition; }
 
 private:
     standins::Answer answer(const standins::Request &request)
@@ -50,16 +51,16 @@
         standins::Answer answer;
         answer.headers["Request-Id"] = request.header("Request-Id");
         answer.headers["Instance-Id"] = m_id;
-        if (m_tells)
+        if (m_namesVersion)
             answer.headers["Versions"] = std::to_string(m_version);
-        m_unconditioned += request.header("Expect-Version").empty() ? 1 : 0;
+        m_withoutCondition += request.header("Expect-Version").empty() ? 1 : 0;
         if (request.header("Expect-Version") == std::to_string(m_version)) {
-            ++m_runs;
+            ++m_executed;
             answer.headers["Response-Seal"] = "seal";
             answer.body = "good";
             return answer;
         }
-        ++m_refused;
+        ++m_rejected;
         answer.status = 421;
         answer.headers["Not-Executed"] = "1";
         return answer;
@@ -68,19 +69,19 @@
     const std::string m_id;
     const std::string m_address;
     const std::uint64_t m_version;
-    const bool m_tells;
-    std::atomic<int> m_runs{0};
-    std::atomic<int> m_refused{0};
-    std::atomic<int> m_unconditioned{0}; // requests that any weights would do for
+    const bool m_namesVersion;
+    std::atomic<int> m_executed{0};
+    std::atomic<int> m_rejected{0};
+    std::atomic<int> m_withoutCondition{0}; // requests without an expected version
     standins::BlockingServer m_server;
 };
 
-// A node's serving thread before two engines, over a paused clock.
+// A node's serving thread with two engines and a manual clock.
 class Serving
 {
 public:
-    explicit Serving(bool tells)
-        : wrong("e0", ownAddress(40), 1, tells), right("e1", ownAddress(41), 2, true),
+    explicit Serving(bool namesVersion)
+        : wrong("e0", ownAddress(40), 1, namesVersion), right("e1", ownAddress(41), 2, true),
           m_thread(pool())
     {
         write(wrong.record(2));
@@ -89,7 +90,7 @@
 
     void write(const UpstreamRecord &record) { m_thread.write(record); }
 
-    // Requests with contexts of their own, 200 ms apart. Gives how many were answered well.
+    // Sends requests with separate contexts, 200 ms apart. Returns how many were answered with 200.
     int send(int requests)
     {
         int answered = 0;
@@ -128,29 +129,29 @@
 
 } // namespace
 
-TEST_CASE("engine refusals: one that names other weights than believed is taken at its word "
+TEST_CASE("engine refusals: the version that an engine names replaces the expected one "
           "[weights]")
 {
     Serving serving(true);
     CHECK(serving.send(20) == 20);
-    CHECK(serving.wrong.refused() == 1);
-    CHECK(serving.wrong.runs() >= 2);
-    serving.write(serving.wrong.record(1)); // within three heartbeats at the latest
+    CHECK(serving.wrong.rejected() == 1);
+    CHECK(serving.wrong.executed() >= 2);
+    serving.write(serving.wrong.record(1)); // an engine does so within three heartbeats
     CHECK(serving.send(20) == 20);
-    CHECK(serving.wrong.refused() == 1);
-    CHECK(serving.wrong.runs() >= 5); // its weights are allowed as well
-    CHECK(serving.wrong.runs() + serving.right.runs() == 40);
+    CHECK(serving.wrong.rejected() == 1);
+    CHECK(serving.wrong.executed() >= 5); // the older weights are still allowed
+    CHECK(serving.wrong.executed() + serving.right.executed() == 40);
 }
 
-// A record that still says so after its time is believed again, lest an engine that has loaded its
-// weights anew is left out for good.
-TEST_CASE("engine refusals: one whose record goes on naming other weights is tried now and then "
+// A record that still names the rejected version after some time is accepted again. Otherwise an
+// engine that has loaded these weights again would be left out for good.
+TEST_CASE("engine refusals: one whose record keeps naming other weights is retried now and then "
           "[weights]")
 {
     Serving serving(true);
     CHECK(serving.send(100) == 100);
-    CHECK(serving.wrong.refused() >= 2);
-    CHECK(serving.wrong.refused() <= 5); // in 20 s
+    CHECK(serving.wrong.rejected() >= 2);
+    CHECK(serving.wrong.rejected() <= 5); // in 20 s
 }
 
 TEST_CASE("engine refusals: one that does not name its weights gets nothing until they are known "
@@ -158,21 +159,21 @@
 {
     Serving serving(false);
     CHECK(serving.send(10) == 10);
-    CHECK(serving.wrong.refused() == 1);
+    CHECK(serving.wrong.rejected() == 1);
     serving.write(serving.wrong.record(1));
     CHECK(serving.send(40) == 40);
-    CHECK(serving.wrong.refused() == 1);
-    CHECK(serving.wrong.runs() >= 5);
+    CHECK(serving.wrong.rejected() == 1);
+    CHECK(serving.wrong.executed() >= 5);
 }
 
-// A record that names version 0 tells none, since versions begin at 1. Such an engine was sent
-// requests that any weights would do for, and that were kept apart from other teams' context by
-// nothing: the condition and the salt are left out where the version is 0.
-TEST_CASE("engine refusals: an engine whose weights are not known gets no request [weights]")
+// Version 0 in a record means none, since versions begin at 1. Guards against sending requests to
+// such an engine: with version 0 the expected version and the context salt are left out, so any
+// weights would be accepted and nothing would separate the context from that of other teams.
+TEST_CASE("engine refusals: an engine with unknown weights gets no request [weights]")
 {
     Serving serving(true);
     UpstreamRecord record = serving.wrong.record(0);
-    SUBCASE("its record names the version that is none") { }
+    SUBCASE("its record names version 0") { }
     SUBCASE("its record names no model")
     {
         record.weightVersions.clear();
@@ -183,10 +184,10 @@
     }
     serving.write(record);
     CHECK(serving.send(20) == 20);
-    CHECK(serving.wrong.unconditioned() == 0);
-    CHECK(serving.right.unconditioned() == 0);
-    CHECK(serving.right.runs() == 20);
+    CHECK(serving.wrong.withoutCondition() == 0);
+    CHECK(serving.right.withoutCondition() == 0);
+    CHECK(serving.right.executed() == 20);
     serving.write(serving.wrong.record(1));
     CHECK(serving.send(20) == 20);
-    CHECK(serving.wrong.runs() >= 2);
+    CHECK(serving.wrong.executed() >= 2);
 }
--- a/tests/node/information_age_test.cpp
+++ b/tests/node/information_age_test.cpp
@@ -23,7 +23,7 @@
 #include "node/context_store_watcher.hpp"
 #include "node/node_state.hpp"
 #include "node/order_reports.hpp"
-#include "node/quarantine_duty.hpp"
+#include "node/quarantine_distributor.hpp"
 #include "node/update_queue.hpp"
 #include "process/platform_standins.hpp"
 #include "standins/blocking_server.hpp"
@@ -248,7 +248,7 @@
         return quarantine.isHeld(kPage);
     }
 
-    QuarantineDuty &duty() { return m_duty; }
+    QuarantineDistributor &duty() { return m_duty; }
 
 private:
     void step()
@@ -258,28 +258,29 @@
         m_duty.tick();
     }
 
-    void storeTold(const StoreChanges &changes, const StoreAnswerTimes & /*times*/) override
+    void onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes & /*times*/) override
     {
         for (const StoredItem &it : m_replica.merge(changes).value_or(std::vector<StoredItem>{})) {
-            const auto request = QuarantineDuty::requestOf(it.key);
-            const auto lives = it.value ? QuarantineDuty::decodeLives(*it.value) : std::nullopt;
+            const auto request = QuarantineDistributor::parseKey(it.key);
+            const auto lives
+                = it.value ? QuarantineDistributor::decodeInstances(*it.value) : std::nullopt;
             if (request && lives)
-                m_duty.takeStored(*request, *lives);
+                m_duty.addStored(*request, *lives);
         }
     }
-    void storeReachable(bool /*reachable*/) override { }
+    void onReachabilityChange(bool /*reachable*/) override { }
 
     ManualClock m_clock;
     const std::string m_store;
     net::io_context m_context;
     HttpClient m_client{m_context, m_clock};
     StoreReplica m_replica;
-    StoreLink m_link{m_context, m_client, m_clock, m_store, m_replica, *this};
+    StoreClient m_link{m_context, m_client, m_clock, m_store, m_replica, *this};
     std::vector<QuarantineUpdate> m_published;
-    QuarantineDuty m_duty{m_clock, m_link, m_replica,
-                          [this](const std::vector<QuarantineUpdate> &it) {
+    QuarantineDistributor m_duty{m_clock, m_link, m_replica,
+                                 [this](const std::vector<QuarantineUpdate> &it) {
                               m_published.insert(m_published.end(), it.begin(), it.end());
-                          }};
+                                 }};
 };
 
 struct QuarantineFixture
@@ -305,9 +306,9 @@
 {
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
-    node.duty().takeOwn(kThreeFailures);
+    node.duty().addOwn(kThreeFailures);
     REQUIRE(node.poll([&] { return fleet.hasKey(); }));
-    node.duty().takeOwn(kAnswered);
+    node.duty().addOwn(kAnswered);
     node.runFor(5s);
     CHECK_FALSE(fleet.hasKey());
     CHECK_FALSE(fleet.isHeldByNewNode());
@@ -319,9 +320,9 @@
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
     REQUIRE(node.poll([&] { return node.hasRead(); }));
-    node.duty().takeOwn(kThreeFailures);
+    node.duty().addOwn(kThreeFailures);
     node.duty().tick();
-    node.duty().takeHeard(kAnswered, false);
+    node.duty().addFromPeer(kAnswered, false);
     node.runFor(5s);
     CHECK_FALSE(fleet.hasKey());
 }
@@ -334,14 +335,14 @@
     REQUIRE(first.poll([&] { return first.hasRead(); }));
     REQUIRE(second.poll([&] { return second.hasRead(); }));
     for (QuarantineNode *it : {&first, &second}) {
-        it->duty().takeOwn(kThreeFailures);
+        it->duty().addOwn(kThreeFailures);
         it->duty().tick(); // neither has read the other's write yet
     }
     first.runFor(2s);
     second.runFor(2s);
     REQUIRE(fleet.hasKey());
-    second.duty().takeOwn(kAnswered);
-    first.duty().takeHeard(kAnswered, false);
+    second.duty().addOwn(kAnswered);
+    first.duty().addFromPeer(kAnswered, false);
     second.runFor(2s);
     first.runFor(2s);
     CHECK_FALSE(fleet.hasKey());
@@ -351,10 +352,10 @@
 {
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
-    node.duty().takeOwn(kThreeFailures);
+    node.duty().addOwn(kThreeFailures);
     REQUIRE(node.poll([&] { return fleet.hasKey(); }));
     fleet.store.setDown(true);
-    node.duty().takeOwn(kAnswered);
+    node.duty().addOwn(kAnswered);
     node.runFor(10s);
     REQUIRE(fleet.hasKey());
     fleet.store.setDown(false);
@@ -367,7 +368,7 @@
 {
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
-    node.duty().takeOwn(kThreeFailures);
+    node.duty().addOwn(kThreeFailures);
     REQUIRE(node.poll([&] { return fleet.hasKey(); }));
     node.runFor(60s);
     CHECK(fleet.hasKey());
@@ -489,7 +490,7 @@
     }
 
     // The update as the other thread puts it into the ring buffer.
-    FleetUpdate storeTold() const
+    FleetUpdate onStoreChanges() const
     {
         ContextStoreUpdate update;
         update.store = "s";
@@ -510,12 +511,12 @@
           "[standstill][stores]")
 {
     ServingState serving;
-    const FleetUpdate queued = serving.storeTold();
+    const FleetUpdate queued = serving.onStoreChanges();
     serving.clock.advance(3s);
     serving.state.handle(queued);
     CHECK(serving.state.isRecoveringFromStall());
     // Conversely, the next update ends the recovery.
-    serving.state.handle(serving.storeTold());
+    serving.state.handle(serving.onStoreChanges());
     CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
--- a/tests/node/mailbox_test.cpp
+++ b/tests/node/mailbox_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What the control thread tells the serving thread: bounded, and nothing that matters is lost.
+// Updates from the control thread to the serving thread: the queues are bounded and lose nothing
+// that matters.
 #include <doctest/doctest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -12,18 +13,18 @@
 
 namespace {
 
-FleetUpdate told(const std::string &store, std::uint64_t epoch,
-                 std::vector<StorePartChange> changes, bool isSnapshot = false)
+FleetUpdate storeUpdated(const std::string &store, std::uint64_t epoch,
+                         std::vector<StorePartChange> changes, bool isSnapshot = false)
 {
-    ContextStoreUpdate news;
-    news.store = store;
-    news.epoch = epoch;
-    news.isSnapshot = isSnapshot;
-    news.changes = std::move(changes);
-    return ContextStoreUpdated{news};
+    ContextStoreUpdate update;
+    update.store = store;
+    update.epoch = epoch;
+    update.isSnapshot = isSnapshot;
+    update.changes = std::move(changes);
+    return ContextStoreUpdated{update};
 }
 
-std::vector<FleetUpdate> takeAll(UpdateQueue &queue)
+std::vector<FleetUpdate> drain(UpdateQueue &queue)
 {
     std::vector<FleetUpdate> taken;
     queue.flush([&](const FleetUpdate &it) {
@@ -35,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("mailbox: a full one refuses, keeps what it has, and takes again once it was read "
+TEST_CASE("mailbox: a full one rejects values, keeps its content, and accepts again once read "
           "[mailbox]")
 {
     boost::asio::io_context consumer;
@@ -52,7 +53,7 @@
     CHECK(taken == std::vector<int>{1, 2, 4});
 }
 
-TEST_CASE("update queue: does not grow with time while the same subjects change [mailbox]")
+TEST_CASE("update queue: does not grow while updates concern the same subjects [mailbox]")
 {
     UpdateQueue queue;
     for (std::size_t n = 0; n < 10'000; ++n) {
@@ -61,79 +62,80 @@
         queue.push(UpstreamRecordWritten{{}});
     }
     CHECK(queue.size() == 5);
-    for (const FleetUpdate &it : takeAll(queue)) {
+    for (const FleetUpdate &it : drain(queue)) {
         if (const auto *live = std::get_if<LiveNodeCount>(&it))
             CHECK(live->n == 9'999);
     }
     CHECK(queue.isEmpty());
 }
 
-TEST_CASE("update queue: the removal of an upstream outlives its record [mailbox]")
+TEST_CASE("update queue: the removal of an upstream replaces its record [mailbox]")
 {
     UpdateQueue queue;
     UpstreamRecord record;
     record.instanceId = "i-1";
     queue.push(UpstreamRecordWritten{record});
     queue.push(UpstreamRecordRemoved{"i-1", false});
-    const auto taken = takeAll(queue);
+    const auto taken = drain(queue);
     REQUIRE(taken.size() == 1);
     CHECK(std::holds_alternative<UpstreamRecordRemoved>(taken.front()));
 }
 
-TEST_CASE("update queue: what a store of kept context tells is added up [mailbox]")
+TEST_CASE("update queue: updates of a context store are merged [mailbox]")
 {
     UpdateQueue queue;
-    queue.push(told("s", 1, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
-    queue.push(told("s", 1, {{"salt", "a", false, 0}, {"salt", "c", true, 300}}));
-    const auto taken = takeAll(queue);
+    queue.push(storeUpdated("s", 1, {{"salt", "a", true, 100}, {"salt", "b", true, 200}}));
+    queue.push(storeUpdated("s", 1, {{"salt", "a", false, 0}, {"salt", "c", true, 300}}));
+    const auto taken = drain(queue);
     REQUIRE(taken.size() == 1);
-    const ContextStoreUpdate &news = std::get<ContextStoreUpdated>(taken.front()).update;
-    REQUIRE(news.changes.size() == 3);
-    CHECK(news.changes[0].partId == "a");
-    CHECK_FALSE(news.changes[0].held);
-    CHECK(news.changes[2].partId == "c");
+    const ContextStoreUpdate &update = std::get<ContextStoreUpdated>(taken.front()).update;
+    REQUIRE(update.changes.size() == 3);
+    CHECK(update.changes[0].partId == "a");
+    CHECK_FALSE(update.changes[0].held);
+    CHECK(update.changes[2].partId == "c");
 }
 
-TEST_CASE("update queue: what a store told before it lost everything is dropped [mailbox]")
+TEST_CASE("update queue: updates from before a context store lost its content are dropped "
+          "[mailbox]")
 {
     UpdateQueue queue;
-    queue.push(told("s", 1, {{"salt", "a", true, 100}}));
-    queue.push(told("s", 2, {{"salt", "b", true, 200}}));
-    queue.push(told("s", 2, {{"salt", "c", true, 1}}, true));
-    const auto taken = takeAll(queue);
+    queue.push(storeUpdated("s", 1, {{"salt", "a", true, 100}}));
+    queue.push(storeUpdated("s", 2, {{"salt", "b", true, 200}}));
+    queue.push(storeUpdated("s", 2, {{"salt", "c", true, 1}}, true));
+    const auto taken = drain(queue);
     REQUIRE(taken.size() == 1);
-    const ContextStoreUpdate &news = std::get<ContextStoreUpdated>(taken.front()).update;
-    REQUIRE(news.changes.size() == 1);
-    CHECK(news.changes.front().partId == "c");
-    CHECK(news.isSnapshot);
+    const ContextStoreUpdate &update = std::get<ContextStoreUpdated>(taken.front()).update;
+    REQUIRE(update.changes.size() == 1);
+    CHECK(update.changes.front().partId == "c");
+    CHECK(update.isSnapshot);
 }
 
-TEST_CASE("update queue: a store that answers again is not taken as silent [mailbox]")
+TEST_CASE("update queue: a context store that answers again does not count as failed [mailbox]")
 {
     UpdateQueue queue;
     queue.push(ContextStoreFailed{"s"});
-    queue.push(told("s", 1, {}));
-    auto taken = takeAll(queue);
+    queue.push(storeUpdated("s", 1, {}));
+    auto taken = drain(queue);
     REQUIRE(taken.size() == 1);
     CHECK(std::holds_alternative<ContextStoreUpdated>(taken.front()));
 
-    queue.push(told("s", 1, {}));
+    queue.push(storeUpdated("s", 1, {}));
     queue.push(ContextStoreFailed{"s"});
-    taken = takeAll(queue);
+    taken = drain(queue);
     REQUIRE(taken.size() == 2);
     CHECK(std::holds_alternative<ContextStoreFailed>(taken.back()));
 }
 
-TEST_CASE("update queue: stops at what is not taken, and goes on from there [mailbox]")
+TEST_CASE("update queue: stops at an update that is not accepted and resumes there [mailbox]")
 {
     UpdateQueue queue;
     queue.push(LiveNodeCount{1});
     queue.push(ReceivesVersions{true});
-    int room = 1;
-    const auto take = [&](const FleetUpdate &) { return room-- > 0; };
+    int capacity = 1;
+    const auto take = [&](const FleetUpdate &) { return capacity-- > 0; };
     queue.flush(take);
     CHECK(queue.size() == 1);
-    room = 1;
+    capacity = 1;
     queue.flush(take);
     CHECK(queue.isEmpty());
 }
--- a/tests/node/standstill_test.cpp
+++ b/tests/node/stall_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A VM that stood still for a while knows old things and finds old answers in its sockets.
+// After a stall of its VM a node has outdated information and finds old answers in its sockets.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -27,76 +27,78 @@
     return store;
 }
 
-// The serving thread's state, with one store of kept context in its configuration.
+// The serving thread's state with one context store in its configuration.
 struct Serving
 {
-    Serving() : traffic(context, clock, settings, metrics)
+    Serving() : state(context, clock, settings, metrics)
     {
         ServingConfig config;
         config.stores.push_back(storeAt("127.0.0.1:1"));
-        traffic.handle(ConfigApplied{std::make_shared<const RouteTable>(std::move(config))});
+        state.handle(ConfigApplied{std::make_shared<const RouteTable>(std::move(config))});
     }
 
-    void tellStore()
+    void reportStore()
     {
-        ContextStoreUpdate news;
-        news.store = "s";
-        news.epoch = 1;
-        traffic.handle(ContextStoreUpdated{news, clock.now()});
+        ContextStoreUpdate update;
+        update.store = "s";
+        update.epoch = 1;
+        state.handle(ContextStoreUpdated{update, clock.now()});
     }
 
     boost::asio::io_context context;
     ManualClock clock;
     config::OneProcessSettings settings;
     adapters::Metrics metrics;
-    NodeState traffic;
+    NodeState state;
 };
 
 } // namespace
 
-TEST_CASE("standstill: a node that wakes waits for a word of the stores, for a moment only "
+TEST_CASE("stall: after a stall a node waits until the context stores have answered "
           "[standstill]")
 {
     Serving serving;
-    serving.tellStore();
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    serving.reportStore();
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
     serving.clock.advance(3s);
-    CHECK(serving.traffic.isRecoveringFromStall());
-    serving.tellStore();
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    CHECK(serving.state.isRecoveringFromStall());
+    serving.reportStore();
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
-TEST_CASE("standstill: stores that stay silent hold nobody up for long [standstill]")
+TEST_CASE("stall: context stores that do not answer are waited for only briefly [standstill]")
 {
     Serving serving;
-    serving.tellStore();
+    serving.reportStore();
     serving.clock.advance(3s);
-    CHECK(serving.traffic.isRecoveringFromStall());
+    CHECK(serving.state.isRecoveringFromStall());
     serving.clock.advance(150ms);
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
-TEST_CASE("standstill: stores that are silent while the node runs are not waited for [standstill]")
+TEST_CASE("stall: without a stall, context stores that do not answer are not waited for "
+          "[standstill]")
 {
     Serving serving;
     for (int n = 0; n < 50; ++n) {
         serving.clock.advance(100ms);
-        serving.traffic.tick();
+        serving.state.tick();
     }
-    CHECK_FALSE(serving.traffic.isRecoveringFromStall());
+    CHECK_FALSE(serving.state.isRecoveringFromStall());
 }
 
-TEST_CASE("standstill: an answer that lay unread is asked for anew, at once [standstill][stores]")
+TEST_CASE("stall: an answer that was left unread is dropped and requested again at once "
+          "[standstill][stores]")
 {
     const std::string address
         = "127.72." + std::to_string(static_cast<int>(getpid()) % 200 + 1) + ".1:7100";
     std::atomic<int> calls{0};
-    std::promise<void> mayAnswer;
+    std::promise<void> answerAllowed;
     std::promise<std::string> secondWait;
     const standins::BlockingServer server(address, [&](const standins::Request &request) {
         const int call = ++calls;
         if (call == 1)
-            mayAnswer.get_future().wait();
+            answerAllowed.get_future().wait();
         else if (call == 2)
             secondWait.set_value(request.header("wait-ms"));
         return standins::Answer{
@@ -112,20 +114,20 @@
 
     boost::asio::io_context context;
     ManualClock clock;
-    HttpClient caller(context, clock);
-    int told = 0;
-    ContextStoreWatcher watch(context, caller, clock, [&](const FleetUpdate &) { ++told; });
-    watch.setStores({storeAt(address)});
+    HttpClient client(context, clock);
+    int published = 0;
+    ContextStoreWatcher watcher(context, client, clock, [&](const FleetUpdate &) { ++published; });
+    watcher.setStores({storeAt(address)});
     while (calls == 0)
         context.run_one_for(10ms);
-    clock.advance(5s); // the VM stands still while the answer comes
-    mayAnswer.set_value();
+    clock.advance(5s); // the VM stalls while the answer arrives
+    answerAllowed.set_value();
     std::future<std::string> wait = secondWait.get_future();
     while (wait.wait_for(0s) != std::future_status::ready)
         context.run_one_for(10ms);
     CHECK(wait.get() == "0");
-    CHECK(told == 0);
-    while (told == 0)
+    CHECK(published == 0);
+    while (published == 0)
         context.run_one_for(10ms);
-    watch.setStores({});
+    watcher.setStores({});
 }
