--- a/tests/node/information_age_test.cpp
+++ b/tests/node/information_age_test.cpp
@@ -279,7 +279,7 @@
     std::vector<QuarantineUpdate> m_published;
     QuarantineDistributor m_duty{m_clock, m_link, m_replica,
                                  [this](const std::vector<QuarantineUpdate> &it) {
-                              m_published.insert(m_published.end(), it.begin(), it.end());
+                                     m_published.insert(m_published.end(), it.begin(), it.end());
                                  }};
 };
 
--- a/tests/node/platform_test.cpp
+++ b/tests/node/platform_test.cpp
@@ -190,8 +190,7 @@
     CHECK_FALSE(readAnswerHead(503, fields).hasNotRun);
     CHECK(readAnswerHead(421, fields).hasNotRun);
     CHECK(readAnswerHead(421, fields).isInstanceMismatch);
-    CHECK_FALSE(
-        isFromOtherInstance(readAnswerHead(421, fields), "i-1")); // it names no instance
+    CHECK_FALSE(isFromOtherInstance(readAnswerHead(421, fields), "i-1")); // it names no instance
     fields.set("Instance-Id", "i-2");
     CHECK(isFromOtherInstance(readAnswerHead(421, fields), "i-1"));
     CHECK(isFromOtherInstance(readAnswerHead(421, fields), "i-1@1796000000000"));
