--- a/src/node/control_limits.hpp
+++ b/src/node/control_limits.hpp
@@ -9,7 +9,7 @@
 #include "fordwood/relay_role.hpp"
 #include "fordwood/serving_config.hpp"
 
-// Values that ControlDuty derives from the node's settings and from the configuration.
+// Values that ControlLoop derives from the node's settings and from the configuration.
 namespace fordwood::node {
 
 // Returns an id for this process of the node, which differs after each restart. It identifies the
