--- a/tests/node/upstream_state_test.cpp
+++ b/tests/node/upstream_state_test.cpp
@@ -111,7 +111,7 @@
 TEST_CASE("upstream state: every answer that the upstream itself sent can report draining [drain]")
 {
     using Fault = process::UpstreamStandin::Fault;
-    for (const Fault it : {Fault::TurnAway, Fault::OtherRequestId, Fault::NoSeal}) {
+    for (const Fault it : {Fault::Reject, Fault::OtherRequestId, Fault::NoSeal}) {
         CAPTURE(static_cast<int>(it));
         ServingFixture fixture;
         fixture.first.setDraining(true);
--- a/tests/node/weight_age_random_test.cpp
+++ b/tests/node/weight_age_random_test.cpp
@@ -88,13 +88,13 @@
     m_calmSince = m_now;
     if (m_storeTrouble) {
         m_fleet.store().setDown(false);
-        m_fleet.store().setDeafWatches(false);
+        m_fleet.store().setSilentWatches(false);
         m_storeTrouble.reset();
     } else if (chance(50)) {
         m_fleet.store().setDown(true);
         m_storeTrouble = m_now;
     } else if (chance(50)) {
-        m_fleet.store().setDeafWatches(true);
+        m_fleet.store().setSilentWatches(true);
         m_storeTrouble = m_now;
     } else {
         m_fleet.store().forgetHistory();
--- a/tests/node/weights_fleet.cpp
+++ b/tests/node/weights_fleet.cpp
@@ -218,7 +218,7 @@
         node->clock().advance(by);
         reads[n] = node->clock().reads();
     }
-    m_store.passTime(by);
+    m_store.advanceTime(by);
     // A turn of the node reads the clock several times; the next one begins within 20 ms.
     constexpr std::uint64_t kReadsOfATurn = 40;
     for (const auto &[n, node] : m_nodes) {
--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr auto kPollStep = std::chrono::milliseconds(10);
-constexpr auto kPatience = std::chrono::seconds(60);
+constexpr auto kWaitTimeout = std::chrono::seconds(60);
 
 std::string program(const std::string &name)
 {
@@ -328,7 +328,7 @@
 
 bool Fleet::waitFor(const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end)
             return false;
--- a/tests/process/http.cpp
+++ b/tests/process/http.cpp
@@ -89,7 +89,7 @@
 
 } // namespace
 
-void sendAndLeave(const std::string &address, const std::string &bytes)
+void sendAndClose(const std::string &address, const std::string &bytes)
 {
     const int fd = sendBytes(address, bytes);
     if (fd >= 0)
@@ -117,20 +117,19 @@
 
 } // namespace
 
-RestingConnection::RestingConnection(const std::string &address) : m_socket(sendBytes(address, ""))
-{ }
+IdleConnection::IdleConnection(const std::string &address) : m_socket(sendBytes(address, "")) { }
 
-RestingConnection::RestingConnection(RestingConnection &&other) noexcept
+IdleConnection::IdleConnection(IdleConnection &&other) noexcept
     : m_socket(std::exchange(other.m_socket, -1))
 { }
 
-RestingConnection::~RestingConnection()
+IdleConnection::~IdleConnection()
 {
     if (m_socket >= 0)
         close(m_socket);
 }
 
-bool RestingConnection::exchange(const std::string &bytes, const std::string &enough)
+bool IdleConnection::exchange(const std::string &bytes, const std::string &enough)
 {
     send(m_socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     return readUntil(m_socket, enough).find(enough) != std::string::npos;
--- a/tests/process/http.hpp
+++ b/tests/process/http.hpp
@@ -22,15 +22,15 @@
                     const std::vector<std::string> &headers = {});
 
 // A connection that stays open between exchanges.
-class RestingConnection
+class IdleConnection
 {
 public:
     // Connects to "IP:port".
-    explicit RestingConnection(const std::string &address);
-    RestingConnection(RestingConnection &&other) noexcept;
-    RestingConnection(const RestingConnection &) = delete;
-    RestingConnection &operator=(const RestingConnection &) = delete;
-    ~RestingConnection();
+    explicit IdleConnection(const std::string &address);
+    IdleConnection(IdleConnection &&other) noexcept;
+    IdleConnection(const IdleConnection &) = delete;
+    IdleConnection &operator=(const IdleConnection &) = delete;
+    ~IdleConnection();
 
     // Sends raw bytes and reads until `enough` is in what came; false when the peer closes first.
     bool exchange(const std::string &bytes, const std::string &enough);
@@ -40,7 +40,7 @@
 };
 
 // Sends raw bytes to "IP:port" and closes the connection without reading.
-void sendAndLeave(const std::string &address, const std::string &bytes);
+void sendAndClose(const std::string &address, const std::string &bytes);
 
 // Sends raw bytes to "IP:port" and reads until the peer closes or `enough` is in what came.
 std::string rawCall(const std::string &address, const std::string &bytes,
--- a/tests/process/limit_test.cpp
+++ b/tests/process/limit_test.cpp
@@ -40,7 +40,7 @@
                     const std::lock_guard lock(mutex);
                     all[answer.status] += 1;
                     if (answer.status == 503)
-                        lastRefusal = answer;
+                        lastRejection = answer;
                     std::this_thread::sleep_for(10ms);
                 }
             });
@@ -51,7 +51,7 @@
     }
 
     std::vector<int> nodes{0, 1};
-    HttpAnswer lastRefusal;
+    HttpAnswer lastRejection;
     std::atomic<int> begun{0};
 };
 
@@ -76,13 +76,13 @@
         });
     };
     const auto limited = [&] { return fleet.metric("fordwood_limited_upstreams"); };
-    fleet.first.nameLimit("50");
+    fleet.first.setLimit("50");
     CHECK(callUntilLogged("event=314"));
     CHECK(Fleet::waitFor([&] { return limited() == 1; }));
-    fleet.first.nameLimit("4e1");
+    fleet.first.setLimit("4e1");
     CHECK(callUntilLogged("event=315"));
     for (const char *it : {"-1", "nan", "inf", "2/s"}) {
-        fleet.first.nameLimit(it);
+        fleet.first.setLimit(it);
         const double before = fleet.metric("fordwood_unreadable_limits_total");
         CHECK(Fleet::waitFor([&] {
             call();
@@ -91,7 +91,7 @@
         CHECK(limited() == 1); // what was known holds
     }
     CHECK(fleet.logged(0, "event=317") == 1);
-    fleet.first.nameLimit(std::nullopt);
+    fleet.first.setLimit(std::nullopt);
     CHECK(callUntilLogged("event=316"));
     CHECK(Fleet::waitFor([&] { return limited() == 0; }));
 }
@@ -103,22 +103,22 @@
     fleet.start();
     fleet.startNode(1);
     REQUIRE(Fleet::waitFor([&] { return fleet.isReady(1); }));
-    fleet.first.nameLimit("2");
-    fleet.second.nameLimit("2.0");
+    fleet.first.setLimit("2");
+    fleet.second.setLimit("2.0");
     Callers callers;
     callers.callFor(fleet, 3s);
-    const auto inForce = RealClock::now();
+    const auto limitsActiveFrom = RealClock::now();
     const std::map<long, int> answers = callers.callFor(fleet, 9s);
-    constexpr std::size_t kBorne = 17; // in four seconds: 1.5 x 2 x 4 + 5
+    constexpr std::size_t kMaxArrivals = 17; // in four seconds: 1.5 x 2 x 4 + 5
     for (UpstreamStandin *it : {&fleet.first, &fleet.second}) {
-        CHECK(busiest(it->arrivals(), inForce) <= kBorne);
+        CHECK(busiest(it->arrivals(), limitsActiveFrom) <= kMaxArrivals);
         CHECK(it->totalRuns() > 0);
     }
     REQUIRE(answers.contains(200));
     CHECK(answers.at(200) >= 18); // of 36 at the rates that they name
     REQUIRE(answers.contains(503));
-    CHECK(callers.lastRefusal.body.find("upstream-limited") != std::string::npos);
-    CHECK(callers.lastRefusal.headers.contains("retry-after"));
+    CHECK(callers.lastRejection.body.find("upstream-limited") != std::string::npos);
+    CHECK(callers.lastRejection.headers.contains("retry-after"));
 }
 
 TEST_CASE("node: in a fleet with relays, nodes learn of a limit that only others were told, and "
@@ -131,8 +131,8 @@
         fleet.startNode(node, "", node % 2 == 0 ? "x" : "y");
     for (int node = 0; node < kNodes; ++node)
         REQUIRE(Fleet::waitFor([&] { return fleet.isReady(node); }));
-    fleet.first.nameLimit("2");
-    fleet.second.nameLimit("2");
+    fleet.first.setLimit("2");
+    fleet.second.setLimit("2");
     Callers callers;
     callers.nodes = {0, 13};
     callers.callFor(fleet, 3s);
@@ -141,16 +141,16 @@
         CHECK(
             Fleet::waitFor([&] { return fleet.metric("fordwood_limited_upstreams", node) == 2; }));
     }
-    const auto inForce = RealClock::now();
+    const auto limitsActiveFrom = RealClock::now();
     const std::map<long, int> answers = callers.callFor(fleet, 9s);
     for (UpstreamStandin *it : {&fleet.first, &fleet.second})
-        CHECK(busiest(it->arrivals(), inForce) <= 17); // 1.5 x 2 x 4 + 5
+        CHECK(busiest(it->arrivals(), limitsActiveFrom) <= 17); // 1.5 x 2 x 4 + 5
     REQUIRE(answers.contains(200));
     CHECK(answers.at(200) >= 18); // of 36 at the rates that they name
 
     // Lifted again: nodes without callers hear it from the others.
-    fleet.first.nameLimit(std::nullopt);
-    fleet.second.nameLimit(std::nullopt);
+    fleet.first.setLimit(std::nullopt);
+    fleet.second.setLimit(std::nullopt);
     callers.callFor(fleet, 4s);
     for (int node = 0; node < kNodes; ++node) {
         CAPTURE(node);
@@ -168,20 +168,20 @@
     fleet.startNode(1);
     REQUIRE(Fleet::waitFor([&] { return fleet.isReady(1); }));
     const auto limited = [&](int node) { return fleet.metric("fordwood_limited_upstreams", node); };
-    fleet.first.nameLimit("0.5");
-    fleet.second.nameLimit("0.5");
+    fleet.first.setLimit("0.5");
+    fleet.second.setLimit("0.5");
     int calls = 0;
-    const auto callUntilLimited = [&](int node, double n) {
+    const auto callUntilLimitedCount = [&](int node, double n) {
         return Fleet::waitFor([&] {
             fleet.call("GET", "/safe/1", "c-" + std::to_string(++calls), node);
             return limited(node) == n;
         });
     };
-    REQUIRE(callUntilLimited(0, 2));
+    REQUIRE(callUntilLimitedCount(0, 2));
     REQUIRE(Fleet::waitFor([&] { return limited(1) == 2; }));
 
     // No answer names a limit any more: what ends it is the record of the next life.
-    fleet.first.nameLimit(std::nullopt);
+    fleet.first.setLimit(std::nullopt);
     fleet.putUpstream("i-1", "ready", 2);
     for (const int node : {0, 1})
         CHECK(Fleet::waitFor([&] { return limited(node) == 1; }));
--- a/tests/process/node_test.cpp
+++ b/tests/process/node_test.cpp
@@ -141,11 +141,11 @@
 {
     Deployment fleet;
     fleet.start();
-    for (const Fault it : {Fault::CutAfterRun, Fault::TurnAway, Fault::FailAfterRun}) {
+    for (const Fault it : {Fault::CutAfterRun, Fault::Reject, Fault::FailAfterRun}) {
         const std::string id = "r-" + std::to_string(static_cast<int>(it));
         fleet.first.setFault(it, 1);
         HttpAnswer answer = fleet.call("GET", "/safe/1", id);
-        if (fleet.first.runs(id) == 0 && it != Fault::TurnAway) // the other one was chosen
+        if (fleet.first.runs(id) == 0 && it != Fault::Reject) // the other one was chosen
             answer = fleet.call("GET", "/safe/1", id);
         CHECK(answer.status == 200);
         CHECK(answer.body == "answer to " + id);
@@ -157,8 +157,8 @@
 {
     Deployment fleet;
     fleet.start();
-    fleet.first.setFault(Fault::TurnAway, 100);
-    fleet.second.setFault(Fault::TurnAway, 100);
+    fleet.first.setFault(Fault::Reject, 100);
+    fleet.second.setFault(Fault::Reject, 100);
     const HttpAnswer answer = fleet.call("POST", "/once/1", "r-1");
     CHECK(answer.status == 503);
     CHECK(answer.headers.count("retry-after") == 1);
@@ -242,14 +242,14 @@
 {
     Deployment fleet;
     fleet.start();
-    fleet.store.setDeafWatches(true);
+    fleet.store.setSilentWatches(true);
     // The watch that waits now ends; the next one is deaf.
     fleet.store.put("other", "1");
     fleet.putConfiguration(2, "/later/");
     CHECK(Fleet::waitFor([&] { return fleet.call("GET", "/later/1", "r-1").status == 200; }));
     fleet.putConfiguration(3, "/last/");
     CHECK(Fleet::waitFor([&] { return fleet.call("GET", "/last/1", "r-2").status == 200; }));
-    fleet.store.setDeafWatches(false);
+    fleet.store.setSilentWatches(false);
     fleet.store.setDown(true);
 }
 
@@ -322,7 +322,7 @@
 {
     constexpr std::size_t kConnections = 1'000;
     // The bound that docs/operations/one-process.md states.
-    constexpr std::size_t kMostBytesEach = 4'096;
+    constexpr std::size_t kMaxBytesEach = 4'096;
     Deployment fleet;
     fleet.start();
     const std::string address = fleet.host(0) + ":8080";
@@ -330,10 +330,10 @@
         return "GET /safe/1 HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r-" + std::to_string(n)
                + "\r\nCredential: key-t\r\n\r\n";
     };
-    RestingConnection first(address);
+    IdleConnection first(address);
     REQUIRE(first.exchange(request(0), "answer to r-0"));
     const std::size_t before = fleet.nodes.front().usage().residentBytes;
-    std::vector<RestingConnection> connections;
+    std::vector<IdleConnection> connections;
     for (std::size_t n = 1; n <= kConnections; ++n) {
         connections.emplace_back(address);
         REQUIRE(connections.back().exchange(request(n), "answer to r-" + std::to_string(n)));
@@ -341,6 +341,6 @@
     const std::size_t after = fleet.nodes.front().usage().residentBytes;
     const std::size_t each = (after - std::min(before, after)) / kConnections;
     MESSAGE("bytes of resident memory for each resting connection: ", each);
-    CHECK(each <= kMostBytesEach);
+    CHECK(each <= kMaxBytesEach);
     CHECK(connections.front().exchange(request(9'999), "answer to r-9999"));
 }
--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -131,7 +131,7 @@
     Fleet fleet({1, 1, 1, 1, {"token_ms=1", "prefill_rate=10"}, ""});
     fleet.start();
     const std::string body = completion(true, 100000);
-    sendAndLeave(fleet.entryAddress(0),
+    sendAndClose(fleet.entryAddress(0),
                  "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + Fleet::bearer()
                      + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     CHECK(Fleet::waitFor(
@@ -416,7 +416,7 @@
     return text;
 }
 
-HttpAnswer keyed(const Fleet &fleet, int node, const std::string &key, int team = 0)
+HttpAnswer callWithKey(const Fleet &fleet, int node, const std::string &key, int team = 0)
 {
     return httpCall("POST", fleet.caller(node) + "/once", "x",
                     {Fleet::bearer(team), "X-Request-Id: " + key, "Idempotency-Key: " + key});
@@ -428,13 +428,13 @@
 }
 
 // Waits until keys are taken: tenures must reach the present first.
-bool keysReady(const Fleet &fleet, int nodes)
+bool waitForKeys(const Fleet &fleet, int nodes)
 {
     int number = 1000;
     return Fleet::waitFor([&] {
         int taken = 0;
         for (int it = 0; it < 8; ++it)
-            taken += keyed(fleet, it % nodes, newKey(++number)).status == 200 ? 1 : 0;
+            taken += callWithKey(fleet, it % nodes, newKey(++number)).status == 200 ? 1 : 0;
         return taken == 8;
     });
 }
@@ -445,13 +445,13 @@
 {
     Fleet fleet;
     fleet.start();
-    REQUIRE(keysReady(fleet, fleet.nodes()));
+    REQUIRE(waitForKeys(fleet, fleet.nodes()));
     std::vector<std::string> keys;
     for (int it = 0; it < 30; ++it) {
         keys.push_back(newKey(it));
-        CHECK(keyed(fleet, it % fleet.nodes(), keys.back()).status == 200);
+        CHECK(callWithKey(fleet, it % fleet.nodes(), keys.back()).status == 200);
         // The holder has heard of the end.
-        CHECK(Fleet::waitFor([&] { return keyed(fleet, 0, keys.back()).status == 200; }));
+        CHECK(Fleet::waitFor([&] { return callWithKey(fleet, 0, keys.back()).status == 200; }));
     }
     const int before = runsOf(fleet)["total"];
     fleet.entryds[0].signal(SIGTERM);
@@ -462,7 +462,7 @@
         // The others hear of the stop a moment later.
         HttpAnswer again;
         CHECK(Fleet::waitFor([&] {
-            again = keyed(fleet, 1, it);
+            again = callWithKey(fleet, 1, it);
             return again.status == 200;
         }));
         CAPTURE(again.body);
@@ -475,15 +475,15 @@
 {
     Fleet fleet;
     fleet.start();
-    REQUIRE(keysReady(fleet, 3));
+    REQUIRE(waitForKeys(fleet, 3));
     for (int it = 0; it < 10; ++it) {
         const std::string key = newKey(it);
-        const auto first = keyed(fleet, it % 3, key);
+        const auto first = callWithKey(fleet, it % 3, key);
         CHECK(first.status == 200);
         // The holder may hear of the end a moment after the caller does.
         HttpAnswer again;
         CHECK(Fleet::waitFor([&] {
-            again = keyed(fleet, (it + 1) % 3, key);
+            again = callWithKey(fleet, (it + 1) % 3, key);
             return again.status != 409;
         }));
         CHECK(again.status == 200);
@@ -491,20 +491,20 @@
         CHECK(again.headers.count("fordwood-repeated") == 1);
     }
     CHECK(runsOf(fleet)["doubled"].empty());
-    CHECK(keyed(fleet, 0, "no-uuid").status == 400);
+    CHECK(callWithKey(fleet, 0, "no-uuid").status == 400);
 }
 
 TEST_CASE("path: a key that may have run is not run again, also after its answer was lost")
 {
     Fleet fleet;
     fleet.start();
-    REQUIRE(keysReady(fleet, 3));
+    REQUIRE(waitForKeys(fleet, 3));
     httpCall("PUT", "http://" + fleet.serviceAddress() + "/faults", R"({"close_after_run": 1})");
     const std::string key = newKey(1);
-    const auto cut = keyed(fleet, 0, key);
+    const auto cut = callWithKey(fleet, 0, key);
     CHECK(cut.status == 502);
     CHECK(cut.headers.at("fordwood-verdict") == "may-have-run");
-    const auto again = keyed(fleet, 1, key);
+    const auto again = callWithKey(fleet, 1, key);
     CHECK(again.status == 409);
     CHECK(again.headers.at("fordwood-verdict") == "may-have-run");
     CHECK(runsOf(fleet)["doubled"].empty());
@@ -514,18 +514,18 @@
 {
     Fleet fleet;
     fleet.start();
-    REQUIRE(keysReady(fleet, 3));
+    REQUIRE(waitForKeys(fleet, 3));
     std::vector<std::string> keys;
     for (int it = 0; it < 12; ++it) {
         keys.push_back(newKey(it));
-        CHECK(keyed(fleet, 0, keys.back()).status == 200);
+        CHECK(callWithKey(fleet, 0, keys.back()).status == 200);
     }
     fleet.controlds[1].kill();
     fleet.controlds[2].kill();
     fleet.startControld(1);
     fleet.startControld(2);
     for (const std::string &it : keys) {
-        const auto again = keyed(fleet, 0, it);
+        const auto again = callWithKey(fleet, 0, it);
         CAPTURE(again.body);
         // Either the answer that was kept, or no run and no claim that it did not run.
         if (again.status != 200)
@@ -533,6 +533,6 @@
     }
     CHECK(runsOf(fleet)["doubled"].empty());
     // New keys are taken again once new tenures reach the present.
-    CHECK(keysReady(fleet, 3));
+    CHECK(waitForKeys(fleet, 3));
     CHECK(runsOf(fleet)["doubled"].empty());
 }
--- a/tests/process/platform_standins.cpp
+++ b/tests/process/platform_standins.cpp
@@ -17,9 +17,9 @@
 constexpr int kStreamEvents = 5;
 
 // Watches are held for less than is asked for, so that a test need not wait for them at its end.
-constexpr std::chrono::milliseconds kLongestWait{200};
+constexpr std::chrono::milliseconds kMaxWatchTime{200};
 // Calls that ask for no more than this are polls rather than watches.
-constexpr std::chrono::milliseconds kShortWait{10};
+constexpr std::chrono::milliseconds kMaxPollTime{10};
 
 std::string encode(const std::string &bytes)
 {
@@ -77,8 +77,8 @@
 {
     m_now.revision += 1;
     Item &item = m_now.items[key];
-    if (item.created == 0)
-        item.created = m_now.revision;
+    if (item.createRevision == 0)
+        item.createRevision = m_now.revision;
     item.value = value;
     item.revision = m_now.revision;
     item.lease = lease;
@@ -111,14 +111,14 @@
 {
     const std::lock_guard lock(m_mutex);
     m_down = down;
-    m_deafWatches = false;
+    m_watchesSilent = false;
     m_changed.notify_all();
 }
 
-void KeyValueStandin::setDeafWatches(bool deaf)
+void KeyValueStandin::setSilentWatches(bool silent)
 {
     const std::lock_guard lock(m_mutex);
-    m_deafWatches = deaf;
+    m_watchesSilent = silent;
 }
 
 void KeyValueStandin::forgetHistory()
@@ -179,14 +179,14 @@
 
 Answer KeyValueStandin::answer(const Request &request)
 {
-    Answer result = carryOut(request);
+    Answer result = execute(request);
     std::unique_lock lock(m_mutex);
     m_changed.wait(lock, [this] { return !m_stalled; });
     result.headers["Store-Era"] = std::to_string(m_epoch);
     return result;
 }
 
-Answer KeyValueStandin::carryOut(const Request &request)
+Answer KeyValueStandin::execute(const Request &request)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -205,43 +205,43 @@
     if (path == "/api/kv-lease")
         return grant(request);
     if (path.starts_with("/api/kv-keep/"))
-        return keep(lease);
+        return renewLease(lease);
     if (!path.starts_with("/api/kv-lease-end/"))
         return plain(404);
-    endLease(lease);
+    revokeLease(lease);
     return json(Json::object());
 }
 
 Answer KeyValueStandin::grant(const Request &request)
 {
-    const std::chrono::milliseconds life{Json::parse(request.body)["ttl_ms"].get<std::int64_t>()};
-    m_now.leases[++m_now.nextLease] = {life, life};
-    return json({{"lease", m_now.nextLease}, {"ttl_ms", life.count()}});
+    const std::chrono::milliseconds ttl{Json::parse(request.body)["ttl_ms"].get<std::int64_t>()};
+    m_now.leases[++m_now.nextLease] = {ttl, ttl};
+    return json({{"lease", m_now.nextLease}, {"ttl_ms", ttl.count()}});
 }
 
-Answer KeyValueStandin::keep(std::int64_t lease)
+Answer KeyValueStandin::renewLease(std::int64_t lease)
 {
     const auto it = m_now.leases.find(lease);
     if (it == m_now.leases.end())
         return plain(404);
-    it->second.left = it->second.life;
-    return json({{"ttl_ms", it->second.life.count()}});
+    it->second.remaining = it->second.ttl;
+    return json({{"ttl_ms", it->second.ttl.count()}});
 }
 
-void KeyValueStandin::passTime(std::chrono::nanoseconds time)
+void KeyValueStandin::advanceTime(std::chrono::nanoseconds time)
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<std::int64_t> over;
+    std::vector<std::int64_t> expired;
     for (auto &[id, lease] : m_now.leases) {
-        lease.left -= time;
-        if (lease.left <= lease.left.zero())
-            over.push_back(id);
+        lease.remaining -= time;
+        if (lease.remaining <= lease.remaining.zero())
+            expired.push_back(id);
     }
-    for (const std::int64_t it : over)
-        endLease(it);
+    for (const std::int64_t it : expired)
+        revokeLease(it);
 }
 
-void KeyValueStandin::endLease(std::int64_t lease)
+void KeyValueStandin::revokeLease(std::int64_t lease)
 {
     m_now.leases.erase(lease);
     std::vector<std::string> keys;
@@ -268,7 +268,7 @@
         items.push_back({{"private-key", it->first},
                          {"value", encode(it->second.value)},
                          {"revision", it->second.revision},
-                         {"made", it->second.created},
+                         {"made", it->second.createRevision},
                          {"lease", it->second.lease}});
     }
     return json({{"items", items}, {"more", more}, {"at", m_now.revision}});
@@ -277,14 +277,14 @@
 Answer KeyValueStandin::watch(const Request &request)
 {
     const std::int64_t after = std::stoll(queryValue(request.query, "after"));
-    std::chrono::milliseconds longest{std::stol(queryValue(request.query, "wait-ms"))};
+    std::chrono::milliseconds maxWait{std::stol(queryValue(request.query, "wait-ms"))};
     std::unique_lock lock(m_mutex);
-    if (m_deafWatches && longest > kShortWait) {
-        m_changed.wait_for(lock, longest, [&] { return m_down || !m_deafWatches; });
+    if (m_watchesSilent && maxWait > kMaxPollTime) {
+        m_changed.wait_for(lock, maxWait, [&] { return m_down || !m_watchesSilent; });
         return plain(503);
     }
-    longest = std::min(longest, kLongestWait);
-    m_changed.wait_for(lock, longest,
+    maxWait = std::min(maxWait, kMaxWatchTime);
+    m_changed.wait_for(lock, maxWait,
                        [&] { return m_now.revision != after || m_down || after < m_historyFrom; });
     if (m_down)
         return plain(503);
@@ -295,13 +295,13 @@
         if (it.revision <= after)
             continue;
         const auto item = m_now.items.find(it.key);
-        if (it.gone || item == m_now.items.end() || item->second.revision != it.revision)
+        if (it.isDeleted || item == m_now.items.end() || item->second.revision != it.revision)
             events.push_back({{"private-key", it.key}, {"revision", it.revision}, {"gone", true}});
         else
             events.push_back({{"private-key", it.key},
                               {"value", encode(item->second.value)},
                               {"revision", it.revision},
-                              {"made", item->second.created},
+                              {"made", item->second.createRevision},
                               {"lease", item->second.lease}});
     }
     return json({{"events", events}, {"at", m_now.revision}});
@@ -337,16 +337,17 @@
 {
     const std::lock_guard lock(m_mutex);
     m_fault = fault;
-    m_faults = requests;
+    m_faultyRequests = requests;
 }
 
-void UpstreamStandin::endUnder(const std::string &path, NextLife next,
-                               std::function<void(const std::string &, const std::string &)> ended)
+void UpstreamStandin::endOnRequest(
+    const std::string &path, NextLife next,
+    std::function<void(const std::string &, const std::string &)> ended)
 {
     const std::lock_guard lock(m_mutex);
-    m_endsUnder = path;
+    m_fatalPath = path;
     m_nextLife = next;
-    m_ended = std::move(ended);
+    m_onEnd = std::move(ended);
 }
 
 Answer UpstreamStandin::end()
@@ -355,7 +356,7 @@
     m_lives += 1;
     if (m_nextLife == NextLife::OtherId)
         m_instanceId = before.substr(0, before.find('.')) + "." + std::to_string(m_lives);
-    m_ended(before, m_instanceId);
+    m_onEnd(before, m_instanceId);
     Answer result;
     result.cutConnection = true;
     return result;
@@ -367,7 +368,7 @@
     m_breakAfter = events;
 }
 
-void UpstreamStandin::nameLimit(std::optional<std::string> limit)
+void UpstreamStandin::setLimit(std::optional<std::string> limit)
 {
     const std::lock_guard lock(m_mutex);
     m_limit = std::move(limit);
@@ -439,18 +440,18 @@
         return result;
     }
     Fault fault = Fault::None;
-    if (m_faults > 0) {
-        m_faults -= 1;
+    if (m_faultyRequests > 0) {
+        m_faultyRequests -= 1;
         fault = m_fault;
     }
-    if (fault == Fault::TurnAway) {
+    if (fault == Fault::Reject) {
         result.status = 503;
         result.headers["Not-Executed"] = "1";
         return result;
     }
     m_runs[id] += 1;
     m_last = request;
-    if (request.path == m_endsUnder)
+    if (request.path == m_fatalPath)
         return end();
     result.headers["Response-Seal"] = "sealed-by-" + m_instanceId;
     result.body = "answer to " + id;
--- a/tests/process/platform_standins.hpp
+++ b/tests/process/platform_standins.hpp
@@ -18,7 +18,7 @@
 namespace fordwood::process {
 
 // The users' platform's key-value store, as far as a node uses it: keys with revisions, leases that
-// run out only as passTime() says, ranges, watches, conditional writes.
+// run out only as advanceTime() says, ranges, watches, conditional writes.
 class KeyValueStandin
 {
 public:
@@ -35,7 +35,7 @@
     void setStalled(bool stalled);
 
     // Watches hear nothing of what changes, or hear again.
-    void setDeafWatches(bool deaf);
+    void setSilentWatches(bool silent);
 
     // Forgets what has changed so far: watches must begin anew.
     void forgetHistory();
@@ -46,7 +46,7 @@
     void restoreSnapshot();
 
     // Time of a paused clock has passed: leases that were not renewed meanwhile run out.
-    void passTime(std::chrono::nanoseconds time);
+    void advanceTime(std::chrono::nanoseconds time);
 
     std::int64_t revision();
 
@@ -59,29 +59,29 @@
     {
         std::string value;
         std::int64_t revision = 0;
-        std::int64_t created = 0;
+        std::int64_t createRevision = 0;
         std::int64_t lease = 0;
     };
     struct Lease
     {
-        std::chrono::milliseconds life{0};
-        std::chrono::nanoseconds left{0};
+        std::chrono::milliseconds ttl{0};
+        std::chrono::nanoseconds remaining{0};
     };
     struct Change
     {
         std::string key;
         std::int64_t revision = 0;
-        bool gone = false;
+        bool isDeleted = false;
     };
 
     standins::Answer answer(const standins::Request &request);
-    standins::Answer carryOut(const standins::Request &request);
+    standins::Answer execute(const standins::Request &request);
     standins::Answer range(const standins::Request &request);
     standins::Answer watch(const standins::Request &request);
     standins::Answer transact(const standins::Request &request);
     standins::Answer grant(const standins::Request &request);
-    standins::Answer keep(std::int64_t lease);
-    void endLease(std::int64_t lease);
+    standins::Answer renewLease(std::int64_t lease);
+    void revokeLease(std::int64_t lease);
     void write(const std::string &key, const std::string &value, std::int64_t lease);
     void erase(const std::string &key);
 
@@ -101,7 +101,7 @@
     std::vector<Change> m_history;
     std::int64_t m_historyFrom = 0;
     bool m_down = false;
-    bool m_deafWatches = false;
+    bool m_watchesSilent = false;
     bool m_stalled = false;
     std::unique_ptr<standins::BlockingServer> m_server;
 };
@@ -114,7 +114,7 @@
     UpstreamStandin(const std::string &address, std::string instanceId);
 
     // How the next requests go wrong.
-    enum class Fault { None, CutAfterRun, TurnAway, OtherRequestId, NoSeal, FailAfterRun };
+    enum class Fault { None, CutAfterRun, Reject, OtherRequestId, NoSeal, FailAfterRun };
     void setFault(Fault fault, int requests);
 
     // Under which id the next life of an upstream that has ended begins, at the same address.
@@ -122,11 +122,11 @@
 
     // From now on each request to the path ends this upstream while it runs: its connection breaks
     // and the next life begins. `ended` is told the ids of both lives.
-    void endUnder(const std::string &path, NextLife next,
-                  std::function<void(const std::string &, const std::string &)> ended);
+    void endOnRequest(const std::string &path, NextLife next,
+                      std::function<void(const std::string &, const std::string &)> ended);
 
     // What its answers say of its limit from now on; nothing: no such field.
-    void nameLimit(std::optional<std::string> limit);
+    void setLimit(std::optional<std::string> limit);
 
     // Whether its answers say from now on that it is draining.
     void setDraining(bool draining);
@@ -154,9 +154,9 @@
     standins::Answer end();
 
     std::string m_instanceId;
-    std::string m_endsUnder; // path
+    std::string m_fatalPath; // path
     NextLife m_nextLife = NextLife::OtherId;
-    std::function<void(const std::string &, const std::string &)> m_ended;
+    std::function<void(const std::string &, const std::string &)> m_onEnd;
     int m_lives = 1;
     std::mutex m_mutex;
     std::map<std::string, int> m_runs;
@@ -166,7 +166,7 @@
     std::optional<std::string> m_retryAfter;
     std::vector<std::chrono::steady_clock::time_point> m_arrivals;
     Fault m_fault = Fault::None;
-    int m_faults = 0;
+    int m_faultyRequests = 0;
     int m_breakAfter = 0;
     std::unique_ptr<standins::BlockingServer> m_server;
 };
--- a/tests/process/quarantine_test.cpp
+++ b/tests/process/quarantine_test.cpp
@@ -35,8 +35,8 @@
                 fleet.store.remove("servers/" + before);
             fleet.putUpstream(after, "ready", 1 + ends);
         };
-        fleet.first.endUnder(kFatal, next, ended);
-        fleet.second.endUnder(kFatal, next, ended);
+        fleet.first.endOnRequest(kFatal, next, ended);
+        fleet.second.endOnRequest(kFatal, next, ended);
     }
 
     // Sends it to a node once both nodes know the upstreams that there are now.
