--- a/tests/process/limit_test.cpp
+++ b/tests/process/limit_test.cpp
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Two overloaded engines named in their answers how many requests a second they take from all nodes
-// together. No node read that, and the requests went on as before: eight nodes sent 33 and 43
-// requests within four seconds to engines that named 2.7 and 2.9 a second and bear 21 and 22. What
-// settled it were the arrivals, 9.5 a second before the limit was named and 8.2 after, and lines
-// such as
+// Guards against nodes that ignore the request rate that an upstream reports as its limit for all
+// nodes together. Two overloaded engines reported 2.7 and 2.9 requests per second, which allows 21
+// and 22 requests within four seconds. Eight nodes ignored the limit and sent 33 and 43. The
+// arrival rate was 9.5 per second before the limit was reported and 8.2 after, and each node kept
+// sending after it had logged lines such as
 //   event=314 name=LimitNamed upstream="i-1" per_second="2.000000" source="a-17"
-// at each node, with sends to that upstream going on after them.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -22,10 +21,10 @@
 using RealClock = std::chrono::steady_clock;
 using Arrivals = std::vector<RealClock::time_point>;
 
-// Callers at some of the nodes, one at each, who come again at once.
+// One caller at each of the given nodes. A caller sends its next request 10 ms after each answer.
 struct Callers
 {
-    // The answers by status.
+    // Sends requests for the given time and returns the number of answers by status.
     std::map<long, int> callFor(const Deployment &fleet, RealClock::duration time)
     {
         std::map<long, int> all;
@@ -55,7 +54,7 @@
     std::atomic<int> begun{0};
 };
 
-// The most arrivals in four seconds, of those after `from`.
+// The highest number of arrivals in any four seconds after `from`.
 std::size_t busiest(const Arrivals &arrivals, RealClock::time_point from)
 {
     return fordwood::support::busiestWindow(arrivals, 4s, from);
@@ -63,7 +62,8 @@
 
 } // namespace
 
-TEST_CASE("node: what an upstream says of its limit is told by log and metrics [node][limit]")
+TEST_CASE(
+    "node: the limit that an upstream reports appears in the log and the metrics [node][limit]")
 {
     Deployment fleet;
     fleet.start();
@@ -88,7 +88,7 @@
             call();
             return fleet.metric("fordwood_unreadable_limits_total") > before;
         }));
-        CHECK(limited() == 1); // what was known holds
+        CHECK(limited() == 1); // the last valid limit stays in force
     }
     CHECK(fleet.logged(0, "event=317") == 1);
     fleet.first.setLimit(std::nullopt);
@@ -96,8 +96,8 @@
     CHECK(Fleet::waitFor([&] { return limited() == 0; }));
 }
 
-TEST_CASE("node: upstreams that name a limit get no more than that from all nodes together, and "
-          "callers beyond it are told when to come again [node][limit]")
+TEST_CASE("node: all nodes together stay within the limit that an upstream reports, and rejected "
+          "callers get a Retry-After [node][limit]")
 {
     Deployment fleet;
     fleet.start();
@@ -109,20 +109,20 @@
     callers.callFor(fleet, 3s);
     const auto limitsActiveFrom = RealClock::now();
     const std::map<long, int> answers = callers.callFor(fleet, 9s);
-    constexpr std::size_t kMaxArrivals = 17; // in four seconds: 1.5 x 2 x 4 + 5
+    constexpr std::size_t kMaxArrivals = 17; // within four seconds: 1.5 x 2 x 4 + 5
     for (UpstreamStandin *it : {&fleet.first, &fleet.second}) {
         CHECK(busiest(it->arrivals(), limitsActiveFrom) <= kMaxArrivals);
         CHECK(it->totalRuns() > 0);
     }
     REQUIRE(answers.contains(200));
-    CHECK(answers.at(200) >= 18); // of 36 at the rates that they name
+    CHECK(answers.at(200) >= 18); // of the 36 that both limits allow in nine seconds
     REQUIRE(answers.contains(503));
     CHECK(callers.lastRejection.body.find("upstream-limited") != std::string::npos);
     CHECK(callers.lastRejection.headers.contains("retry-after"));
 }
 
-TEST_CASE("node: in a fleet with relays, nodes learn of a limit that only others were told, and "
-          "the few that have callers divide it [node][limit][relays]")
+TEST_CASE("node: in a fleet with relays, nodes learn of limits that only other nodes received, and "
+          "the few nodes that have callers share them [node][limit][relays]")
 {
     constexpr int kNodes = 14;
     Deployment fleet;
@@ -146,9 +146,9 @@
     for (UpstreamStandin *it : {&fleet.first, &fleet.second})
         CHECK(busiest(it->arrivals(), limitsActiveFrom) <= 17); // 1.5 x 2 x 4 + 5
     REQUIRE(answers.contains(200));
-    CHECK(answers.at(200) >= 18); // of 36 at the rates that they name
+    CHECK(answers.at(200) >= 18); // of the 36 that both limits allow in nine seconds
 
-    // Lifted again: nodes without callers hear it from the others.
+    // Once the limits are removed, nodes without callers learn of it from the others.
     fleet.first.setLimit(std::nullopt);
     fleet.second.setLimit(std::nullopt);
     callers.callFor(fleet, 4s);
@@ -160,8 +160,8 @@
 }
 
 TEST_CASE(
-    "node: the limit of an upstream ends with its life, and a node that starts hears of those "
-    "that stand from its peers [node][limit][lives]")
+    "node: the limit of an upstream ends when the upstream restarts, and a node that starts gets "
+    "the current limits from its peers [node][limit][lives]")
 {
     Deployment fleet;
     fleet.start();
@@ -180,13 +180,14 @@
     REQUIRE(callUntilLimitedCount(0, 2));
     REQUIRE(Fleet::waitFor([&] { return limited(1) == 2; }));
 
-    // No answer names a limit any more: what ends it is the record of the next life.
+    // No answer contains a limit any more. The record of the restarted upstream removes the old
+    // limit.
     fleet.first.setLimit(std::nullopt);
     fleet.putUpstream("i-1", "ready", 2);
     for (const int node : {0, 1})
         CHECK(Fleet::waitFor([&] { return limited(node) == 1; }));
 
-    // It sends nothing itself.
+    // The restarted node sends no requests, so it can learn the limit only from its peer.
     const int logged = fleet.logged(0, "event=314");
     fleet.nodes.erase(fleet.nodes.begin());
     fleet.startNode(0);
@@ -195,8 +196,8 @@
     CHECK(fleet.logged(0, "event=314") == logged + 1);
 }
 
-TEST_CASE("node: that an upstream is draining, by its answers, is known to nodes without callers "
-          "and to those that start later, while the platform's store is away [node][drain]")
+TEST_CASE("node: when answers mark an upstream as draining, nodes without callers and nodes that "
+          "start later learn of it, also while the platform's store is unavailable [node][drain]")
 {
     Deployment fleet;
     fleet.start();
--- a/tests/process/node_test.cpp
+++ b/tests/process/node_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// fordwood-noded as a real process between callers, a store and upstreams of the users' platform.
+// Tests fordwood-noded as a real process, with stand-ins for the platform's store and upstreams.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -15,7 +15,7 @@
 using Json = nlohmann::json;
 using Fault = UpstreamStandin::Fault;
 
-TEST_CASE("node: without a configuration nothing is refused for good [node]")
+TEST_CASE("node: without a configuration, requests are rejected with a Retry-After [node]")
 {
     Deployment fleet;
     fleet.startNode(0);
@@ -26,8 +26,8 @@
     CHECK_FALSE(fleet.isReady(0));
 }
 
-TEST_CASE("node: a request reaches its upstream and its answer the caller, with head and team "
-          "[node][path]")
+TEST_CASE("node: a request reaches an upstream with its team, and the answer reaches the caller "
+          "with its headers [node][path]")
 {
     Deployment fleet;
     fleet.start();
@@ -43,7 +43,7 @@
     CHECK(std::stoi(upstream.lastField("Request-Deadline")) <= 4000);
 }
 
-TEST_CASE("node: no route, no key, a wrong key [node][bad-input]")
+TEST_CASE("node: requests without a route or a valid key are rejected [node][bad-input]")
 {
     Deployment fleet;
     fleet.start();
@@ -59,7 +59,8 @@
 }
 
 TEST_CASE(
-    "node: malformed requests get a clear answer, run nothing and stop nobody [node][bad-input]")
+    "node: malformed requests get an error status, run nothing and do not affect other requests "
+    "[node][bad-input]")
 {
     Deployment fleet;
     fleet.start();
@@ -90,8 +91,8 @@
     CHECK(fleet.metric("fordwood_refusals_total{reason=\"malformed-request\"}") >= 5);
 }
 
-TEST_CASE("node: a head that does not arrive whole is refused, and what follows late harms nobody "
-          "[node][bad-input]")
+TEST_CASE("node: a request with an incomplete head is rejected with 408, and later requests are "
+          "served [node][bad-input]")
 {
     Deployment fleet;
     fleet.start();
@@ -119,7 +120,8 @@
 }
 
 TEST_CASE(
-    "node: what may not be repeated runs once, and the caller is not told otherwise [node][once]")
+    "node: a request that is not repeatable runs once, also when its answer is lost or invalid "
+    "[node][once]")
 {
     Deployment fleet;
     fleet.start();
@@ -137,7 +139,7 @@
     }
 }
 
-TEST_CASE("node: what may be repeated is, at another upstream [node][retry]")
+TEST_CASE("node: a failed repeatable request is retried at another upstream [node][retry]")
 {
     Deployment fleet;
     fleet.start();
@@ -145,7 +147,7 @@
         const std::string id = "r-" + std::to_string(static_cast<int>(it));
         fleet.first.setFault(it, 1);
         HttpAnswer answer = fleet.call("GET", "/safe/1", id);
-        if (fleet.first.runs(id) == 0 && it != Fault::Reject) // the other one was chosen
+        if (fleet.first.runs(id) == 0 && it != Fault::Reject) // the other upstream was chosen
             answer = fleet.call("GET", "/safe/1", id);
         CHECK(answer.status == 200);
         CHECK(answer.body == "answer to " + id);
@@ -153,7 +155,7 @@
     }
 }
 
-TEST_CASE("node: a request that was turned away everywhere is refused as not run [node][not-run]")
+TEST_CASE("node: a request that all upstreams reject is reported as not run [node][not-run]")
 {
     Deployment fleet;
     fleet.start();
@@ -165,7 +167,7 @@
     CHECK(fleet.first.totalRuns() + fleet.second.totalRuns() == 0);
 }
 
-TEST_CASE("node: a stream that breaks goes on at another upstream, each event once, under one head "
+TEST_CASE("node: a broken stream resumes at another upstream, with each event once and one head "
           "[node][streams]")
 {
     Deployment fleet;
@@ -191,7 +193,7 @@
 }
 
 TEST_CASE(
-    "node: an upstream that drains, or whose record is gone, gets no more requests [node][leaving]")
+    "node: an upstream that is draining or has no record gets no more requests [node][leaving]")
 {
     Deployment fleet;
     fleet.start();
@@ -212,7 +214,7 @@
     }));
 }
 
-TEST_CASE("node: a configuration that cannot be read stays out of force [node][bad-input]")
+TEST_CASE("node: an invalid configuration is not applied [node][bad-input]")
 {
     Deployment fleet;
     fleet.start();
@@ -224,7 +226,7 @@
     CHECK(fleet.metric("fordwood_configuration_version") == 1);
 }
 
-TEST_CASE("node: a lost history costs nothing but a new read [node][outage]")
+TEST_CASE("node: when the store has lost its history, nodes read everything again [node][outage]")
 {
     Deployment fleet;
     fleet.start();
@@ -232,18 +234,18 @@
     fleet.putConfiguration(2, "/later/");
     fleet.store.remove("servers/i-2");
     fleet.store.forgetHistory();
-    CHECK(fleet.call("GET", "/safe/1", "r-1").status == 200); // served on what is known
+    CHECK(fleet.call("GET", "/safe/1", "r-1").status == 200); // served from the last known state
     fleet.store.setDown(false);
     CHECK(Fleet::waitFor([&] { return fleet.call("GET", "/later/1", "r-2").status == 200; }));
     CHECK(fleet.call("GET", "/safe/1", "r-3").status == 404);
 }
 
-TEST_CASE("node: a change is noticed although the watch hears nothing [node][outage]")
+TEST_CASE("node: a change is noticed although watches report nothing [node][outage]")
 {
     Deployment fleet;
     fleet.start();
     fleet.store.setSilentWatches(true);
-    // The watch that waits now ends; the next one is deaf.
+    // This write ends the watch that is open; the next watch reports nothing.
     fleet.store.put("other", "1");
     fleet.putConfiguration(2, "/later/");
     CHECK(Fleet::waitFor([&] { return fleet.call("GET", "/later/1", "r-1").status == 200; }));
@@ -253,11 +255,12 @@
     fleet.store.setDown(true);
 }
 
-TEST_CASE("node: one that the store turns away learns from its peers, changes too [node][peers]")
+TEST_CASE("node: a node that cannot reach the store gets the state and changes from its peers "
+          "[node][peers]")
 {
     Deployment fleet;
     fleet.start();
-    fleet.startNode(1, fleet.net + "99:7000"); // nothing listens there
+    fleet.startNode(1, fleet.net + "99:7000"); // an address where nothing listens
     REQUIRE(Fleet::waitFor([&] { return fleet.isReady(1); }));
     CHECK(fleet.call("GET", "/safe/1", "r-1", 1).status == 200);
     fleet.putConfiguration(2, "/later/");
@@ -266,12 +269,12 @@
 }
 
 TEST_CASE(
-    "node: an evacuated domain gets nothing, also by a node that only hears of it from a peer, "
-    "until that is taken back [node][evacuation]")
+    "node: no node sends requests to an evacuated domain until the evacuation is withdrawn, not "
+    "even a node that learns of it only from a peer [node][evacuation]")
 {
     Deployment fleet;
     fleet.start();
-    fleet.startNode(1, fleet.net + "99:7000"); // nothing listens there
+    fleet.startNode(1, fleet.net + "99:7000"); // an address where nothing listens
     REQUIRE(Fleet::waitFor([&] { return fleet.isReady(1); }));
     for (const int node : {0, 1})
         CHECK(fleet.call("GET", "/safe/1", "before-" + std::to_string(node), node).status == 200);
@@ -292,8 +295,8 @@
             [&] { return fleet.call("GET", "/safe/1", "after", node).status == 200; }));
 }
 
-TEST_CASE(
-    "node: a request that is bound to another region is refused, and runs nowhere [node][homes]")
+TEST_CASE("node: a request that is restricted to another region is rejected and does not run "
+          "[node][homes]")
 {
     Deployment fleet;
     fleet.start();
@@ -303,7 +306,8 @@
     CHECK(fleet.first.runs("r-1") + fleet.second.runs("r-1") == 0);
 }
 
-TEST_CASE("node: a planned stop is told at once, serves on, and ends by itself [node][stop]")
+TEST_CASE("node: during a planned stop a node reports unready, serves requests, and then exits "
+          "[node][stop]")
 {
     Deployment fleet;
     fleet.start();
@@ -317,7 +321,7 @@
     CHECK(fleet.nodes.front().wait() == 0);
 }
 
-TEST_CASE("node: a resting connection of a caller costs little memory, and serves again "
+TEST_CASE("node: an idle caller connection uses little memory and can be used again "
           "[node][memory]")
 {
     constexpr std::size_t kConnections = 1'000;
@@ -340,7 +344,7 @@
     }
     const std::size_t after = fleet.nodes.front().usage().residentBytes;
     const std::size_t each = (after - std::min(before, after)) / kConnections;
-    MESSAGE("bytes of resident memory for each resting connection: ", each);
+    MESSAGE("bytes of resident memory for each idle connection: ", each);
     CHECK(each <= kMaxBytesEach);
     CHECK(connections.front().exchange(request(9'999), "answer to r-9999"));
 }
--- a/tests/process/quarantine_test.cpp
+++ b/tests/process/quarantine_test.cpp
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: MIT
-// A caller sent one prompt again and again, each time under a new id, and every engine that began
-// to run it ended. Nineteen of a fleet's engines ended under it within seconds, and with each
-// whatever ran beside it; callers got 502, came back, and the next node sent the prompt to the next
-// engine. Nodes saw a new request each time: each of the 61 that failed had been sent once, so no
-// limit on retries applied, and nobody counted what had ended under it. What settled it were lines
-// such as
+// Guards against a request that crashes one engine after the other. A caller repeated one prompt
+// under a new id each time, and every engine that ran it crashed: nineteen engines within seconds,
+// each with all its other running requests. Callers got 502 and retried, and the next node sent the
+// prompt to the next engine. Retry limits did not apply, because each of the 61 failed requests had
+// a new id and was sent once, and no node counted the crashes per prompt. The log showed, for the
+// same team, context and sizes at twelve engines in eight seconds, lines such as
 //   event=402 name=AttemptFailed cause="partial message" events_passed="0"
 //   event=401 name=RequestEnded sends="1" outcome="upstream-broke" status="502"
-// for the same team, context and sizes at twelve engines in eight seconds.
 #include <doctest/doctest.h>
 
 #include "process/node_deployment.hpp"
@@ -18,7 +17,7 @@
 
 constexpr const char *kFatal = "/once/fatal";
 
-// Two nodes before two upstreams that end whenever they run the fatal request, and start anew.
+// Two nodes and two upstreams. An upstream that runs the fatal request crashes and restarts.
 class FatalRequest
 {
 public:
@@ -39,7 +38,7 @@
         fleet.second.endOnRequest(kFatal, next, ended);
     }
 
-    // Sends it to a node once both nodes know the upstreams that there are now.
+    // Sends the fatal request to a node once both nodes can reach the current upstreams.
     HttpAnswer send(int node)
     {
         for (const int it : {0, 1})
@@ -56,8 +55,8 @@
 
 } // namespace
 
-TEST_CASE("node: a request under which three upstreams have ended runs nowhere any more "
-          "[node][quarantine]")
+TEST_CASE("node: a request under which three upstreams have ended is not sent to any "
+          "upstream again [node][quarantine]")
 {
     FatalRequest fatal;
     Deployment &fleet = fatal.fleet;
@@ -69,21 +68,22 @@
     CHECK(refused.status == 503);
     CHECK(refused.body.find("request-quarantined") != std::string::npos);
     CHECK(refused.headers.contains("retry-after"));
-    // The other node hears of it, though all three ended under its peer's sends.
+    // The other node learns of the quarantine, although its peer sent the request to all three
+    // upstreams.
     CHECK(Fleet::waitFor([&] { return fleet.metric("fordwood_quarantined_requests", 1) == 1; }));
     CHECK(fatal.send(1).status == 503);
     CHECK(fatal.ends == 3);
 
-    // Requests that differ are served.
+    // Other requests are still served.
     CHECK(fleet.call("POST", "/once/other", "other").status == 200);
     CHECK(fleet.call("GET", "/safe/1", "read", 1).status == 200);
 
-    // A key that goes with its lease is written again.
+    // When the key in the store is lost with its lease, it is written again.
     CHECK(Fleet::waitFor([&] { return fleet.store.has("fordwood/quarantine/"); }));
     fleet.store.removeAll("fordwood/quarantine/");
     CHECK(Fleet::waitFor([&] { return fleet.store.has("fordwood/quarantine/"); }));
 
-    // A fleet that has lost all its processes still knows.
+    // The quarantine survives a restart of all nodes.
     fleet.nodes.clear();
     fleet.startNode(0);
     REQUIRE(Fleet::waitFor([&] { return fleet.isReady(0); }));
@@ -92,8 +92,8 @@
     CHECK(fatal.ends == 3);
 }
 
-TEST_CASE("node: a request that is held while the platform's store is away is held at the peers, "
-          "and written once the store is back [node][quarantine][outage]")
+TEST_CASE("node: a request that is quarantined while the platform's store is unavailable is also "
+          "quarantined at the peers, and stored once the store is back [node][quarantine][outage]")
 {
     FatalRequest fatal;
     Deployment &fleet = fatal.fleet;
@@ -113,14 +113,14 @@
     CHECK(fatal.ends == 3);
 }
 
-TEST_CASE("node: upstreams that start again under their id end as often as they have lives "
+TEST_CASE("node: each crash of an upstream that restarts under the same id counts "
           "[node][quarantine][lives]")
 {
     FatalRequest fatal(FatalRequest::NextLife::SameId);
     Deployment &fleet = fatal.fleet;
     while (fatal.ends < 3 && fatal.tries < 20) {
         fatal.send(0);
-        // Nothing but its birth tells the next life from the one that has ended.
+        // Only the start time distinguishes the restarted upstream from the one that crashed.
         for (const int it : {0, 1})
             REQUIRE(Fleet::waitFor([&] { return fleet.logged(it, "event=313") == fatal.ends; }));
     }
