--- a/tests/process/bad_input_test.cpp
+++ b/tests/process/bad_input_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a node does with input that is wrong: a clear answer, a counter, and on it goes.
+// Invalid input gets a clear error answer, is counted by reason, and does not stop the node.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
@@ -10,7 +10,8 @@
 using Json = nlohmann::json;
 
 TEST_CASE(
-    "bad input: every fault gets a clear answer and a counter, and the node goes on [bad-input]")
+    "bad input: every invalid request gets a clear answer and is counted, and the node goes on "
+    "[bad-input]")
 {
     Fleet fleet({1, 1, 1, 4, {}, "max_body_bytes = 100000\nread_timeout = \"1s\""});
     fleet.start();
@@ -137,7 +138,7 @@
         CHECK(rawCall(fleet.entryAddress(0), "GET /once\r\n\r\n").find("400") != std::string::npos);
         CHECK(fleet.metric(0, "fordwood_refusals_total", "malformed-request") >= 1);
     }
-    SUBCASE("two lengths for one body, on which a balancer and the node could differ")
+    SUBCASE("two Content-Length fields, which a load balancer and the node could read differently")
     {
         const auto answer = rawCall(fleet.entryAddress(0),
                                     "POST /once HTTP/1.1\r\nHost: x\r\n" + team
@@ -145,7 +146,7 @@
         CHECK(answer.find("400") != std::string::npos);
         CHECK(answer.find("malformed-request") != std::string::npos);
     }
-    SUBCASE("a caller that sends its head a byte at a time, or stops, is closed with 408")
+    SUBCASE("a caller that stops in the middle of its head gets 408")
     {
         const auto answer
             = rawCall(fleet.entryAddress(0), "POST /once HTTP/1.1\r\nHost: x\r\nX-Slow: ");
@@ -153,7 +154,7 @@
         CHECK(answer.find("not-run") != std::string::npos);
         CHECK(fleet.metric(0, "fordwood_refusals_total", "read-timeout") >= 1);
     }
-    SUBCASE("a caller that stops in the middle of its body is closed with 408")
+    SUBCASE("a caller that stops in the middle of its body gets 408")
     {
         const auto answer
             = rawCall(fleet.entryAddress(0), "POST /once HTTP/1.1\r\nHost: x\r\n" + team
--- a/tests/process/faults_test.cpp
+++ b/tests/process/faults_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Eight entry VMs under load while VMs are killed, one stops as planned, the platform is down, and
-// an upstream leaves.
+// Puts eight entry VMs under load while VMs are killed, one VM stops as planned, the platform is
+// down, and an upstream leaves.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -31,7 +31,7 @@
              "[[conversation]]\nteam = \"team-1\"\nkey = \"key-1\"\npath = \"/once\"\n";
 }
 
-// A VM fails: both of its processes are gone at once.
+// Kills both processes of a VM at once, as a VM failure does.
 void killVm(Fleet &fleet, int node)
 {
     fleet.entryds[static_cast<std::size_t>(node)].kill();
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("faults: only callers on killed VMs lose answers, and nothing runs twice [faults]")
+TEST_CASE("faults: only callers of killed VMs lose answers, and no request runs twice [faults]")
 {
     Fleet fleet({kNodes, 6, 4, 8, {"token_ms=5"}, ""});
     fleet.start();
@@ -66,7 +66,7 @@
     pause();
     killVm(fleet, 1);
     pause();
-    fleet.publishVms({"engine-0"}); // it leaves, and is gone soon after
+    fleet.publishVms({"engine-0"}); // the engine is leaving
     setOutage(true);
     killVm(fleet, 2);
     startVm(fleet, 1); // starts during the outage
@@ -75,7 +75,7 @@
     pause();
     setOutage(false);
     pause();
-    fleet.controlds[4].kill(); // control alone, while requests run
+    fleet.controlds[4].kill(); // only the control process, while requests run
     fleet.startControld(4);
     startVm(fleet, 2);
     load.join();
@@ -91,8 +91,8 @@
         CAPTURE(node);
         answered += count(result, target, "answered");
         const bool killed = node == 1 || node == 2;
-        // After its planned stop a VM takes no more connections; the balancer has taken it out by
-        // then.
+        // After its planned stop a VM accepts no connections. In production the load balancer has
+        // removed it by then, so its lost requests are not checked.
         if (!killed && node != 3)
             CHECK(count(result, target, "lost") == 0);
         if (!killed) {
--- a/tests/process/fleet.cpp
+++ b/tests/process/fleet.cpp
@@ -43,7 +43,7 @@
     return bound;
 }
 
-// A loopback network that no other fleet uses now.
+// Finds a loopback network that no other running fleet uses.
 std::string findNetwork()
 {
     const int start = static_cast<int>(getpid());
@@ -172,7 +172,7 @@
     return ctl({"submit", file, "--platform", platformAddress()}, output);
 }
 
-// The example with the addresses of this fleet's stand-ins in place of its own.
+// The example configuration, with its addresses replaced by those of this fleet's stand-ins.
 std::string Fleet::exampleConfiguration() const
 {
     const std::string folder = std::string(FORDWOOD_EXAMPLES) + "/" + m_size.example + "/";
@@ -192,7 +192,7 @@
     return out.str();
 }
 
-// What the engines were told to compute a second.
+// The prompt tokens per second that the engines are started with.
 std::string Fleet::prefillRate() const
 {
     constexpr std::string_view kOption = "prefill_rate=";
--- a/tests/process/fleet.hpp
+++ b/tests/process/fleet.hpp
@@ -12,7 +12,7 @@
 
 namespace fordwood::process {
 
-// How large a fleet of real processes is.
+// The size and options of a fleet of real processes.
 struct FleetSize
 {
     int nodes = 3;
@@ -20,14 +20,14 @@
     int domains = 3;
     int engineSlots = 8;
     std::vector<std::string> engineOptions{"token_ms=1"}; // for standin-engine
-    std::string entrySettings; // further lines of [entry]
-    bool refusesWhenFull = false; // engines are sent to without permits while they have places
-    bool resumes = false; // engines go on with streams that broke elsewhere
-    std::string example = {}; // of the folder examples/, instead of the standard configuration
+    std::string entrySettings; // further lines of the section [entry]
+    bool refusesWhenFull = false; // engines with free slots get requests without permits
+    bool resumes = false; // engines can resume streams that broke at another engine
+    std::string example = {}; // in examples/; replaces the standard configuration
 };
 
-// A fleet on one machine: stand-ins and entry VMs as processes on loopback addresses that no other
-// fleet uses. Everything stops when the object goes.
+// A fleet on one machine: stand-ins and entry VMs run as processes on loopback addresses that no
+// other fleet uses. The destructor stops all processes.
 class Fleet
 {
 public:
@@ -43,20 +43,21 @@
     void startControld(int node);
     void startEngine(int engine);
 
-    // Runs fordwoodctl and gives its exit code; what it printed is in `output`.
+    // Runs fordwoodctl and returns its exit code; `output` receives what it printed.
     int ctl(const std::vector<std::string> &arguments, std::string *output = nullptr);
 
-    // Runs fordwood-load on a workload text and gives its exit code and JSON result.
+    // Runs fordwood-load on a workload text and returns its exit code; `result` receives the JSON
+    // result.
     int load(const std::string &workload, std::string &result,
              const std::vector<std::string> &options = {});
 
-    // Submits a configuration text; gives the exit code.
+    // Submits a configuration text and returns the exit code of fordwoodctl.
     int submit(const std::string &text, std::string *output = nullptr);
 
-    // The standard configuration; `edit` may change the text before it is used.
+    // The text of the configuration that start() submits.
     std::string configuration() const;
 
-    // Publishes the VM list; the named VMs are shown as leaving.
+    // Publishes the VM list, with the named VMs in state "leaving".
     void publishVms(const std::vector<std::string> &leaving = {});
 
     std::string caller(int node) const; // http://IP:port
@@ -72,12 +73,13 @@
     int nodes() const { return m_size.nodes; }
     int engines() const { return m_size.engines; }
 
-    // The value of a metric of a node's entryd, summed over its labels that contain `label`.
+    // The value of a metric of a node's entryd, summed over all series whose labels contain
+    // `label`.
     double metric(int node, const std::string &name, const std::string &label = "") const;
 
     std::vector<std::string> addresses(const std::function<std::string(int)> &of, int n) const;
 
-    // Waits until the condition holds; false when it does not within a minute.
+    // Waits until the condition is true; returns false when that takes more than a minute.
     static bool waitFor(const std::function<bool()> &condition);
 
     static std::string bearer(int team = 0);
--- a/tests/process/http.cpp
+++ b/tests/process/http.cpp
@@ -74,7 +74,7 @@
 
 namespace {
 
-// Connects and sends; -1 when no connection can be made.
+// Connects, sends the bytes and returns the socket; -1 when the connection fails.
 int sendBytes(const std::string &address, const std::string &bytes)
 {
     const auto target = adapters::parseSocketAddress(address);
@@ -98,7 +98,7 @@
 
 namespace {
 
-// Reads until `enough` is in what came, or the peer closes.
+// Reads until the received bytes contain `enough` or the peer closes the connection.
 std::string readUntil(int fd, const std::string &enough)
 {
     std::string received;
--- a/tests/process/http.hpp
+++ b/tests/process/http.hpp
@@ -8,16 +8,16 @@
 
 namespace fordwood::process {
 
-// An answer as a test sees it.
+// An answer as the caller receives it.
 struct HttpAnswer
 {
     int status = 0; // zero: no answer
     std::map<std::string, std::string> headers; // names in lower case
     std::string body;
-    bool whole = false; // ended as HTTP says it must
+    bool whole = false; // complete according to HTTP framing
 };
 
-// Sends one request and waits for its end.
+// Sends one request and waits until its answer ends.
 HttpAnswer httpCall(const std::string &method, const std::string &url, const std::string &body = "",
                     const std::vector<std::string> &headers = {});
 
@@ -32,7 +32,8 @@
     IdleConnection &operator=(const IdleConnection &) = delete;
     ~IdleConnection();
 
-    // Sends raw bytes and reads until `enough` is in what came; false when the peer closes first.
+    // Sends raw bytes and reads until the received bytes contain `enough`; false when the peer
+    // closes the connection first.
     bool exchange(const std::string &bytes, const std::string &enough);
 
 private:
@@ -42,7 +43,8 @@
 // Sends raw bytes to "IP:port" and closes the connection without reading.
 void sendAndClose(const std::string &address, const std::string &bytes);
 
-// Sends raw bytes to "IP:port" and reads until the peer closes or `enough` is in what came.
+// Sends raw bytes to "IP:port" and reads until the peer closes the connection or the received bytes
+// contain `enough`.
 std::string rawCall(const std::string &address, const std::string &bytes,
                     const std::string &enough = "");
 
--- a/tests/process/node_deployment.hpp
+++ b/tests/process/node_deployment.hpp
@@ -27,7 +27,7 @@
     return "127.70." + std::to_string(n) + ".";
 }
 
-// A store, two upstreams and up to two nodes.
+// A store and two upstreams, all stand-ins, and the node processes that a test starts.
 class Deployment
 {
 public:
@@ -51,7 +51,7 @@
         return "http://" + host(node) + ":8080" + path;
     }
 
-    // `storeAddress`: another one than that of the store, for a node that cannot reach it.
+    // `storeAddress` replaces the store's address, for a node that cannot reach the store.
     void startNode(int node, const std::string &storeAddress = "", const std::string &domain = "x")
     {
         const std::string path = folder + "/node-" + std::to_string(node) + ".toml";
@@ -71,7 +71,7 @@
             folder + "/node-" + std::to_string(node) + ".log");
     }
 
-    // `life`: which one of those under the id.
+    // `life` numbers the restarts under this id; a higher one has a later start time.
     void putUpstream(const std::string &id, const std::string &state = "ready", int life = 1)
     {
         const std::string address = net + (id.starts_with("i-1") ? "2" : "3") + ":8000";
@@ -111,7 +111,7 @@
         store.put("op/config", config.dump());
     }
 
-    // A node before two upstreams, ready.
+    // Starts one node with both upstreams and waits until it is ready.
     void start()
     {
         putConfiguration(1);
@@ -134,7 +134,7 @@
                          "Request-Deadline: 4000"});
     }
 
-    // How often a node has logged the text.
+    // The number of lines in the log of a node that contain the text.
     int logged(int node, const std::string &text) const
     {
         std::ifstream in(folder + "/node-" + std::to_string(node) + ".log");
--- a/tests/process/platform_standins.cpp
+++ b/tests/process/platform_standins.cpp
@@ -16,9 +16,9 @@
 
 constexpr int kStreamEvents = 5;
 
-// Watches are held for less than is asked for, so that a test need not wait for them at its end.
+// Watches end earlier than requested, so that a test need not wait for them at its end.
 constexpr std::chrono::milliseconds kMaxWatchTime{200};
-// Calls that ask for no more than this are polls rather than watches.
+// Calls with a wait of at most this are polls rather than watches.
 constexpr std::chrono::milliseconds kMaxPollTime{10};
 
 std::string encode(const std::string &bytes)
@@ -255,7 +255,7 @@
 
 Answer KeyValueStandin::range(const Request &request)
 {
-    constexpr std::size_t kPage = 2; // small, so that every read has pages
+    constexpr std::size_t kPage = 2; // small, so that reads need several pages
     const std::string after = queryValue(request.query, "after");
     const std::lock_guard lock(m_mutex);
     Json items = Json::array();
--- a/tests/process/platform_standins.hpp
+++ b/tests/process/platform_standins.hpp
@@ -17,40 +17,40 @@
 
 namespace fordwood::process {
 
-// The users' platform's key-value store, as far as a node uses it: keys with revisions, leases that
-// run out only as advanceTime() says, ranges, watches, conditional writes.
+// Stand-in for the platform's key-value store, with the functions that a node uses: keys with
+// revisions, leases, ranges, watches and conditional writes. Leases expire only in advanceTime().
 class KeyValueStandin
 {
 public:
     explicit KeyValueStandin(const std::string &address);
 
-    // Writes as the operators or the upstreams do.
+    // Write and remove keys as operators and upstreams do.
     void put(const std::string &key, const std::string &value);
     void remove(const std::string &key);
 
-    // From now on every call is turned away, or no longer.
+    // While down, every call is rejected with 503. Also ends setSilentWatches(true).
     void setDown(bool down);
 
-    // Calls are taken and carried out, but their answers are held back until it is over.
+    // While stalled, calls are executed, but their answers are held back.
     void setStalled(bool stalled);
 
-    // Watches hear nothing of what changes, or hear again.
+    // While silent, watches report no changes; polls with a short wait still do.
     void setSilentWatches(bool silent);
 
-    // Forgets what has changed so far: watches must begin anew.
+    // Discards the history of changes. Watches from earlier revisions are rejected with 410.
     void forgetHistory();
 
-    // Comes back from a copy as it stood at takeSnapshot(): keys, leases and revisions of then, and
-    // the epoch rises.
+    // restoreSnapshot() restores the keys, leases and revisions of the last takeSnapshot() and
+    // increments the epoch, as a store that is restored from a backup does.
     void takeSnapshot();
     void restoreSnapshot();
 
-    // Time of a paused clock has passed: leases that were not renewed meanwhile run out.
+    // Advances the time of all leases. Leases whose TTL has passed without a renewal expire.
     void advanceTime(std::chrono::nanoseconds time);
 
     std::int64_t revision();
 
-    // Whether there is a key that begins so; takes all of them away.
+    // Whether a key with the prefix exists; removes all keys with the prefix.
     bool has(const std::string &prefix);
     void removeAll(const std::string &prefix);
 
@@ -106,44 +106,44 @@
     std::unique_ptr<standins::BlockingServer> m_server;
 };
 
-// An upstream of the users' platform: a plain service, or an engine that answers with a stream.
-// Counts the runs of each request.
+// Stand-in for an upstream of the platform: a plain service, or an engine that streams its answer.
+// Counts how often each request ran.
 class UpstreamStandin
 {
 public:
     UpstreamStandin(const std::string &address, std::string instanceId);
 
-    // How the next requests go wrong.
+    // How the next requests fail.
     enum class Fault { None, CutAfterRun, Reject, OtherRequestId, NoSeal, FailAfterRun };
     void setFault(Fault fault, int requests);
 
-    // Under which id the next life of an upstream that has ended begins, at the same address.
+    // The id under which a crashed upstream restarts, at the same address.
     enum class NextLife { OtherId, SameId };
 
-    // From now on each request to the path ends this upstream while it runs: its connection breaks
-    // and the next life begins. `ended` is told the ids of both lives.
+    // From now on each request to the path crashes this upstream: the connection breaks and the
+    // upstream restarts. `ended` is called with the ids before and after the restart.
     void endOnRequest(const std::string &path, NextLife next,
                       std::function<void(const std::string &, const std::string &)> ended);
 
-    // What its answers say of its limit from now on; nothing: no such field.
+    // Sets the limit that answers report from now on; nullopt: answers have no such field.
     void setLimit(std::optional<std::string> limit);
 
-    // Whether its answers say from now on that it is draining.
+    // Sets whether answers report from now on that the upstream is draining.
     void setDraining(bool draining);
 
-    // From now on it rejects every request and asks for this backoff, in the field's own text;
-    // nothing: it rejects none.
+    // From now on every request is rejected with this text as Retry-After; nullopt: no request is
+    // rejected.
     void rejectWithBackoff(std::optional<std::string> retryAfter);
 
-    // When requests arrived, whatever became of them.
+    // When requests for this instance arrived, including rejected ones.
     std::vector<std::chrono::steady_clock::time_point> arrivals();
 
-    // A stream breaks after so many events, in the middle of the next one.
+    // Streams break off in the middle of the event that follows the given number of events.
     void breakStreamsAfter(int events);
 
     int runs(const std::string &requestId);
     int totalRuns();
-    // A field of the last request that was run.
+    // A header field of the last request that ran.
     std::string lastField(const std::string &name);
 
 private:
@@ -154,7 +154,7 @@
     standins::Answer end();
 
     std::string m_instanceId;
-    std::string m_fatalPath; // path
+    std::string m_fatalPath; // requests to it crash this upstream
     NextLife m_nextLife = NextLife::OtherId;
     std::function<void(const std::string &, const std::string &)> m_onEnd;
     int m_lives = 1;
--- a/tests/process/process.cpp
+++ b/tests/process/process.cpp
@@ -25,7 +25,7 @@
     m_pid = fork();
     if (m_pid != 0)
         return;
-    prctl(PR_SET_PDEATHSIG, SIGKILL); // a test that dies leaves nothing behind
+    prctl(PR_SET_PDEATHSIG, SIGKILL); // no process outlives a crashed test
     const int log = open(logFile.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0644);
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
@@ -83,7 +83,8 @@
     std::istringstream fields(text.substr(text.rfind(')') + 1));
     std::string field;
     long ticks = 0;
-    // After the name: state is field 3 of the file; user and system time are 14 and 15.
+    // After the program name the file goes on with field 3, the state. Fields 14 and 15 are the
+    // user time and the system time.
     for (int it = 3; it <= 15 && fields >> field; ++it)
         ticks += it >= 14 ? std::stol(field) : 0;
     usage.processorTime = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
--- a/tests/process/process.hpp
+++ b/tests/process/process.hpp
@@ -11,14 +11,14 @@
 
 namespace fordwood::process {
 
-// What a process has used so far.
+// The resources that a process has used so far.
 struct Usage
 {
     Duration processorTime{0};
     std::size_t residentBytes = 0;
 };
 
-// A program started by a test or a bench. Killed when the object goes, if it still runs.
+// A program started by a test or a benchmark. The destructor kills it if it is still running.
 class Process
 {
 public:
@@ -30,16 +30,16 @@
 
     bool started() const { return m_pid > 0; }
 
-    // Sends a signal.
     void signal(int number) const;
 
-    // Waits for the end and gives the exit code, or minus the signal that ended it.
+    // Waits for the end and returns the exit code, or the negative number of the signal that ended
+    // the process.
     int wait();
 
-    // Asks for a planned stop and waits for it.
+    // Sends SIGTERM, which requests a planned stop, and waits for the end.
     int terminate();
 
-    // Ends it at once, as a VM failure does.
+    // Sends SIGKILL, as a model of a VM failure, and waits for the end.
     void kill();
 
     Usage usage() const;
@@ -48,8 +48,9 @@
     pid_t m_pid = -1;
 };
 
-// The path of one of our programs: in `folder`, or in the folders of FORDWOOD_BUILDS (separated by
-// colons) in turn, each call for a program taking the next. So a fleet mixes two builds.
+// The path of a Fordwood program in `folder`. When the environment variable FORDWOOD_BUILDS lists
+// folders, separated by colons, successive calls for a program use these in turn instead, so that a
+// fleet mixes several builds.
 std::string programPath(const std::string &folder, const std::string &name);
 
 } // namespace fordwood::process
