--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The whole path with real processes.
+// Tests the path from caller to upstream with real processes.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("path: streamed, whole, plain and refused requests through every node [path]")
+TEST_CASE("path: streamed, complete, plain and rejected requests through every node [path]")
 {
     Fleet fleet;
     fleet.start();
@@ -90,7 +90,8 @@
 }
 
 TEST_CASE(
-    "path: 2000 requests through three nodes, none lost, doubled, truncated or crossed [path]")
+    "path: of 2000 requests through three nodes none is lost, run twice, truncated or mixed up "
+    "[path]")
 {
     Fleet fleet;
     fleet.start();
@@ -105,7 +106,7 @@
     CHECK(json["outcomes"]["answered"].get<int>() + json["outcomes"]["refused"].get<int>() == 2000);
 }
 
-TEST_CASE("path: a caller that leaves mid-stream has its run cancelled [caller]")
+TEST_CASE("path: the run is cancelled when the caller disconnects mid-stream [caller]")
 {
     Fleet fleet({1, 1, 1, 1, {"token_ms=50"}, ""});
     fleet.start();
@@ -126,7 +127,7 @@
               .whole);
 }
 
-TEST_CASE("path: a caller that leaves before its first token has its run cancelled [caller]")
+TEST_CASE("path: the run is cancelled when the caller disconnects before the first token [caller]")
 {
     Fleet fleet({1, 1, 1, 1, {"token_ms=1", "prefill_rate=10"}, ""});
     fleet.start();
@@ -143,7 +144,7 @@
     }));
 }
 
-TEST_CASE("path: a request that is not repeatable is not sent twice over a dying connection [once]")
+TEST_CASE("path: a request that is not repeatable is not resent when its connection breaks [once]")
 {
     Fleet fleet({1, 1, 1, 1, {}, ""});
     fleet.start();
@@ -152,7 +153,7 @@
         return httpCall("POST", fleet.caller(0) + path, "x",
                         {Fleet::bearer(), "X-Request-Id: " + id});
     };
-    // A connection to the upstream is now open and idle, ready to be used again.
+    // Leaves an idle connection to the upstream, which the next request reuses.
     REQUIRE(call("/once", "first").status == 200);
     httpCall("PUT", faults, R"({"close_after_run": 1})");
     const auto cut = call("/once", "second");
@@ -164,14 +165,14 @@
     CHECK(runs["distinct"] == 2);
 }
 
-TEST_CASE(
-    "path: what the upstream says it did not run is sent again, also if not repeatable [retry]")
+TEST_CASE("path: a request that the upstream reports as not run is retried, even if not repeatable "
+          "[retry]")
 {
     Fleet fleet({1, 2, 1, 4, {}, ""});
     fleet.start();
     for (int it = 0; it < 2; ++it)
         httpCall("PUT", "http://" + fleet.engineAddress(it) + "/faults", R"({"refuse": 1})");
-    // Both engines refuse once: the first refusal is retried elsewhere, so is the second.
+    // Both engines reject once, and each rejection is retried at the other engine.
     const auto answer = httpCall("POST", fleet.caller(0) + "/v1/chat/completions", completion(true),
                                  {Fleet::bearer(), "Fordwood-Repeatable: false"});
     CHECK(answer.status == 200);
@@ -180,7 +181,7 @@
 }
 
 TEST_CASE(
-    "path: an answer that breaks off ends with an error event, never like a whole one [whole]")
+    "path: an answer that breaks off ends with an error event, not like a complete one [whole]")
 {
     Fleet fleet({1, 1, 1, 4, {}, ""});
     fleet.start();
@@ -195,7 +196,7 @@
 }
 
 TEST_CASE(
-    "path: a stream whose engine dies goes on at another, with no token lost or doubled [whole]")
+    "path: a stream whose engine dies resumes at another, with no token lost or repeated [whole]")
 {
     FleetSize size{1, 3, 1, 4, {"token_ms=20"}, ""};
     size.resumes = true;
@@ -215,7 +216,7 @@
         return serving >= 0;
     });
     REQUIRE(serving >= 0);
-    // Some tokens have been passed on by the time of a second request's whole answer.
+    // Once a second request is answered, the stream has forwarded some tokens.
     httpCall("POST", fleet.caller(0) + "/v1/chat/completions", completion(false, 4),
              {Fleet::bearer()});
     fleet.engineProcesses[static_cast<std::size_t>(serving)].kill();
@@ -233,7 +234,7 @@
     CHECK(fleet.metric(0, "fordwood_resumed_streams_total") == 1);
 }
 
-TEST_CASE("path: new weights are loaded while requests run, and none is lost [weights]")
+TEST_CASE("path: new weights are loaded while requests run, and no request is lost [weights]")
 {
     Fleet fleet({3, 4, 3, 8, {"token_ms=5", "load_ms=300"}, ""});
     fleet.start();
@@ -257,7 +258,8 @@
     }
 }
 
-TEST_CASE("path: a team finds its own context in an engine, and no other team's [isolation]")
+TEST_CASE(
+    "path: a team reuses its own context in an engine, but not that of other teams [isolation]")
 {
     Fleet fleet({1, 1, 1, 8, {}, ""});
     fleet.start();
@@ -272,11 +274,11 @@
     };
     const int first = uncachedAfter(0);
     CHECK(first >= 1024);
-    CHECK(uncachedAfter(0) == first); // all of it was there
-    CHECK(uncachedAfter(1) == 2 * first); // none of it was
+    CHECK(uncachedAfter(0) == first); // all of it was cached
+    CHECK(uncachedAfter(1) == 2 * first); // none of it was cached for this team
 }
 
-TEST_CASE("path: both example configurations serve at their full size [examples]")
+TEST_CASE("path: both example configurations serve requests at their full size [examples]")
 {
     struct Example
     {
@@ -313,7 +315,7 @@
     }
 }
 
-TEST_CASE("path: controld dies and comes back while streams run and requests arrive [recovery]")
+TEST_CASE("path: controld is killed and restarted while streams run and requests arrive [recovery]")
 {
     Fleet fleet({1, 2, 1, 8, {"token_ms=20"}, ""});
     fleet.start();
@@ -335,7 +337,7 @@
     CHECK(httpCall("GET", fleet.caller(0) + "/readyz").status == 200);
 }
 
-TEST_CASE("path: a planned stop finishes every answer and refuses new requests truly unrun [stop]")
+TEST_CASE("path: a planned stop finishes every answer and rejects new requests as not run [stop]")
 {
     Fleet fleet({1, 1, 1, 4, {"token_ms=20"}, ""});
     fleet.start();
@@ -362,8 +364,7 @@
     CHECK(streamed.body.find("[DONE]") != std::string::npos);
 }
 
-TEST_CASE(
-    "path: an upstream that leaves gets no new work, from the list or the configuration [leaving]")
+TEST_CASE("path: an upstream that the VM list marks as leaving gets no new requests [leaving]")
 {
     Fleet fleet({2, 2, 1, 8, {}, ""});
     fleet.start();
@@ -380,7 +381,8 @@
                    != std::string::npos;
         }));
     }
-    // From here on no permit is given and no entry node sends; the last ones sent are over at once.
+    // From here on no permit is granted and no entry node sends. No earlier request is still
+    // running.
     CHECK(Fleet::waitFor([&] {
         return fleet.metric(0, "fordwood_leaving_upstreams") == 1
                && fleet.metric(1, "fordwood_leaving_upstreams") == 1;
@@ -403,7 +405,7 @@
 
 namespace {
 
-// A version 7 UUID issued now.
+// Returns a UUID of version 7 with the current time.
 std::string newKey(int number)
 {
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -427,7 +429,7 @@
     return Json::parse(httpCall("GET", "http://" + fleet.serviceAddress() + "/runs").body);
 }
 
-// Waits until keys are taken: tenures must reach the present first.
+// Waits until the nodes accept idempotency keys, which needs tenures that cover the present.
 bool waitForKeys(const Fleet &fleet, int nodes)
 {
     int number = 1000;
@@ -441,7 +443,7 @@
 
 } // namespace
 
-TEST_CASE("path: a planned stop of a VM hands its keys to the others [at-most-once][stop]")
+TEST_CASE("path: a planned stop of a VM hands its keys over to the other VMs [at-most-once][stop]")
 {
     Fleet fleet;
     fleet.start();
@@ -450,7 +452,7 @@
     for (int it = 0; it < 30; ++it) {
         keys.push_back(newKey(it));
         CHECK(callWithKey(fleet, it % fleet.nodes(), keys.back()).status == 200);
-        // The holder has heard of the end.
+        // Wait until the holder has recorded the answer.
         CHECK(Fleet::waitFor([&] { return callWithKey(fleet, 0, keys.back()).status == 200; }));
     }
     const int before = runsOf(fleet)["total"];
@@ -459,7 +461,7 @@
     fleet.controlds[0].signal(SIGTERM);
     CHECK(fleet.controlds[0].wait() == 0);
     for (const std::string &it : keys) {
-        // The others hear of the stop a moment later.
+        // The other nodes learn of the stop a moment later.
         HttpAnswer again;
         CHECK(Fleet::waitFor([&] {
             again = callWithKey(fleet, 1, it);
@@ -471,7 +473,7 @@
     CHECK(runsOf(fleet)["total"] == before);
 }
 
-TEST_CASE("path: the same key runs once, whichever nodes it is sent to [at-most-once]")
+TEST_CASE("path: requests with the same key run once, whichever nodes receive them [at-most-once]")
 {
     Fleet fleet;
     fleet.start();
@@ -480,7 +482,7 @@
         const std::string key = newKey(it);
         const auto first = callWithKey(fleet, it % 3, key);
         CHECK(first.status == 200);
-        // The holder may hear of the end a moment after the caller does.
+        // The holder may record the answer a moment after the caller has received it.
         HttpAnswer again;
         CHECK(Fleet::waitFor([&] {
             again = callWithKey(fleet, (it + 1) % 3, key);
@@ -494,7 +496,7 @@
     CHECK(callWithKey(fleet, 0, "no-uuid").status == 400);
 }
 
-TEST_CASE("path: a key that may have run is not run again, also after its answer was lost")
+TEST_CASE("path: a request with a key that may have run is not run again after its answer was lost")
 {
     Fleet fleet;
     fleet.start();
@@ -510,7 +512,7 @@
     CHECK(runsOf(fleet)["doubled"].empty());
 }
 
-TEST_CASE("path: when the holder of a key dies, the key is not run by another [at-most-once]")
+TEST_CASE("path: when the holder of a key dies, the request is not run again [at-most-once]")
 {
     Fleet fleet;
     fleet.start();
@@ -527,12 +529,12 @@
     for (const std::string &it : keys) {
         const auto again = callWithKey(fleet, 0, it);
         CAPTURE(again.body);
-        // Either the answer that was kept, or no run and no claim that it did not run.
+        // Either the stored answer, or an error that does not claim that the request did not run.
         if (again.status != 200)
             CHECK(again.headers.at("fordwood-verdict") != "not-run");
     }
     CHECK(runsOf(fleet)["doubled"].empty());
-    // New keys are taken again once new tenures reach the present.
+    // New keys are accepted again once new tenures cover the present.
     CHECK(waitForKeys(fleet, 3));
     CHECK(runsOf(fleet)["doubled"].empty());
 }
--- a/tests/standins/blocking_server.hpp
+++ b/tests/standins/blocking_server.hpp
@@ -11,7 +11,7 @@
 
 namespace fordwood::standins {
 
-// A request to a stand-in, whole.
+// A complete request to a stand-in.
 struct Request
 {
     std::string method;
@@ -23,21 +23,21 @@
     std::string header(const std::string &name) const;
 };
 
-// What a stand-in answers.
+// The answer of a stand-in.
 struct Answer
 {
     int status = 200;
     std::string contentType = "application/json";
     std::string body;
     std::map<std::string, std::string> headers;
-    // Called again and again for the parts of a streamed answer, until it gives an empty text. It
-    // may block. `left` becomes true in the last call when the client is gone.
+    // Called repeatedly for the parts of a streamed answer until it returns an empty text. It may
+    // block. When the client has disconnected, it is called once more, with `left` set to true.
     std::function<std::string(bool left)> nextPart;
     bool cutConnection = false; // close the connection without an answer
-    bool cutAfterParts = false; // close a streamed answer without its proper end
+    bool cutAfterParts = false; // close the connection without the final chunk
 };
 
-// A small HTTP server with a thread for each connection, so that handlers may simply sleep.
+// A small HTTP server with a thread for each connection, so that handlers may block.
 class BlockingServer
 {
 public:
@@ -56,7 +56,7 @@
     MHD_Daemon *m_daemon = nullptr;
 };
 
-// Waits for SIGTERM or SIGINT. Call blockSignals() first, before any thread is started.
+// waitForSignal() waits for SIGTERM or SIGINT. Call blockSignals() before any thread starts.
 void blockSignals();
 void waitForSignal();
 
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Stand-in for a model engine: OpenAI-style completions with prefill at a token rate, a bounded
-// number of slots, a bounded prefix cache, priorities, cancel and resume, export and import of
-// context, fenced orders for weights, late cache events and a lagging load report.
+// Stand-in for a model engine: OpenAI-style completions with a prefill rate in tokens per second, a
+// limited number of slots, a limited prefix cache, priorities, cancellation and resumption, export
+// and import of context, fenced orders for weights, delayed cache events and delayed load reports.
 //
-// The answer begins with the hash of the prompt, so that a caller can tell its own answer, and ends
-// with "end", so that it can tell a whole one. A token is four bytes of text.
+// The answer begins with the hash of the prompt, so that a caller can recognize its own answer, and
+// ends with "end", so that it can recognize a complete one. A token is four bytes of text.
 //
 // POST /v1/chat/completions, /v1/completions (headers X-Weight-Version, X-Priority, X-Resume-From)
 // GET /load, /events?since=N, /stats; GET /kv?salt=S&blocks=N, PUT /kv; POST /orders {"fence",
@@ -51,7 +51,7 @@
     int eventLagMs = 500;
 };
 
-// The blocks of a prompt by their chained hashes.
+// The chained hashes of the blocks of a prompt.
 std::vector<std::uint64_t> blockHashes(const std::string &salt, const std::string &prompt)
 {
     std::vector<std::uint64_t> hashes;
@@ -63,13 +63,13 @@
     return hashes;
 }
 
-// Bounded set of blocks; the least recently used goes first.
+// A set of blocks of limited size that evicts the least recently used block first.
 class PrefixCache
 {
 public:
     explicit PrefixCache(std::size_t most) : m_most(most) { }
 
-    // How many leading blocks are held; marks them as used.
+    // The number of leading blocks that are cached; marks them as used.
     std::size_t match(const std::vector<std::uint64_t> &hashes)
     {
         std::size_t n = 0;
@@ -216,7 +216,7 @@
         return run->stream ? streamed(run) : whole(*run);
     }
 
-    // Waits for a slot; the higher priority goes first, then the earlier request.
+    // Waits for a slot. Higher priority goes first, then the earlier request.
     void enterSlot(std::unique_lock<std::mutex> &lock, int priority)
     {
         const auto place = m_waiting.emplace(-priority, m_sequence++).first;
@@ -253,7 +253,7 @@
         for (const std::uint64_t it : evicted)
             m_events.emplace_back(SteadyClock::now(), it);
         while (m_events.size() > 1000)
-            m_events.pop_front(); // gaps, as the real ones have
+            m_events.pop_front(); // leaves a gap, as real engines do
     }
 
     void decodeOne()
@@ -351,10 +351,10 @@
         return m_cutAfterTokens;
     }
 
-    // The load as it was some time ago.
+    // The load, delayed by the configured lag.
     Answer load()
     {
-        // Weights are told as they are, load as it was.
+        // The weight version is current, the load is delayed.
         const std::lock_guard lock(m_mutex);
         const auto now = SteadyClock::now();
         const Json present{{"running", m_running}, {"waiting", m_waiting.size()}};
@@ -407,7 +407,8 @@
         return result;
     }
 
-    // Export: the prompt's text stands for its context; a block's bytes are its text.
+    // Exports context. The prompt's text stands in for the context, so a block consists of its
+    // text.
     Answer exportContext(const Request &request)
     {
         const Json body = Json::parse(request.body, nullptr, false);
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Stand-in for the platform: the key-value service (the etcd v3 messages that are used) and the VM
-// list. Faults are switched on by PUT /faults:
+// Stand-in for the platform: the key-value service (the etcd v3 messages that Fordwood uses) and
+// the VM list. PUT /faults switches faults on:
 //   {"outage": bool, "slow_ms": n, "lose_replies": n, "list_lag_ms": n,
 //    "writes_per_second": n, "reads_per_second": n}
 // Usage: standin-platform KEY_VALUE_ADDRESS HTTP_ADDRESS
@@ -25,7 +25,7 @@
 using Json = nlohmann::json;
 using SteadyClock = std::chrono::steady_clock;
 
-// So many calls a second and no more.
+// Limits the calls per second.
 class RateLimit
 {
 public:
@@ -52,7 +52,7 @@
 {
     bool outage = false;
     int slowMs = 0;
-    int loseReplies = 0; // so many writes take effect and then fail
+    int loseReplies = 0; // number of writes that take effect but then fail
     int listLagMs = 0;
     double writesPerSecond = 0; // zero: no limit
     double readsPerSecond = 0;
@@ -77,7 +77,7 @@
     std::int64_t lastLease = 0;
     bool stopping = false;
 
-    // Ends a lease and deletes what hangs on it. Call with the mutex held.
+    // Ends a lease and deletes the keys attached to it. Call with the mutex held.
     void endLease(std::int64_t id)
     {
         leases.erase(id);
@@ -86,7 +86,7 @@
         revision += n > 0 ? 1 : 0;
     }
 
-    // Ends the leases that have run out. Call with the mutex held.
+    // Ends expired leases. Call with the mutex held.
     void endOldLeases()
     {
         std::vector<std::int64_t> old;
@@ -98,7 +98,8 @@
             endLease(id);
     }
 
-    // Counts a call and applies the faults. Not OK: the call must fail with this, unrun.
+    // Counts a call and applies the faults. If the status is not OK, the call must fail with it
+    // without being executed.
     grpc::Status enter(const std::string &name, bool write)
     {
         int slowMs = 0;
@@ -118,7 +119,7 @@
         return grpc::Status::OK;
     }
 
-    // After a write took effect: not OK if its reply is to be lost.
+    // Call after a write has taken effect; not OK if its reply is to be lost.
     grpc::Status leave()
     {
         const std::lock_guard lock(mutex);
@@ -379,7 +380,7 @@
     State &m_state;
 };
 
-// The VM list, served as it was some time ago.
+// The VM list, served with the delay list_lag_ms.
 class VmList
 {
 public:
--- a/tests/standins/service.cpp
+++ b/tests/standins/service.cpp
@@ -1,9 +1,14 @@
 // SPDX-License-Identifier: MIT
-// Stand-in for a plain service: counts every run by the caller's X-Request-Id, so that a doubled
-// run is seen. PUT /faults {"close_after_run": n, "delay_ms": n, "push_back": n, "fail": n}: the
-// next n requests are run and then cut off without an answer; take longer; are refused unrun; are
-// run and answered 503. GET /runs: {"total", "distinct", "doubled": {id: runs}}. Usage:
-// standin-service ADDRESS
+// Stand-in for a plain service. Counts the runs for each X-Request-Id, to detect requests that ran
+// twice.
+//
+// PUT /faults {"close_after_run": n, "delay_ms": n, "push_back": n, "fail": n}:
+//   close_after_run: the next n requests run, and then their connection is closed without an answer
+//   delay_ms: requests take this much longer
+//   push_back: the next n requests are rejected without being run
+//   fail: the next n requests run and are answered 503
+// GET /runs: {"total", "distinct", "doubled": {id: runs}}
+// Usage: standin-service ADDRESS
 #include <iostream>
 #include <mutex>
 #include <thread>
--- a/tests/standins/store.cpp
+++ b/tests/standins/store.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Stand-in for a store VM: keeps blocks and manifests under names, in bounded memory and, when that
-// is full, on a bounded disk,
-// behind a link of bounded rate that all transfers share. PUT, GET, DELETE /objects/NAME; GET
-// /usage. PUT /faults {"link_bytes_per_second": n, "full": bool}. Usage: standin-store ADDRESS
-// MEMORY_BYTES DISK_BYTES LINK_BYTES_PER_SECOND
+// Stand-in for a store VM: keeps blocks and manifests under names, in limited memory and, when that
+// is full, on a limited disk. All transfers share a link of limited rate.
+//
+// PUT, GET, DELETE /objects/NAME; GET /usage; PUT /faults {"link_bytes_per_second": n, "full":
+// bool} Usage: standin-store ADDRESS MEMORY_BYTES DISK_BYTES LINK_BYTES_PER_SECOND
 #include <cstdlib>
 #include <deque>
 #include <iostream>
@@ -61,7 +61,7 @@
         return result;
     }
 
-    // Waits until the link has carried so many bytes after all that were asked for before.
+    // Waits until the link has transferred the bytes, after all transfers requested earlier.
     void carry(std::size_t bytes)
     {
         SteadyClock::time_point done;
--- a/tests/support/busiest_window.hpp
+++ b/tests/support/busiest_window.hpp
@@ -8,7 +8,8 @@
 
 namespace fordwood::support {
 
-// The most arrivals in any window that begins at one of them, from then on; of either clock.
+// The highest number of arrivals in any window that begins at an arrival at or after `from`. Works
+// with the time points of any clock.
 template <typename Time, typename Window>
 std::size_t busiestWindow(std::vector<Time> arrivals, Window window, Time from)
 {
--- a/tests/support/serving_thread.hpp
+++ b/tests/support/serving_thread.hpp
@@ -20,7 +20,7 @@
     return "127.7." + std::to_string(getpid() % 250 + 1) + "." + std::to_string(host) + ":8080";
 }
 
-// What a caller was answered.
+// The answer that a caller received.
 struct CallerAnswer : AnswerWriter
 {
     void sendAnswer(http::response_header<> answer, std::string text) override
@@ -34,23 +34,23 @@
     void endStream() override { status = 200; }
     void abort() override { status = 1; }
 
-    // Seconds; below zero: none.
+    // The Retry-After field in seconds; negative without one.
     double retryAfter() const
     {
         const auto it = head.find("Retry-After");
         return it == head.end() ? -1.0 : std::stod(std::string(it->value()));
     }
 
-    unsigned status = 0; // zero: not over
+    unsigned status = 0; // zero until the answer ends; 1 after abort()
     http::response_header<> head;
     std::string body;
 };
 
-// The thread of a node that serves requests, before upstreams of one service, over a paused clock.
+// The serving thread of a node, with the upstreams of one service and a manual clock.
 class ServingThread
 {
 public:
-    // Fills in what a test leaves open of the only route.
+    // Completes the only route with the fields that all tests share.
     explicit ServingThread(ServicePool pool, ServiceRoute route = {})
         : m_traffic(m_context, m_clock, m_settings, m_metrics)
     {
@@ -77,7 +77,7 @@
         m_traffic.tick();
     }
 
-    // A request, until its answer; `fields` are added to its head.
+    // Sends a request and waits for its answer; `fields` are added to its head.
     CallerAnswer send(const http::fields &fields = {})
     {
         http::request_header<> head;
@@ -85,7 +85,7 @@
         head.target("/a");
         head.set(http::field::host, "a.example");
         head.set("Request-Id", "r" + std::to_string(++m_requests));
-        // Deadlines go by the machine's clock.
+        // Deadlines use the real clock, not the manual one.
         head.set("Request-Deadline",
                  std::to_string(std::chrono::milliseconds(std::chrono::hours(24 * 365)).count()));
         for (const auto &it : fields)
@@ -94,7 +94,7 @@
         const auto run
             = std::make_shared<CallHandler>(m_traffic, answer, std::move(head), "", m_clock.now());
         run->start();
-        // By the wall's clock: only a fault makes it take this long.
+        // In real time. Only a defect makes the answer take this long.
         const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
         while (answer.status == 0 && std::chrono::steady_clock::now() < until)
             m_context.run_one_for(std::chrono::milliseconds(10));
