--- a/tests/support/world.cpp
+++ b/tests/support/world.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr Duration kStep = std::chrono::milliseconds(20);
-constexpr std::uint64_t kFleetEvery = 5; // steps between two of the replicators
+constexpr std::uint64_t kFleetEvery = 5; // steps between two steps of the replicators
 constexpr Duration kRunTime = std::chrono::milliseconds(300);
 constexpr Duration kBreakNotice = std::chrono::milliseconds(40);
-// From the list to everywhere, and the life of a permit given just before.
+// From the VM list to all nodes, plus the lifetime of a permit granted just before.
 constexpr Duration kLeavingBound = std::chrono::seconds(6);
-// The same after kills, cuts and outages, when new relays have to be found first.
+// The same after kills, network cuts and outages, when nodes must first find new relays.
 constexpr Duration kAfterDisturbance = std::chrono::seconds(15);
 constexpr Duration kAfterDeadline = std::chrono::seconds(2);
 constexpr Duration kPermitLife = std::chrono::seconds(2);
@@ -26,7 +26,7 @@
     : fleet(size.nodes, size.domains, size.seed), m_size(size), m_random(size.seed),
       m_nodes(static_cast<std::size_t>(size.nodes))
 {
-    // Half of the engines check who gives them an order.
+    // Half of the engines check the fence of an order.
     for (int it = 0; it < size.engines; ++it)
         m_upstreams["engine-" + std::to_string(it)].checksFences = it % 2 == 0;
     m_upstreams["service-0"];
@@ -279,7 +279,7 @@
     return configuration;
 }
 
-// A node's view follows its replicator.
+// Updates a node's view from its replicator.
 void World::refreshView(int index)
 {
     Node &node = m_nodes[static_cast<std::size_t>(index)];
@@ -345,7 +345,7 @@
     const auto toOwner = [&](const std::string &owner, auto handle) {
         const int target = indexOf(owner);
         if (target < 0 || !fleet.isAlive(target) || !fleet.canReach(index, target))
-            return; // the stream breaks, which breakStreams() reports
+            return; // the stream is broken; breakStreams() reports that
         ++m_permitMessages;
         post(target, std::move(handle));
     };
@@ -449,7 +449,7 @@
     m_runs.push_back(std::move(run));
 }
 
-// Runs arrive at their upstreams, run, and end.
+// Moves runs forward: they arrive at their upstreams, start, and end.
 void World::moveRuns()
 {
     const TimePoint now = fleet.clock.now();
@@ -459,7 +459,7 @@
         const bool gone
             = !fleet.isAlive(it.place.first) || fleet.boot(it.place.first) != it.place.second;
         if (it.baseline && !it.begun && upstream.running >= m_size.slots) {
-            keep.push_back(std::move(it)); // in the engine's own queue
+            keep.push_back(std::move(it)); // waits in the engine's own queue
             continue;
         }
         if (!it.begun && it.arrives <= now) {
@@ -527,7 +527,7 @@
     post(index, [this, index, send](Node &node) {
         const auto call = node.calls.find(send.call);
         if (call == node.calls.end())
-            return; // it was given up meanwhile
+            return; // the call was abandoned meanwhile
         node.dispatcher->attemptFinished(send.call, send.attempt, 1.0, {200, "text/plain", "done"});
         finishRequest(index, send.call, true, {});
     });
@@ -555,7 +555,7 @@
     }
 }
 
-// A stream breaks when either end dies or cannot be reached; each end that lives hears of it.
+// Breaks the streams with an end that died or is unreachable, and notifies each live end.
 void World::breakStreams()
 {
     for (int it = 0; it < m_size.nodes; ++it) {
@@ -576,7 +576,7 @@
     }
 }
 
-// The owner's end of a stream breaks.
+// Reports a broken stream to the owner.
 void World::tellHolderGone(const std::string &owner, HolderId holder)
 {
     const int target = indexOf(owner);
@@ -587,7 +587,7 @@
         });
 }
 
-// ---------------------------------------------------------------- what must hold
+// ---------------------------------------------------------------- invariants
 
 void World::finishRequest(int index, CallId call, bool answered, const Verdict &verdict)
 {
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -24,32 +24,32 @@
 
 namespace fordwood::support {
 
-// Lies that a test tells the decisions, to show that the checks can fail.
+// Faults that a test injects into the decisions, to show that the checks detect them.
 enum class Mutation {
     None,
     SaysNotRun, // a broken attempt is reported as not run
-    ForgetsBoot, // a restarted holder of keys passes for the old one
+    ForgetsBoot, // a restarted key holder is taken for its predecessor
     HidesLeaving, // owners are not told that an upstream is leaving
     RunsEveryClaim, // every claim of a key is granted
-    LosesRefusals, // some refusals never reach their callers
-    RepeatsAll, // what may not be repeated is passed off as repeatable
-    HandsOverTenuresOnly, // a planned stop hands on the tenures without the keys
+    LosesRefusals, // some rejections never reach their callers
+    RepeatsAll, // all requests are treated as repeatable
+    HandsOverTenuresOnly, // a planned stop hands over the tenures without the keys
     HidesSlots, // nodes do not see each other's load slots
-    GrantsEveryWish, // a team's owner gives away more than its ceiling
+    GrantsEveryWish, // a team's owner grants more than the team's ceiling
 };
 
-// How requests find their engines: by the decisions under test, or by one of the usual ways, with a
-// queue in each engine.
+// How requests are routed to engines: by the decisions under test, or by a common baseline
+// algorithm with a queue in each engine.
 enum class Routing { Fordwood, RoundRobin, LeastLoaded, TwoChoices, PrefixHash };
 
-// Engines that compute prompts at a rate, one after the other, and keep what they computed.
+// Model of engines that compute prompts sequentially at a fixed rate and cache computed contexts.
 struct EngineModel
 {
-    bool on = false; // else every run takes the same time
+    bool on = false; // when off, every run takes the same time
     double prefillTokensPerSecond = 10'000;
     Duration tokenTime = std::chrono::milliseconds(31);
-    std::size_t cacheTokens = 120'000; // the least recently used context goes first
-    Duration loadLag = std::chrono::milliseconds(500); // of what the usual ways know of load
+    std::size_t cacheTokens = 120'000; // evicts the least recently used context first
+    Duration loadLag = std::chrono::milliseconds(500); // age of the load that the baselines use
 };
 
 struct WorldSize
@@ -61,24 +61,24 @@
     int engines = 6;
     std::size_t slots = 4;
     std::uint64_t seed = 1;
-    bool direct = true; // send without permits while there is no contention
-    bool staticParts = false; // no owners: every node has an equal part of each upstream
+    bool direct = true; // requests are sent without permits while there is no contention
+    bool staticParts = false; // no owners; every node gets an equal share of each upstream
     std::map<std::string, double> shares; // of teams
     std::map<std::string, std::int64_t> ceilings; // of teams: requests running at once
     Mutation mutation = Mutation::None;
 };
 
-// What a caller asks for in a test.
+// A request that a caller sends in a test.
 struct WorldRequest
 {
-    int node = 0; // that it is sent to
+    int node = 0; // the node that receives it
     std::string team = "team-0";
-    bool service = false; // a plain call, else a completion
+    bool service = false; // a plain service call instead of a completion
     bool repeatable = true;
     std::string key; // idempotency key; empty: none
     WallTime issued{}; // of the key
     Duration deadline = std::chrono::seconds(20);
-    std::uint64_t context = 0; // that it shares with others; zero: with nobody
+    std::uint64_t context = 0; // shared with other requests; zero: with none
     std::size_t contextTokens = 0;
     std::size_t questionTokens = 0;
     std::size_t newTokens = 0;
@@ -92,29 +92,30 @@
     bool answered = false;
     bool repeatedAnswer = false;
     TimePoint sent{};
-    bool nodePaused = false; // its entry VM was paused meanwhile
-    bool nodeDied = false; // its entry VM died, so the caller got no word
+    bool nodePaused = false; // its entry VM was paused while it was open
+    bool nodeDied = false; // its entry VM died, so the caller got no answer
     Verdict verdict;
-    int runs = 0; // that upstreams began for it
+    int runs = 0; // number of runs that upstreams started for it
     TimePoint firstToken{};
     std::size_t uncachedTokens = 0;
 };
 
-// Whole nodes without I/O: replicators, owners, key registries and dispatchers over one paused
-// clock, with fakes of upstreams that only count and take time. Checks after each step what must
-// always hold.
+// Simulates complete nodes without I/O: replicators, owners, key registries and dispatchers share
+// one manual clock, and fake upstreams only count runs and take time. Checks the invariants after
+// each step.
 class World
 {
 public:
     explicit World(const WorldSize &size);
 
-    // Lets the fleet settle: configuration in force, links up, tenures reaching the present.
+    // Runs until the configuration is active, the links are up and tenures cover the present.
     void settle();
 
-    // Submits the standard configuration with the given weight version; gives the version or zero.
+    // Submits the standard configuration with the given weight version. Returns the version of the
+    // configuration, or zero if it was rejected.
     std::uint64_t submit(const std::string &weightVersion);
 
-    std::size_t send(const WorldRequest &request); // gives the request's number
+    std::size_t send(const WorldRequest &request); // returns the request's number
     void run(Duration time);
 
     void kill(int node); // the whole VM
@@ -124,23 +125,23 @@
     void setPlatformDown(bool down) { fleet.setPlatformDown(down); }
     void loseNextReplies(int n);
     void setPlatformSlow(bool slow) { fleet.store.slow = slow; }
-    // Two operators submit at the same moment; gives the version of each, zero where refused.
+    // Two operators submit at the same moment. Returns the version of each, zero if rejected.
     std::pair<std::uint64_t, std::uint64_t> submitBoth(const std::string &one,
                                                        const std::string &other);
     void setLeaving(const std::string &upstream, bool leaving);
-    void breakUpstream(const std::string &upstream); // all its runs break off
+    void breakUpstream(const std::string &upstream); // all its runs fail
     void refuseNext(const std::string &upstream, int n);
     void leaveCaller(std::size_t request);
-    void stopNode(int node); // planned: finishes what runs, takes no more
+    void stopNode(int node); // planned: finishes its requests, accepts no more
 
     const WorldResult &result(std::size_t request) const { return m_results[request]; }
     std::size_t requests() const { return m_results.size(); }
     std::size_t open() const;
-    // The first thing that did not hold, with the time; empty when all did.
+    // The first violated invariant, with the time; empty when there is none.
     const std::string &violation() const { return m_violation; }
     std::size_t runsOn(const std::string &upstream) const;
     const std::string &versionOn(const std::string &upstream) const;
-    // Engines that may load weights at once.
+    // The maximum number of engines that may load weights at once.
     static constexpr std::size_t kMostLoads = 2;
     // Calls to the platform for load slots so far.
     std::uint64_t loadReads() const { return m_loadReads; }
@@ -162,7 +163,7 @@
         std::unique_ptr<KeyRegistry> keys;
         std::unique_ptr<WeightLoadPlanner> loads;
         std::shared_ptr<const FleetView> view;
-        std::string viewMark; // what the view was made of
+        std::string viewMark; // identifies the state that the view was built from
         std::map<CallId, std::size_t> calls; // to requests
         std::set<std::string> streams; // owners with an open stream
         TimePoint nextTenures{};
@@ -175,17 +176,18 @@
         std::size_t runs = 0;
         std::optional<TimePoint> leavingSince;
         std::string version = "v1"; // of its weights
-        std::string loads; // the version that it is loading; empty: none
+        std::string loads; // the version being loaded; empty: none
         TimePoint loadedAt{};
         std::int64_t fence = 0; // of the newest order
         bool checksFences = false;
         TimePoint prefillFree{};
         std::list<std::pair<std::uint64_t, std::size_t>> cache; // context and tokens, newest first
         std::size_t cachedTokens = 0;
-        std::deque<std::pair<TimePoint, std::size_t>> pastLoads; // running and queued, as they were
-        std::size_t queued = 0; // of runs that did not come from a dispatcher
+        std::deque<std::pair<TimePoint, std::size_t>>
+            pastLoads; // earlier sums of running and queued
+        std::size_t queued = 0; // runs that a baseline sent
     };
-    struct Run // an attempt under way
+    struct Run // an attempt in progress
     {
         Place place;
         SendCall send;
@@ -195,7 +197,7 @@
         bool begun = false;
         bool baseline = false; // no dispatcher sent it
     };
-    struct Event // to be handled by a node at a later step
+    struct Event // handled by a node in a later step
     {
         TimePoint at{};
         Place to;
@@ -211,7 +213,7 @@
     void answerOwners(int node);
     void breakStreams();
     void tellHolderGone(const std::string &owner, HolderId holder);
-    struct Holders // who may hold tenures, as one node sees it
+    struct Holders // the members that may hold tenures, as one node sees them
     {
         std::vector<KeyHolder> holders;
         std::vector<std::uint64_t> hashes;
@@ -259,7 +261,7 @@
     std::uint64_t m_permitMessages = 0;
     std::uint64_t m_loadReads = 0;
     std::uint64_t m_loadWrites = 0;
-    TimePoint m_lastDisturbance{}; // that may delay the news of a leaving upstream
+    TimePoint m_lastDisturbance{}; // may delay the propagation of a leaving upstream
     std::string m_violation;
 };
 
--- a/tests/support/world_engines.cpp
+++ b/tests/support/world_engines.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The engines of a World: what they compute and keep, and which weights they load.
+// The engines of a World: prompt computation, context caches and weight loading.
 #include <algorithm>
 
 #include "adapters/platform/load_table_codec.hpp"
@@ -29,7 +29,7 @@
     run.ends = upstream.prefillFree + model.tokenTime * static_cast<int>(result.request.newTokens);
 }
 
-// How many tokens of a prompt must be computed; its context is then in the engine's memory.
+// Returns the number of prompt tokens to compute, and caches the context in the engine.
 std::size_t World::takeUncached(Upstream &upstream, const WorldRequest &request, std::size_t most)
 {
     auto &cache = upstream.cache;
@@ -66,7 +66,7 @@
         = [&](std::size_t a, std::size_t b) { return laggingLoad(name(a)) < laggingLoad(name(b)); };
     switch (m_size.routing) {
     case Routing::LeastLoaded: {
-        std::size_t best = m_random() % engines; // ties fall anywhere
+        std::size_t best = m_random() % engines; // ties are broken at random
         for (std::size_t it = 0; it < engines; ++it)
             best = less(it, best) ? it : best;
         return name(best);
@@ -83,7 +83,7 @@
     }
 }
 
-// Only the usual ways of routing read the loads.
+// Only the baseline algorithms read the loads.
 void World::sampleLoads()
 {
     if (m_size.routing == Routing::Fordwood)
--- a/tests/support/world_keys.cpp
+++ b/tests/support/world_keys.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The keepers and holders of tenures in a World, and how a planned stop hands keys over.
+// The keepers and holders of tenures in a World, and the handover of keys at a planned stop.
 #include "adapters/grpc/key_codec.hpp"
 #include "fordwood/rendezvous.hpp"
 #include "support/world.hpp"
@@ -78,7 +78,7 @@
     }
 }
 
-// A planned stop: successors get the keys first and the tenures after them.
+// At a planned stop the successors get the keys first and then the tenures.
 void World::handOverKeys(int index)
 {
     const KeyHolder self{fleet.member(index).name, fleet.boot(index)};
