--- a/tests/process/http.cpp
+++ b/tests/process/http.cpp
@@ -63,7 +63,7 @@
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, &answer);
     curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, &onHeader);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &answer);
-    answer.whole = curl_easy_perform(easy) == CURLE_OK;
+    answer.isComplete = curl_easy_perform(easy) == CURLE_OK;
     long status = 0;
     curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
     answer.status = static_cast<int>(status);
@@ -98,8 +98,8 @@
 
 namespace {
 
-// Reads until the received bytes contain `enough` or the peer closes the connection.
-std::string readUntil(int fd, const std::string &enough)
+// Reads until the received bytes contain `expectedText` or the peer closes the connection.
+std::string readUntil(int fd, const std::string &expectedText)
 {
     std::string received;
     std::array<char, 4096> buf{};
@@ -109,7 +109,7 @@
         if (n <= 0)
             break;
         received.append(buf.data(), static_cast<std::size_t>(n));
-        if (!enough.empty() && received.find(enough) != std::string::npos)
+        if (!expectedText.empty() && received.find(expectedText) != std::string::npos)
             break;
     }
     return received;
@@ -129,16 +129,17 @@
         close(m_socket);
 }
 
-bool IdleConnection::exchange(const std::string &bytes, const std::string &enough)
+bool IdleConnection::exchange(const std::string &bytes, const std::string &expectedText)
 {
     send(m_socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-    return readUntil(m_socket, enough).find(enough) != std::string::npos;
+    return readUntil(m_socket, expectedText).find(expectedText) != std::string::npos;
 }
 
-std::string rawCall(const std::string &address, const std::string &bytes, const std::string &enough)
+std::string rawCall(const std::string &address, const std::string &bytes,
+                    const std::string &expectedText)
 {
     const int fd = sendBytes(address, bytes);
-    std::string received = readUntil(fd, enough);
+    std::string received = readUntil(fd, expectedText);
     if (fd >= 0)
         close(fd);
     return received;
--- a/tests/process/http.hpp
+++ b/tests/process/http.hpp
@@ -14,7 +14,7 @@
     int status = 0; // zero: no answer
     std::map<std::string, std::string> headers; // names in lower case
     std::string body;
-    bool whole = false; // complete according to HTTP framing
+    bool isComplete = false; // complete according to HTTP framing
 };
 
 // Sends one request and waits until its answer ends.
@@ -32,9 +32,9 @@
     IdleConnection &operator=(const IdleConnection &) = delete;
     ~IdleConnection();
 
-    // Sends raw bytes and reads until the received bytes contain `enough`; false when the peer
-    // closes the connection first.
-    bool exchange(const std::string &bytes, const std::string &enough);
+    // Sends raw bytes and reads until the received bytes contain `expectedText`; false when the
+    // peer closes the connection first.
+    bool exchange(const std::string &bytes, const std::string &expectedText);
 
 private:
     int m_socket = -1;
@@ -44,9 +44,9 @@
 void sendAndClose(const std::string &address, const std::string &bytes);
 
 // Sends raw bytes to "IP:port" and reads until the peer closes the connection or the received bytes
-// contain `enough`.
+// contain `expectedText`.
 std::string rawCall(const std::string &address, const std::string &bytes,
-                    const std::string &enough = "");
+                    const std::string &expectedText = "");
 
 } // namespace fordwood::process
 
--- a/tests/process/node_test.cpp
+++ b/tests/process/node_test.cpp
@@ -178,7 +178,7 @@
         const std::string id = "r-" + std::to_string(n);
         const HttpAnswer answer = fleet.call("POST", "/stream/1", id);
         CHECK(answer.status == 200);
-        CHECK(answer.whole);
+        CHECK(answer.isComplete);
         CHECK(answer.body
               == "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\nid: 4\ndata: 4\n\n"
                  "id: 5\ndata: 5\n\n");
--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -57,7 +57,7 @@
         const auto streamed = httpCall("POST", fleet.caller(node) + "/v1/chat/completions",
                                        completion(true), {Fleet::bearer()});
         CHECK(streamed.status == 200);
-        CHECK(streamed.whole);
+        CHECK(streamed.isComplete);
         CHECK(streamed.headers.at("fordwood-verdict") == "ran");
         CHECK(streamed.body.find("data: [DONE]") != std::string::npos);
         const auto whole = httpCall("POST", fleet.caller(node) + "/v1/chat/completions",
@@ -124,7 +124,7 @@
     // The only slot is free again.
     CHECK(httpCall("POST", fleet.caller(0) + "/v1/chat/completions", completion(true, 2),
                    {Fleet::bearer()})
-              .whole);
+              .isComplete);
 }
 
 TEST_CASE("path: the run is cancelled when the caller disconnects before the first token [caller]")
@@ -176,7 +176,7 @@
     const auto answer = httpCall("POST", fleet.caller(0) + "/v1/chat/completions", completion(true),
                                  {Fleet::bearer(), "Fordwood-Repeatable: false"});
     CHECK(answer.status == 200);
-    CHECK(answer.whole);
+    CHECK(answer.isComplete);
     CHECK(fleet.metric(0, "fordwood_retries_total", "upstream-pushback") == 2);
 }
 
@@ -189,7 +189,7 @@
     const auto answer = httpCall("POST", fleet.caller(0) + "/v1/chat/completions", completion(true),
                                  {Fleet::bearer()});
     CHECK(answer.status == 200);
-    CHECK_FALSE(answer.whole);
+    CHECK_FALSE(answer.isComplete);
     CHECK(answer.body.find("event: error") != std::string::npos);
     CHECK(answer.body.find("answer-cut") != std::string::npos);
     CHECK(answer.body.find("[DONE]") == std::string::npos);
@@ -221,7 +221,7 @@
              {Fleet::bearer()});
     fleet.engineProcesses[static_cast<std::size_t>(serving)].kill();
     caller.join();
-    CHECK(streamed.whole);
+    CHECK(streamed.isComplete);
     CHECK(streamed.body.find("[DONE]") != std::string::npos);
     CHECK(streamed.body.find("event: error") == std::string::npos);
     for (int it = 1; it < 59; ++it) {
@@ -332,7 +332,7 @@
     CHECK(fleet.metric(0, "fordwood_retries_total", "owner-silent") >= 1);
     fleet.startControld(0);
     caller.join();
-    CHECK(streamed.whole);
+    CHECK(streamed.isComplete);
     CHECK(streamed.body.find("[DONE]") != std::string::npos);
     CHECK(httpCall("GET", fleet.caller(0) + "/readyz").status == 200);
 }
@@ -360,7 +360,7 @@
     CHECK(refused.headers.at("fordwood-verdict") == "not-run");
     CHECK(fleet.entryds[0].wait() == 0);
     caller.join();
-    CHECK(streamed.whole);
+    CHECK(streamed.isComplete);
     CHECK(streamed.body.find("[DONE]") != std::string::npos);
 }
 
--- a/tests/standins/blocking_server.hpp
+++ b/tests/standins/blocking_server.hpp
@@ -31,8 +31,9 @@
     std::string body;
     std::map<std::string, std::string> headers;
     // Called repeatedly for the parts of a streamed answer until it returns an empty text. It may
-    // block. When the client has disconnected, it is called once more, with `left` set to true.
-    std::function<std::string(bool left)> nextPart;
+    // block. When the client has disconnected, it is called once more, with `isClientGone` set to
+    // true.
+    std::function<std::string(bool isClientGone)> nextPart;
     bool cutConnection = false; // close the connection without an answer
     bool cutAfterParts = false; // close the connection without the final chunk
 };
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -314,13 +314,14 @@
             result.cutAfterParts = m_cutAfterTokens > 0;
         }
         const bool cut = result.cutAfterParts;
-        result.nextPart = [this, run, cut](bool left) { return nextEvent(*run, cut, left); };
+        result.nextPart
+            = [this, run, cut](bool isClientGone) { return nextEvent(*run, cut, isClientGone); };
         return result;
     }
 
-    std::string nextEvent(Run &run, bool cut, bool left)
+    std::string nextEvent(Run &run, bool cut, bool isClientGone)
     {
-        if (left) {
+        if (isClientGone) {
             leaveSlot();
             const std::lock_guard lock(m_mutex);
             ++m_cancelled;
