--- a/tests/process/platform_standins.hpp
+++ b/tests/process/platform_standins.hpp
@@ -50,7 +50,7 @@
 
     std::int64_t revision();
 
-    // Whether a key with the prefix exists; removes all keys with the prefix.
+    // has() returns whether a key with the prefix exists; removeAll() removes all such keys.
     bool has(const std::string &prefix);
     void removeAll(const std::string &prefix);
 
--- a/tests/standins/store.cpp
+++ b/tests/standins/store.cpp
@@ -2,8 +2,9 @@
 // Stand-in for a store VM: keeps blocks and manifests under names, in limited memory and, when that
 // is full, on a limited disk. All transfers share a link of limited rate.
 //
-// PUT, GET, DELETE /objects/NAME; GET /usage; PUT /faults {"link_bytes_per_second": n, "full":
-// bool} Usage: standin-store ADDRESS MEMORY_BYTES DISK_BYTES LINK_BYTES_PER_SECOND
+// PUT, GET, DELETE /objects/NAME; GET /usage
+// PUT /faults {"link_bytes_per_second": n, "full": bool}
+// Usage: standin-store ADDRESS MEMORY_BYTES DISK_BYTES LINK_BYTES_PER_SECOND
 #include <cstdlib>
 #include <deque>
 #include <iostream>
