--- a/tests/node/weight_age_random_test.cpp
+++ b/tests/node/weight_age_random_test.cpp
@@ -88,13 +88,13 @@
     m_lastFaultAt = m_now;
     if (m_storeFaultSince) {
         m_fleet.store().setDown(false);
-        m_fleet.store().setDeafWatches(false);
+        m_fleet.store().setSilentWatches(false);
         m_storeFaultSince.reset();
     } else if (chance(50)) {
         m_fleet.store().setDown(true);
         m_storeFaultSince = m_now;
     } else if (chance(50)) {
-        m_fleet.store().setDeafWatches(true);
+        m_fleet.store().setSilentWatches(true);
         m_storeFaultSince = m_now;
     } else {
         m_fleet.store().forgetHistory();
--- a/tests/node/weights_fleet.cpp
+++ b/tests/node/weights_fleet.cpp
@@ -218,7 +218,7 @@
         node->clock().advance(by);
         reads[n] = node->clock().reads();
     }
-    m_store.passTime(by);
+    m_store.advanceTime(by);
     // An iteration of the node's loop reads the clock several times; the next starts within 20 ms.
     constexpr std::uint64_t kReadsPerIteration = 40;
     for (const auto &[n, node] : m_nodes) {
--- a/tests/process/http.cpp
+++ b/tests/process/http.cpp
@@ -63,7 +63,7 @@
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, &answer);
     curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, &onHeader);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &answer);
-    answer.whole = curl_easy_perform(easy) == CURLE_OK;
+    answer.isComplete = curl_easy_perform(easy) == CURLE_OK;
     long status = 0;
     curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
     answer.status = static_cast<int>(status);
@@ -74,7 +74,7 @@
 
 namespace {
 
-// Connects and sends; -1 when no connection can be made.
+// Connects, sends the bytes and returns the socket; -1 when the connection fails.
 int sendBytes(const std::string &address, const std::string &bytes)
 {
     const auto target = adapters::parseSocketAddress(address);
@@ -89,7 +89,7 @@
 
 } // namespace
 
-void sendAndLeave(const std::string &address, const std::string &bytes)
+void sendAndClose(const std::string &address, const std::string &bytes)
 {
     const int fd = sendBytes(address, bytes);
     if (fd >= 0)
@@ -98,8 +98,8 @@
 
 namespace {
 
-// Reads until `enough` is in what came, or the peer closes.
-std::string readUntil(int fd, const std::string &enough)
+// Reads until the received bytes contain `expectedText` or the peer closes the connection.
+std::string readUntil(int fd, const std::string &expectedText)
 {
     std::string received;
     std::array<char, 4096> buf{};
@@ -109,7 +109,7 @@
         if (n <= 0)
             break;
         received.append(buf.data(), static_cast<std::size_t>(n));
-        if (!enough.empty() && received.find(enough) != std::string::npos)
+        if (!expectedText.empty() && received.find(expectedText) != std::string::npos)
             break;
     }
     return received;
@@ -117,29 +117,29 @@
 
 } // namespace
 
-RestingConnection::RestingConnection(const std::string &address) : m_socket(sendBytes(address, ""))
-{ }
+IdleConnection::IdleConnection(const std::string &address) : m_socket(sendBytes(address, "")) { }
 
-RestingConnection::RestingConnection(RestingConnection &&other) noexcept
+IdleConnection::IdleConnection(IdleConnection &&other) noexcept
     : m_socket(std::exchange(other.m_socket, -1))
 { }
 
-RestingConnection::~RestingConnection()
+IdleConnection::~IdleConnection()
 {
     if (m_socket >= 0)
         close(m_socket);
 }
 
-bool RestingConnection::exchange(const std::string &bytes, const std::string &enough)
+bool IdleConnection::exchange(const std::string &bytes, const std::string &expectedText)
 {
     send(m_socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-    return readUntil(m_socket, enough).find(enough) != std::string::npos;
+    return readUntil(m_socket, expectedText).find(expectedText) != std::string::npos;
 }
 
-std::string rawCall(const std::string &address, const std::string &bytes, const std::string &enough)
+std::string rawCall(const std::string &address, const std::string &bytes,
+                    const std::string &expectedText)
 {
     const int fd = sendBytes(address, bytes);
-    std::string received = readUntil(fd, enough);
+    std::string received = readUntil(fd, expectedText);
     if (fd >= 0)
         close(fd);
     return received;
--- a/tests/process/http.hpp
+++ b/tests/process/http.hpp
@@ -8,43 +8,45 @@
 
 namespace fordwood::process {
 
-// An answer as a test sees it.
+// An answer as the caller receives it.
 struct HttpAnswer
 {
     int status = 0; // zero: no answer
     std::map<std::string, std::string> headers; // names in lower case
     std::string body;
-    bool whole = false; // ended as HTTP says it must
+    bool isComplete = false; // complete according to HTTP framing
 };
 
-// Sends one request and waits for its end.
+// Sends one request and waits until its answer ends.
 HttpAnswer httpCall(const std::string &method, const std::string &url, const std::string &body = "",
                     const std::vector<std::string> &headers = {});
 
 // A connection that stays open between exchanges.
-class RestingConnection
+class IdleConnection
 {
 public:
     // Connects to "IP:port".
-    explicit RestingConnection(const std::string &address);
-    RestingConnection(RestingConnection &&other) noexcept;
-    RestingConnection(const RestingConnection &) = delete;
-    RestingConnection &operator=(const RestingConnection &) = delete;
-    ~RestingConnection();
+    explicit IdleConnection(const std::string &address);
+    IdleConnection(IdleConnection &&other) noexcept;
+    IdleConnection(const IdleConnection &) = delete;
+    IdleConnection &operator=(const IdleConnection &) = delete;
+    ~IdleConnection();
 
-    // Sends raw bytes and reads until `enough` is in what came; false when the peer closes first.
-    bool exchange(const std::string &bytes, const std::string &enough);
+    // Sends raw bytes and reads until the received bytes contain `expectedText`; false when the
+    // peer closes the connection first.
+    bool exchange(const std::string &bytes, const std::string &expectedText);
 
 private:
     int m_socket = -1;
 };
 
 // Sends raw bytes to "IP:port" and closes the connection without reading.
-void sendAndLeave(const std::string &address, const std::string &bytes);
+void sendAndClose(const std::string &address, const std::string &bytes);
 
-// Sends raw bytes to "IP:port" and reads until the peer closes or `enough` is in what came.
+// Sends raw bytes to "IP:port" and reads until the peer closes the connection or the received bytes
+// contain `expectedText`.
 std::string rawCall(const std::string &address, const std::string &bytes,
-                    const std::string &enough = "");
+                    const std::string &expectedText = "");
 
 } // namespace fordwood::process
 
