--- a/src/node/context_store_watcher.cpp
+++ b/src/node/context_store_watcher.cpp
@@ -13,7 +13,8 @@
 using adapters::logEvent;
 
 // How long a store keeps a long poll open while it has no events. Shorter than the time for which
-// its answer is valid (ContextDirectory::Limits::storeAnswerLife), longer than what counts as a probe.
+// its answer is valid (ContextDirectory::Limits::storeAnswerLife), longer than what counts as a
+// probe.
 constexpr std::chrono::milliseconds kPollWait{900};
 constexpr Duration kResponseGrace = std::chrono::milliseconds(500); // added to the wait
 
