--- a/include/fordwood/allowed_regions.hpp
+++ b/include/fordwood/allowed_regions.hpp
@@ -34,4 +34,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_HOMES_HPP_INCLUDED
+#endif // FORDWOOD_ALLOWED_REGIONS_HPP_INCLUDED
--- a/include/fordwood/distribution_tree.hpp
+++ b/include/fordwood/distribution_tree.hpp
@@ -32,4 +32,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_SPREADING_TREE_HPP_INCLUDED
+#endif // FORDWOOD_DISTRIBUTION_TREE_HPP_INCLUDED
--- a/include/fordwood/gossip_queue.hpp
+++ b/include/fordwood/gossip_queue.hpp
@@ -41,4 +41,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_NEWS_SPREADER_HPP_INCLUDED
+#endif // FORDWOOD_GOSSIP_QUEUE_HPP_INCLUDED
--- a/include/fordwood/observed_weights.hpp
+++ b/include/fordwood/observed_weights.hpp
@@ -17,4 +17,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_SEEN_WEIGHTS_HPP_INCLUDED
+#endif // FORDWOOD_OBSERVED_WEIGHTS_HPP_INCLUDED
--- a/include/fordwood/prefill_queue.hpp
+++ b/include/fordwood/prefill_queue.hpp
@@ -101,4 +101,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_PREFILL_LINE_HPP_INCLUDED
+#endif // FORDWOOD_PREFILL_QUEUE_HPP_INCLUDED
--- a/include/fordwood/retry_schedule.hpp
+++ b/include/fordwood/retry_schedule.hpp
@@ -29,4 +29,4 @@
 
 } // namespace fordwood
 
-#endif // FORDWOOD_RETURN_TIMES_HPP_INCLUDED
+#endif // FORDWOOD_RETRY_SCHEDULE_HPP_INCLUDED
--- a/src/node/order_reports.hpp
+++ b/src/node/order_reports.hpp
@@ -46,4 +46,4 @@
 
 } // namespace fordwood::node
 
-#endif // FORDWOOD_NODE_ORDER_WORDS_HPP_INCLUDED
+#endif // FORDWOOD_NODE_ORDER_REPORTS_HPP_INCLUDED
--- a/src/node/round_robin_batcher.hpp
+++ b/src/node/round_robin_batcher.hpp
@@ -33,4 +33,4 @@
 
 } // namespace fordwood::node
 
-#endif // FORDWOOD_NODE_MESSAGE_ROUNDS_HPP_INCLUDED
+#endif // FORDWOOD_NODE_ROUND_ROBIN_BATCHER_HPP_INCLUDED
--- a/src/node/weight_naming_tracker.hpp
+++ b/src/node/weight_naming_tracker.hpp
@@ -58,4 +58,4 @@
 
 } // namespace fordwood::node
 
-#endif // FORDWOOD_NODE_WEIGHT_NEWS_HPP_INCLUDED
+#endif // FORDWOOD_NODE_WEIGHT_NAMING_TRACKER_HPP_INCLUDED
