--- a/bench/decisions_bench.cpp
+++ b/bench/decisions_bench.cpp
@@ -281,27 +281,27 @@
 }
 BENCHMARK(planLoads)->Arg(6);
 
-// A turn of the stores' keeper when nothing is old, with 17 stores of so many parts each.
+// A tick of the cleaner when no context is old, with 17 stores of the given number of parts.
 void keepStores(benchmark::State &state)
 {
     constexpr int kStores = 17;
     ManualClock clock;
-    OldContextCleaner keeper(clock);
+    OldContextCleaner cleaner(clock);
     WeightHistory history;
     history.record(1, {EventTime::at(clock.now()), 0});
-    keeper.setWeights("m", history);
+    cleaner.setWeights("m", history);
     const std::string salt = contextSalt("m", 1, "");
     for (int store = 0; store < kStores; ++store) {
-        ContextStoreUpdate news;
-        news.store = "store-" + std::to_string(store);
-        news.epoch = 1;
+        ContextStoreUpdate update;
+        update.store = "store-" + std::to_string(store);
+        update.epoch = 1;
         for (int it = 0; it < state.range(0); ++it)
-            news.changes.push_back({salt, std::to_string(it), true, 1'000});
-        keeper.storeAnswered(news);
+            update.changes.push_back({salt, std::to_string(it), true, 1'000});
+        cleaner.storeAnswered(update);
     }
     const FencedLock::Holding holding{1, {}, {}, TimePoint::max()};
     for (auto _ : state)
-        benchmark::DoNotOptimize(keeper.tick(holding));
+        benchmark::DoNotOptimize(cleaner.tick(holding));
 }
 BENCHMARK(keepStores)->Arg(50)->Arg(400);
 
--- a/include/fordwood/context_store_log.hpp
+++ b/include/fordwood/context_store_log.hpp
@@ -37,7 +37,7 @@
     explicit ContextStoreLog(const Clock &clock) : ContextStoreLog(clock, Limits{}) { }
     ContextStoreLog(const Clock &clock, Limits limits) : m_clock(clock), m_limits(limits) { }
 
-    void storeAnswered(const ContextStoreUpdate &news);
+    void storeAnswered(const ContextStoreUpdate &update);
     void storeFailed(const std::string &store);
 
     // The changes that the reader does not have yet, for each store that answers this node.
@@ -63,7 +63,7 @@
             parts; // tokens by salt and part id
     };
 
-    void appendRecent(Store &store, const ContextStoreUpdate &news) const;
+    void appendRecent(Store &store, const ContextStoreUpdate &update) const;
     ContextStoreUpdate updateFor(const std::string &name, const Store &store,
                                  const ContextStorePosition &position) const;
 
--- a/include/fordwood/old_context_cleaner.hpp
+++ b/include/fordwood/old_context_cleaner.hpp
@@ -64,7 +64,7 @@
     // Sets the weight versions that were named for the model.
     void setWeights(const std::string &model, const WeightHistory &history);
 
-    void storeAnswered(const ContextStoreUpdate &news);
+    void storeAnswered(const ContextStoreUpdate &update);
     void storeFailed(const std::string &store);
 
     // Calls to send now; none unless this node holds the lock.
--- a/src/core/old_context_cleaner.cpp
+++ b/src/core/old_context_cleaner.cpp
@@ -38,14 +38,14 @@
     m_weights[modelHashOfSalt(model)] = history;
 }
 
-void OldContextCleaner::storeAnswered(const ContextStoreUpdate &news)
+void OldContextCleaner::storeAnswered(const ContextStoreUpdate &update)
 {
-    Store &store = m_stores[news.store];
-    if (news.isSnapshot || news.epoch != store.epoch)
+    Store &store = m_stores[update.store];
+    if (update.isSnapshot || update.epoch != store.epoch)
         store.parts.clear();
-    store.epoch = news.epoch;
+    store.epoch = update.epoch;
     store.answers = true;
-    for (const StorePartChange &it : news.changes) {
+    for (const StorePartChange &it : update.changes) {
         if (it.held)
             store.parts[it.salt].insert(it.partId);
         else
--- a/tests/node/document_reader_test.cpp
+++ b/tests/node/document_reader_test.cpp
@@ -39,7 +39,7 @@
     void onNodeAddress(const std::string & /*node*/, const PeerAddress & /*address*/) override { }
     void onNodeRemoved(const std::string & /*node*/) override { }
     void onQuarantinedRequest(const RequestFingerprint &request,
-                              const std::vector<std::uint64_t> & /*lives*/) override
+                              const std::vector<std::uint64_t> & /*instances*/) override
     {
         held.push_back(request);
     }
--- a/tests/node/information_age_test.cpp
+++ b/tests/node/information_age_test.cpp
@@ -248,24 +248,24 @@
         return quarantine.isHeld(kPage);
     }
 
-    QuarantineDistributor &duty() { return m_duty; }
+    QuarantineDistributor &quarantine() { return m_quarantine; }
 
 private:
     void step()
     {
         m_context.run_one_for(1ms);
         m_clock.advance(10ms);
-        m_duty.tick();
+        m_quarantine.tick();
     }
 
     void onStoreChanges(const StoreChanges &changes, const StoreAnswerTimes & /*times*/) override
     {
         for (const StoredItem &it : m_replica.merge(changes).value_or(std::vector<StoredItem>{})) {
             const auto request = QuarantineDistributor::parseKey(it.key);
-            const auto lives
+            const auto instances
                 = it.value ? QuarantineDistributor::decodeInstances(*it.value) : std::nullopt;
-            if (request && lives)
-                m_duty.addStored(*request, *lives);
+            if (request && instances)
+                m_quarantine.addStored(*request, *instances);
         }
     }
     void onReachabilityChange(bool /*reachable*/) override { }
@@ -277,10 +277,10 @@
     StoreReplica m_replica;
     StoreClient m_link{m_context, m_client, m_clock, m_store, m_replica, *this};
     std::vector<QuarantineUpdate> m_published;
-    QuarantineDistributor m_duty{m_clock, m_link, m_replica,
-                                 [this](const std::vector<QuarantineUpdate> &it) {
-                                     m_published.insert(m_published.end(), it.begin(), it.end());
-                                 }};
+    QuarantineDistributor m_quarantine{
+        m_clock, m_link, m_replica, [this](const std::vector<QuarantineUpdate> &it) {
+            m_published.insert(m_published.end(), it.begin(), it.end());
+        }};
 };
 
 struct QuarantineFixture
@@ -306,9 +306,9 @@
 {
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
-    node.duty().addOwn(kThreeFailures);
+    node.quarantine().addOwn(kThreeFailures);
     REQUIRE(node.poll([&] { return fleet.hasKey(); }));
-    node.duty().addOwn(kAnswered);
+    node.quarantine().addOwn(kAnswered);
     node.runFor(5s);
     CHECK_FALSE(fleet.hasKey());
     CHECK_FALSE(fleet.isHeldByNewNode());
@@ -320,9 +320,9 @@
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
     REQUIRE(node.poll([&] { return node.hasRead(); }));
-    node.duty().addOwn(kThreeFailures);
-    node.duty().tick();
-    node.duty().addFromPeer(kAnswered, false);
+    node.quarantine().addOwn(kThreeFailures);
+    node.quarantine().tick();
+    node.quarantine().addFromPeer(kAnswered, false);
     node.runFor(5s);
     CHECK_FALSE(fleet.hasKey());
 }
@@ -335,14 +335,14 @@
     REQUIRE(first.poll([&] { return first.hasRead(); }));
     REQUIRE(second.poll([&] { return second.hasRead(); }));
     for (QuarantineNode *it : {&first, &second}) {
-        it->duty().addOwn(kThreeFailures);
-        it->duty().tick(); // neither has read the other's write yet
+        it->quarantine().addOwn(kThreeFailures);
+        it->quarantine().tick(); // neither has read the other's write yet
     }
     first.runFor(2s);
     second.runFor(2s);
     REQUIRE(fleet.hasKey());
-    second.duty().addOwn(kAnswered);
-    first.duty().addFromPeer(kAnswered, false);
+    second.quarantine().addOwn(kAnswered);
+    first.quarantine().addFromPeer(kAnswered, false);
     second.runFor(2s);
     first.runFor(2s);
     CHECK_FALSE(fleet.hasKey());
@@ -352,10 +352,10 @@
 {
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
-    node.duty().addOwn(kThreeFailures);
+    node.quarantine().addOwn(kThreeFailures);
     REQUIRE(node.poll([&] { return fleet.hasKey(); }));
     fleet.store.setDown(true);
-    node.duty().addOwn(kAnswered);
+    node.quarantine().addOwn(kAnswered);
     node.runFor(10s);
     REQUIRE(fleet.hasKey());
     fleet.store.setDown(false);
@@ -368,7 +368,7 @@
 {
     QuarantineFixture fleet;
     QuarantineNode node(fleet.address);
-    node.duty().addOwn(kThreeFailures);
+    node.quarantine().addOwn(kThreeFailures);
     REQUIRE(node.poll([&] { return fleet.hasKey(); }));
     node.runFor(60s);
     CHECK(fleet.hasKey());
--- a/tests/node/load_exchange_test.cpp
+++ b/tests/node/load_exchange_test.cpp
@@ -30,10 +30,10 @@
         RelayFleet fleet(3, nodesInEach, subnet);
         fleet.withRelays().run(5);
         const std::size_t last = fleet.nodes().size() - 1;
-        const std::size_t heard = fleet.nodes()[last].received;
+        const std::size_t receivedBefore = fleet.nodes()[last].received;
         const std::size_t sent = fleet.nodes()[last].links->datagramsSent();
         fleet.run(10);
-        return std::pair(fleet.nodes()[last].received - heard,
+        return std::pair(fleet.nodes()[last].received - receivedBefore,
                          fleet.nodes()[last].links->datagramsSent() - sent);
     };
     // Ten rounds, each with one message from and one to each of the two relays.
--- a/tests/node/quarantine_distributor_test.cpp
+++ b/tests/node/quarantine_distributor_test.cpp
@@ -20,7 +20,7 @@
     const ManualClock clock;
     for (const RelayFleet::Node &node : fleet.nodes()) {
         Quarantine quarantine(clock);
-        for (const QuarantineUpdate &it : node.requestNews)
+        for (const QuarantineUpdate &it : node.quarantineUpdates)
             quarantine.apply(it);
         for (const QuarantineUpdate &it : own)
             quarantine.apply(it);
--- a/tests/support/relay_fleet.hpp
+++ b/tests/support/relay_fleet.hpp
@@ -57,7 +57,8 @@
             [this, n](LoadReport it) { m_nodes[n].others = std::move(it); });
         node.quarantine = std::make_unique<QuarantineDistributor>(
             m_clock, m_store, m_replica, [this, n](const std::vector<QuarantineUpdate> &it) {
-                m_nodes[n].requestNews.insert(m_nodes[n].requestNews.end(), it.begin(), it.end());
+                m_nodes[n].quarantineUpdates.insert(m_nodes[n].quarantineUpdates.end(), it.begin(),
+                                                    it.end());
             });
         ErrorCode ec;
         REQUIRE(node.links->open(node.address, ec));
@@ -114,7 +115,7 @@
         std::unique_ptr<LoadExchange> exchange;
         std::optional<LoadReport> others;
         std::unique_ptr<QuarantineDistributor> quarantine;
-        std::vector<QuarantineUpdate> requestNews; // received from others
+        std::vector<QuarantineUpdate> quarantineUpdates; // received from others
         std::size_t received = 0;
     };
 
--- a/tests/unit/engine_chooser_test.cpp
+++ b/tests/unit/engine_chooser_test.cpp
@@ -398,36 +398,37 @@
         CHECK(enginesForShortPrompts(engines, traits, 350'000).contains(it));
 }
 
-TEST_CASE("store keeper: context of old weights is freed only once no node can read it [stores]")
+TEST_CASE(
+    "old context cleaner: context of old weights is freed only once no node can read it [stores]")
 {
     ManualClock clock;
-    OldContextCleaner keeper(clock);
+    OldContextCleaner cleaner(clock);
     const std::string old = contextSalt("m", 1, "");
     const std::string current = contextSalt("m", 2, "");
     ContextStoreUpdate update;
     update.store = "store";
     update.epoch = 5;
     update.changes = {{old, "a", true, 10}, {current, "a", true, 10}, {"foreign", "b", true, 10}};
-    keeper.storeAnswered(update);
+    cleaner.storeAnswered(update);
     WeightHistory history;
     history.record(2, {EventTime::at(clock.now()), 1});
-    keeper.setWeights("m", history);
+    cleaner.setWeights("m", history);
     const FencedLock::Holding holding{1, {}, {}, TimePoint::max()};
     clock.advance(OldContextTimes::unusedAfter("a") - 1ms);
-    CHECK(keeper.tick(holding).empty());
+    CHECK(cleaner.tick(holding).empty());
     clock.advance(1ms);
-    CHECK(keeper.tick(std::nullopt).empty()); // only the lock holder frees context
-    const auto actions = keeper.tick(holding);
+    CHECK(cleaner.tick(std::nullopt).empty()); // only the lock holder frees context
+    const auto actions = cleaner.tick(holding);
     REQUIRE(actions.size() == 1);
     CHECK(actions.front().epoch == 5);
     CHECK(actions.front().parts == std::vector<std::pair<std::string, std::string>>{{old, "a"}});
-    CHECK(keeper.tick(holding).empty()); // the call is in progress
-    keeper.freeAnswered(actions.front(), false);
+    CHECK(cleaner.tick(holding).empty()); // the call is in progress
+    cleaner.freeAnswered(actions.front(), false);
     clock.advance(1s);
-    REQUIRE(keeper.tick(holding).size() == 1); // it is retried
-    keeper.freeAnswered(actions.front(), true);
+    REQUIRE(cleaner.tick(holding).size() == 1); // it is retried
+    cleaner.freeAnswered(actions.front(), true);
     clock.advance(1s);
-    CHECK(keeper.tick(holding).empty());
+    CHECK(cleaner.tick(holding).empty());
 }
 
 TEST_CASE("contexts: superseded context is fetched only for a while, and not by a node without "
--- a/tests/unit/information_age_test.cpp
+++ b/tests/unit/information_age_test.cpp
@@ -33,17 +33,17 @@
     ManualClock clock;
     clock.advance(1h);
     ContextStoreLog log(clock);
-    ContextStoreUpdate news;
-    news.store = "s";
-    news.epoch = 1;
-    news.age = 800ms;
-    log.storeAnswered(news);
+    ContextStoreUpdate update;
+    update.store = "s";
+    update.epoch = 1;
+    update.age = 800ms;
+    log.storeAnswered(update);
     clock.advance(100ms);
     REQUIRE(log.updatesSince({}).size() == 1);
     CHECK(log.updatesSince({}).front().age == 900ms);
     // An answer that came from the store itself has no age.
-    news.age = 0ms;
-    log.storeAnswered(news);
+    update.age = 0ms;
+    log.storeAnswered(update);
     CHECK(log.updatesSince({}).front().age == 0ms);
 }
 
@@ -53,13 +53,13 @@
     ManualClock clock;
     clock.advance(1h);
     ContextStoreLog log(clock);
-    ContextStoreUpdate news;
-    news.store = "s";
-    news.epoch = 1;
-    log.storeAnswered(news);
+    ContextStoreUpdate update;
+    update.store = "s";
+    update.epoch = 1;
+    log.storeAnswered(update);
     clock.advance(100ms);
-    news.age = 800ms;
-    log.storeAnswered(news);
+    update.age = 800ms;
+    log.storeAnswered(update);
     CHECK(log.updatesSince({}).front().age == 100ms);
 }
 
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -194,27 +194,27 @@
     "quarantine: reports are repeated for peers that miss messages, a bounded number of times")
 {
     ManualClock clock;
-    GossipQueue spreader(clock);
-    spreader.add(failure(7));
-    CHECK(spreader.hasUnsent());
-    int told = 0;
+    GossipQueue queue(clock);
+    queue.add(failure(7));
+    CHECK(queue.hasUnsent());
+    int timesSent = 0;
     for (int n = 0; n < 200; ++n) {
-        told += static_cast<int>(spreader.takeDue().size());
+        timesSent += static_cast<int>(queue.takeDue().size());
         clock.advance(100ms);
     }
-    CHECK(told == 6);
-    CHECK_FALSE(spreader.hasUnsent());
+    CHECK(timesSent == 6);
+    CHECK_FALSE(queue.hasUnsent());
 }
 
 TEST_CASE("quarantine: many reports at once are split into messages of bounded size")
 {
     ManualClock clock;
-    GossipQueue spreader(clock);
+    GossipQueue queue(clock);
     for (std::uint64_t n = 0; n < 1'000; ++n)
-        spreader.add(failure(n));
+        queue.add(failure(n));
     std::size_t messages = 0;
-    while (spreader.hasUnsent() && messages < 100) {
-        CHECK(spreader.takeDue().size() <= 200);
+    while (queue.hasUnsent() && messages < 100) {
+        CHECK(queue.takeDue().size() <= 200);
         messages += 1;
     }
     CHECK(messages <= 15);
